--- a/src/consensus/make_data_folder.ts
+++ b/src/consensus/make_data_folder.ts
@@ -33,7 +33,7 @@
     await log.append(
       voters === undefined
         ? [{ kind: "identity", identity }]
-        : savedRecords.createFounding(voters, wallMs),
+        : savedRecords.createBootstrapRecords(voters, wallMs),
     );
   }
   await log.close();
--- a/src/consensus/replica_driver.ts
+++ b/src/consensus/replica_driver.ts
@@ -2,11 +2,11 @@
 import * as csp from "../csp/mod.ts";
 import type * as results from "../results/mod.ts";
 import type * as storage from "../storage/mod.ts";
-import * as appliedMachines from "./_applied_machine.ts";
-import * as noticeTellers from "./_notice_teller.ts";
+import * as appliedMachines from "./_log_applier.ts";
+import * as noticeTellers from "./_notice_reporter.ts";
 import * as driverEvents from "./_driver_event.ts";
 import * as durableWriters from "./_durable_writer.ts";
-import * as logCutters from "./_log_cutter.ts";
+import * as logCutters from "./_log_compactor.ts";
 import * as openReplicas from "./_open_replica.ts";
 import * as savedRecords from "./_saved_record.ts";
 import * as proposalTables from "./_proposals.ts";
@@ -32,12 +32,12 @@
   readonly #proposals = new proposalTables.ProposalTable();
   readonly #timer: tickTimers.TickTimer;
   #state: replicaStates.ReplicaState;
-  readonly #applied: appliedMachines.AppliedMachine;
+  readonly #applied: appliedMachines.LogApplier;
   #isStopped = false;
   #ended: Promise<void> = Promise.resolve();
   readonly #exchange: snapshotTransfers.SnapshotExchange;
-  readonly #cutter: logCutters.LogCutter;
-  readonly #teller: noticeTellers.NoticeTeller;
+  readonly #cutter: logCutters.LogCompactor;
+  readonly #teller: noticeTellers.NoticeReporter;
   readonly #suspensions: clocks.SuspensionWatch;
 
   private constructor(
@@ -49,7 +49,7 @@
     this.#suspensions = new clocks.SuspensionWatch(options.clock);
     this.#writer = new durableWriters.DurableWriter(log, options.clock);
     this.#state = state;
-    this.#cutter = new logCutters.LogCutter({
+    this.#cutter = new logCutters.LogCompactor({
       ...options,
       writer: this.#writer,
       snapshotIndex: state.log.snapshotIndex,
@@ -63,12 +63,12 @@
     this.#timer = new tickTimers.TickTimer(options.clock, () => {
       this.#offer({ kind: "tick" });
     });
-    this.#applied = new appliedMachines.AppliedMachine(
+    this.#applied = new appliedMachines.LogApplier(
       options.machine,
       this.#proposals,
       state.log,
     );
-    this.#teller = new noticeTellers.NoticeTeller(options, state);
+    this.#teller = new noticeTellers.NoticeReporter(options, state);
   }
 
   /**
@@ -113,7 +113,7 @@
 
   /** Index of the last entry that the machine holds. */
   getAppliedIndex(): number {
-    return this.#applied.getIndex();
+    return this.#applied.getAppliedIndex();
   }
 
   /** Id of the leader, as far as this replica knows. */
@@ -149,7 +149,7 @@
 
   /** Gives a message from another replica; dropped when the inbox is full. */
   receive(from: string, message: messages.DriverMessage): void {
-    const whole = this.#exchange.take(from, message, this.#state.term);
+    const whole = this.#exchange.handleMessage(from, message, this.#state.term);
     if (whole === undefined) return;
     this.#offer({ kind: "message", from, message: whole });
   }
@@ -189,7 +189,7 @@
     this.#inbox.close();
     this.#writer.stop();
     await this.#ended;
-    await this.#cutter.settle();
+    await this.#cutter.waitUntilIdle();
     await this.#writer.close();
   }
 
@@ -222,16 +222,16 @@
     for (;;) {
       const first = yield* this.#inbox.take();
       if (first === csp.CLOSED) return;
-      const round = driverEvents.collectRound(this.#inbox, first);
+      const round = driverEvents.collectBatch(this.#inbox, first);
       const effects = this.#stepRound(round);
       yield* this.#saveEffects(effects);
       if (this.#isStopped) return;
       for (const effect of effects) this.#runEffect(effect);
-      this.#state = yield* this.#cutter.cut(
+      this.#state = yield* this.#cutter.compact(
         this.#state,
         this.#exchange.findNeededIndex(this.#state),
       );
-      this.#cutter.startDraft(this.#applied, this.#state.log);
+      this.#cutter.startSnapshot(this.#applied, this.#state.log);
       this.#teller.observe(this.#state, this.hasAuthority());
       this.#setTick();
     }
@@ -241,7 +241,7 @@
     round: readonly driverEvents.DriverEvent[],
   ): readonly replicaStates.Effect[] {
     const proposals = round.filter((event) => event.kind === "proposal");
-    if (this.#state.role.kind !== "leader") this.#exchange.drop();
+    if (this.#state.role.kind !== "leader") this.#exchange.pause();
     const effects = round.flatMap((event) =>
       event.kind === "replica" ? this.#step(event.event) : []
     );
@@ -257,7 +257,7 @@
     if (
       role.kind !== "leader" || replicaStates.isHandingOver(this.#state, nowMs)
     ) {
-      proposalTables.refuseProposals(proposals, this.getLeader());
+      proposalTables.rejectProposals(proposals, this.getLeader());
       return [];
     }
     const firstIndex = replicaLogs.getLastIndex(this.#state.log) + 1;
@@ -269,7 +269,7 @@
   }
 
   #step(event: replicaStates.ReplicaEvent): readonly replicaStates.Effect[] {
-    this.#teller.noteEvent(this.#state, event);
+    this.#teller.recordEvent(this.#state, event);
     const nowMs = this.#options.clock.getMonotonicMs();
     const transition = stepReplica.stepReplica(this.#state, event, nowMs);
     this.#state = transition.state;
@@ -329,7 +329,7 @@
         return this.#exchange.send(effect.to, this.#state.term);
       case "commit":
         for (const entry of effect.entries) this.#applied.apply(entry);
-        this.#cutter.add(effect.entries);
+        this.#cutter.recordApplied(effect.entries);
     }
   }
 }
--- a/src/consensus/step_replica.ts
+++ b/src/consensus/step_replica.ts
@@ -5,7 +5,7 @@
 import * as handovers from "./_handover.ts";
 import * as memberships from "./_membership.ts";
 import * as replications from "./_replication.ts";
-import * as latenesses from "./_lateness.ts";
+import * as latenesses from "./_heartbeat_gap.ts";
 import type * as messages from "./message.ts";
 import * as replicaLogs from "./replica_log.ts";
 import * as replicaStates from "./replica_state.ts";
@@ -60,7 +60,7 @@
       ? undefined
       : { id: leader, term: saved.term, hurryUntilMs },
   };
-  return elections.resetElection(state, nowMs);
+  return elections.resetElectionTimer(state, nowMs);
 }
 
 /**
@@ -122,7 +122,7 @@
     ...state,
     role: { kind: "follower" },
   };
-  return { state: elections.resetElection(follower, nowMs), effects: [] };
+  return { state: elections.resetElectionTimer(follower, nowMs), effects: [] };
 }
 
 function stepMessage(
@@ -191,11 +191,11 @@
 ): replicaStates.Transition {
   if (message.term < state.term) return refuseLeader(state, from, message);
   const entered = elections.enterTerm(state, message.term, from);
-  const heard = elections.resetElection(
+  const heard = elections.resetElectionTimer(
     {
       ...entered.state,
       heardAtMs: nowMs,
-      lateness: latenesses.noteLateness(state, message.term, nowMs),
+      lateness: latenesses.recordHeartbeat(state, message.term, nowMs),
     },
     nowMs,
   );
