--- a/src/consensus/_append_requests.ts
+++ b/src/consensus/_append_requests.ts
@@ -3,15 +3,17 @@
 import * as replicaLogs from "./replica_log.ts";
 import type * as replicaStates from "./replica_state.ts";
 
-/** What is sent to a follower, and how far it is then. */
+/** A message or snapshot for a follower, and its progress after sending. */
 export interface PreparedAppend {
   readonly progress: replicaStates.Progress;
   readonly effect: replicaStates.Effect;
 }
 
 /**
- * Creates what follows an index, with at most so many entries; undefined when a
- * snapshot is needed.
+ * Creates an append request of at most `count` entries from `nextIndex` on.
+ *
+ * @returns The request; undefined if the log no longer holds the entry before
+ * `nextIndex`, so that the follower needs a snapshot.
  */
 export function createRequest(
   state: replicaStates.ReplicaState,
@@ -35,7 +37,10 @@
   };
 }
 
-/** Adds a message, or a snapshot where there is none, to a progress. */
+/**
+ * Advances a follower's progress past a message; without a message the follower
+ * is sent a snapshot.
+ */
 export function createAppend(
   state: replicaStates.ReplicaState,
   to: string,
@@ -57,9 +62,9 @@
 }
 
 /**
- * Creates a heartbeat to a replica that needs a snapshot and waits for its turn. Sent
- * to all at once, four snapshots held each other up (fake clock: an emptied voter
- * lacked 816 entries 5.1 s after its start).
+ * Creates a heartbeat for a replica whose snapshot is deferred, so that snapshots
+ * do not compete for bandwidth. It names the leader's snapshot as the previous
+ * entry, because the log no longer holds the one before the follower's next index.
  */
 function createHeartbeat(
   state: replicaStates.ReplicaState,
@@ -82,8 +87,8 @@
 }
 
 /**
- * Creates one message for all followers that lack the same, so that it is
- * encoded and compressed once.
+ * Creates the message for each follower. Followers that need the same entries
+ * share one message object, so that it is encoded and compressed once.
  */
 export function createAppends(
   state: replicaStates.ReplicaState,
--- a/src/consensus/_append_window.ts
+++ b/src/consensus/_append_window.ts
@@ -4,60 +4,61 @@
 import * as replicaStates from "./replica_state.ts";
 
 /**
- * Entries on their way to an admitted follower at most, some seconds of a full
- * load: a follower that pauses does not fill the leader's sockets.
+ * Most unconfirmed entries in flight to an admitted or nearly caught-up follower,
+ * so that a paused follower does not fill the leader's sockets.
  */
 const MAX_IN_FLIGHT_ENTRIES = 240;
-/** Bytes on their way to it at most; some thirtieth of a store's heap. */
+/** Most unconfirmed bytes in flight to such a follower. */
 const MAX_IN_FLIGHT_BYTES = 4 * 1024 * 1024;
 /**
- * Bytes of one message, unless one entry alone is larger. Encoded whole, messages
- * of 2 MB and more took a leader of 140 MB of heap out of memory while it fed
- * a replica (real processes, entries of 98 KB).
+ * Most bytes of entries in one message, unless a single entry is larger. Bounds
+ * the memory that the leader needs to encode it.
  */
 const MAX_MESSAGE_BYTES = 512 * 1024;
-/** Messages on their way to a fed replica: one is encoded while one is taken in. */
+/**
+ * Most messages in flight to a replica that catches up: the leader encodes one
+ * while the replica applies the other.
+ */
 const MAX_CATCH_UP_MESSAGES = 2;
-/** Entries in a message to a fed replica at first. */
+/** Entries in the first messages to a replica that catches up. */
 const INITIAL_CATCH_UP_BATCH = 8;
-/** Entries to which its messages shrink while the leader is held up. */
+/** Fewest entries to which such a message shrinks while the leader is overloaded. */
 const MIN_CATCH_UP_BATCH = 32;
-/** Entries in a message to a fed replica at most, under a megabyte usually. */
+/** Most entries in a message to a replica that catches up. */
 const MAX_CATCH_UP_BATCH = 96;
-/** By how much these messages grow and shrink. */
+/** Factor by which the batch size grows and shrinks. */
 const BATCH_FACTOR = 2;
 /**
- * Share of the election timeout for which a leader still has authority where it is
- * not held up: its quorum has answered what was sent two heartbeats ago.
+ * Share of the election timeout that must remain of a leader's authority for it to
+ * count as not overloaded.
  */
 const HEADROOM_FRACTION = 1 / 3;
-/** Replicas that are fed at once; the others wait for their turn. */
+/** Replicas that catch up at the same time; the others are deferred. */
 const MAX_CATCH_UPS = 1;
-/** Replicas that are tried at once while none of them moves. */
+/** Replicas that are served at the same time while none makes progress. */
 const MAX_STALLED_CATCH_UPS = 2;
-/** Time without an answer, or without progress, after which another is fed, in ms. */
+/**
+ * Time without a reply or without progress after which another replica is served,
+ * in ms.
+ */
 const STALL_TIMEOUT_MS = 1_000;
 
-/** What may be on its way to a follower. */
+/** Limits of the unconfirmed entries in flight to a follower. */
 interface Window {
   readonly entries: number;
   readonly bytes: number;
-  /** Entries of one message. */
+  /** Most entries in one message. */
   readonly batch: number;
 }
 
 /**
- * Says how many entries a follower may be sent now. Replicas that lost their
- * disks are fed one after the other, in messages that grow while the leader is
- * not held up. Fed at once and without a bound, two of five voters took a leader
- * with 0.3 of a core its authority, again and again for 25 s after a restart of
- * all boxes (log lines). In messages of 8 entries whatever the load, a voter
- * of 1,650 entries at 20 ms a sync counted again after 7.9 s, and a second lost
- * disk in the meantime left the group without a leader for good (fake clock).
+ * Counts the entries that a follower may be sent now. Replicas that lost their
+ * disks catch up one at a time, in batches that grow while the leader has headroom:
+ * unbounded, the traffic delays heartbeats until the leader loses its authority.
  *
  * @param state The leader.
  * @param to The follower.
- * @param progress How far it is.
+ * @param progress Its progress.
  * @param nowMs Monotonic time, in ms.
  * @returns The number of entries; 0 for a heartbeat only.
  */
@@ -69,7 +70,7 @@
 ): number {
   const { maxBatchEntries } = state.config;
   const { nextIndex } = progress;
-  // What it holds is not known yet; only what is new is sent.
+  // No reply has confirmed an index yet, so no entries count as in flight.
   if (!Number.isFinite(progress.answeredSentAtMs)) {
     return countFitting(
       state.log,
@@ -90,12 +91,12 @@
 }
 
 /**
- * Tells whether a follower may be sent a snapshot now: one that counts, or the new
- * replica that is fed.
+ * Tells whether a follower may be sent a snapshot now: it is admitted, or selected
+ * to catch up.
  *
  * @param state The leader.
  * @param to The follower.
- * @param progress How far it is.
+ * @param progress Its progress.
  * @param nowMs Monotonic time, in ms.
  * @returns Whether it may.
  */
@@ -110,17 +111,16 @@
 }
 
 /**
- * Says how many entries the next messages to a fed replica take, after it has
- * confirmed more. They double while the leader is not held up, and also while
- * the replica does not gain on the log: one that never catches up is worse than a
- * leader that is held up. Else they shrink.
+ * Computes the batch size for a replica that catches up and has confirmed entries.
+ * It doubles while the leader has headroom, and also while the replica does not
+ * gain on the log, since otherwise it would never catch up. Else it halves.
  *
  * @param state The leader.
- * @param before How far the replica was before the answer.
- * @param gained Entries by which it is nearer to the log's end since the answer
- * before.
+ * @param before Progress before the reply.
+ * @param gained Entries by which its lag has shrunk since the reply before; negative
+ * if it has grown.
  * @param nowMs Monotonic time, in ms.
- * @returns The number of entries.
+ * @returns The most entries of the next message.
  */
 export function updateBatchSize(
   state: replicaStates.ReplicaState,
@@ -166,7 +166,7 @@
   };
 }
 
-/** Counts entries from an index on that fit; one always fits. */
+/** Counts the entries from an index on that fit into `maxBytes`; the first always does. */
 function countFitting(
   log: replicaLogs.ReplicaLog,
   fromIndex: number,
@@ -200,9 +200,9 @@
 }
 
 /**
- * The new replicas that are fed: the first that moves, voters first, then those
- * that hold most. Where none has moved for long, two of them: one that takes
- * nothing in must not keep another, which is to take its place, empty for good.
+ * Selects the responsive replicas to catch up: the best one that makes progress,
+ * preferring voters, then those with the most entries. While none makes progress
+ * the best two are served, so that a stuck replica does not block its replacement.
  */
 function selectCatchUps(
   state: replicaStates.ReplicaState,
@@ -229,7 +229,7 @@
   return selected.map(([id]) => id);
 }
 
-/** Whether a replica answers, but has confirmed nothing new for long. */
+/** Tells whether a replica has confirmed nothing new for `STALL_TIMEOUT_MS`. */
 function isStalled(progress: replicaStates.Progress, nowMs: number): boolean {
   const { movedAtMs } = progress;
   return movedAtMs !== undefined && nowMs - movedAtMs > STALL_TIMEOUT_MS;
--- a/src/consensus/_catch_up_monitor.ts
+++ b/src/consensus/_catch_up_monitor.ts
@@ -2,35 +2,35 @@
 import type * as notices from "./replica_notice.ts";
 import * as replicaStates from "./replica_state.ts";
 
-/** Between two notices of how followers are fed, in ms. */
+/** Time between two notices of the followers that catch up, in ms. */
 const NOTICE_INTERVAL_MS = 1_000;
 
-/** What is known of a follower since this replica leads. */
+/** State of a follower, as observed in the current leadership. */
 type FollowerState =
-  /** It has not answered yet. */
+  /** No reply yet. */
   | { readonly kind: "unheard"; readonly sinceMs: number }
-  /** It answered, and does not count in a quorum. */
+  /** It has replied, but does not count in a quorum. */
   | {
     readonly kind: "fed";
     readonly incarnation: number;
     readonly sinceMs: number;
-    /** Last entry that it held at the last notice. */
+    /** Match index at the last notice. */
     readonly reportedIndex: number;
   }
   | { readonly kind: "counted"; readonly incarnation: number };
 
-/** Follows how a leader feeds the replicas that do not count yet. */
+/** Reports the catch-up of a leader's followers that do not count in a quorum yet. */
 export class CatchUpMonitor {
   readonly #notify: notices.TakeNotice;
   #followers: ReadonlyMap<string, FollowerState> = new Map();
-  /** When the next notice is due; undefined while all followers count. */
+  /** Monotonic time of the next notice, in ms; undefined while all followers count. */
   #nextNoticeMs: number | undefined;
 
   constructor(notify: notices.TakeNotice) {
     this.#notify = notify;
   }
 
-  /** Looks at the followers; a replica that does not lead has none. */
+  /** Updates the followers' states and reports due notices; only a leader has followers. */
   observe(state: replicaStates.ReplicaState, nowMs: number): void {
     const { role } = state;
     const progress = role.kind === "leader" ? [...role.progress] : [];
@@ -44,7 +44,7 @@
     this.#reportCatchUps(state, nowMs);
   }
 
-  /** How long the follower that is fed longest has not counted, in ms. */
+  /** Returns how long the longest catch-up in progress has lasted, in ms; 0 for none. */
   getLongestCatchUpMs(nowMs: number): number {
     const times = [...this.#followers.values()].flatMap((item) =>
       item.kind === "fed" ? [nowMs - item.sinceMs] : []
@@ -126,8 +126,8 @@
 }
 
 /**
- * Tells how long a follower that counts now was fed; undefined where it counted
- * before, or where this leader has just begun to hear it.
+ * Measures how long a follower took to be admitted; undefined if it was already
+ * admitted, or when this leader receives its first reply.
  */
 function measureCatchUpMs(
   before: FollowerState | undefined,
@@ -141,7 +141,7 @@
     case "fed":
       return Math.round(nowMs - before.sinceMs);
     case "counted":
-      // It lost its disk and was admitted anew between two looks.
+      // A new incarnation was admitted between two observations.
       return before.incarnation === incarnation ? undefined : 0;
   }
 }
--- a/src/consensus/_commit.ts
+++ b/src/consensus/_commit.ts
@@ -1,7 +1,7 @@
 import * as replicaLogs from "./replica_log.ts";
 import type * as replicaStates from "./replica_state.ts";
 
-/** Takes entries up to an index as committed; never goes back. */
+/** Raises the commit index and emits the newly committed entries; never lowers it. */
 export function advanceCommitIndex(
   state: replicaStates.ReplicaState,
   index: number,
--- a/src/consensus/_driver_event.ts
+++ b/src/consensus/_driver_event.ts
@@ -4,22 +4,22 @@
 
 const MAX_BATCH_EVENTS = 512;
 
-/** Told what became of a proposal. */
+/** Called once with the outcome of a proposal. */
 export type Settle = (result: results.Result<unknown>) => void;
 
-/** A command that waits to be proposed. */
+/** A command to propose, and the callback for its outcome. */
 export interface Proposal {
   readonly kind: "proposal";
   readonly command: unknown;
   readonly settle: Settle;
 }
 
-/** What waits in a driver's inbox. */
+/** An item of a driver's inbox. */
 export type DriverEvent =
   | { readonly kind: "replica"; readonly event: replicaStates.ReplicaEvent }
   | Proposal;
 
-/** Takes what waits in the inbox, so that one sync serves many events. */
+/** Drains the inbox into one batch, so that one disk sync covers many events. */
 export function collectBatch(
   inbox: csp.Channel<DriverEvent>,
   first: DriverEvent,
--- a/src/consensus/_durable_writer.ts
+++ b/src/consensus/_durable_writer.ts
@@ -4,15 +4,18 @@
 import type * as messages from "./message.ts";
 import type * as savedRecords from "./_saved_record.ts";
 
-/** Between two tries to write to a full disk, in ms. */
+/** Delay before a write to a full disk is retried, in ms. */
 const DISK_FULL_RETRY_MS = 200;
 
-/** Writes a replica's log; a full disk is waited for, any other error thrown. */
+/**
+ * Writes a replica's log. Writes that the replica waits for are retried while the
+ * disk is full; any other error is thrown.
+ */
 export class DurableWriter {
   readonly #log: storage.DurableLog;
   readonly #clock: clocks.Clock;
   #isStopped = false;
-  /** When the write under way began, in monotonic ms. */
+  /** Monotonic time at which the write in progress began, in ms. */
   #writeStartMs: number | undefined;
 
   constructor(log: storage.DurableLog, clock: clocks.Clock) {
@@ -20,12 +23,12 @@
     this.#clock = clock;
   }
 
-  /** Appends records, again and again while the disk is full. */
+  /** Appends records; retries while the disk is full. */
   *append(records: readonly savedRecords.SavedRecord[]): csp.Step<void> {
     yield* this.#trackDuration(this.#retry(() => this.#log.append(records)));
   }
 
-  /** Replaces the log by a snapshot, again and again while the disk is full. */
+  /** Replaces the log by a snapshot and records; retries while the disk is full. */
   *installSnapshot(
     snapshot: messages.Snapshot,
     records: readonly savedRecords.SavedRecord[],
@@ -36,9 +39,9 @@
   }
 
   /**
-   * Writes a snapshot beside the log, which takes records meanwhile.
+   * Writes a snapshot to a separate file; records can be appended meanwhile.
    *
-   * @returns Whether it is written; not so when the disk is full.
+   * @returns Whether it was written; false if the disk is full.
    */
   async writeSnapshot(snapshot: messages.Snapshot): Promise<boolean> {
     try {
@@ -50,7 +53,12 @@
     }
   }
 
-  /** Shortens the log by the written snapshot; all stays when the disk is full. */
+  /**
+   * Replaces the log by the written snapshot and the records after it.
+   *
+   * @returns Whether it was replaced; false, with the log unchanged, if the disk
+   * is full.
+   */
   *compactLog(
     records: readonly savedRecords.SavedRecord[],
   ): csp.Step<boolean> {
@@ -63,13 +71,13 @@
     }
   }
 
-  /** How long the write under way has lasted, in ms; 0 for none. */
+  /** Returns the age of the write in progress, in ms; 0 if there is none. */
   getWritingMs(): number {
     if (this.#writeStartMs === undefined) return 0;
     return Math.round(this.#clock.getMonotonicMs() - this.#writeStartMs);
   }
 
-  /** Waits for a disk no longer; what is under way is not finished. */
+  /** Stops retrying writes to a full disk; the pending write is abandoned. */
   stop(): void {
     this.#isStopped = true;
   }
@@ -78,7 +86,7 @@
     return this.#log.close();
   }
 
-  /** Keeps since when a write that the replica waits for is under way. */
+  /** Records the start time of a write while it is in progress. */
   *#trackDuration<T>(write: csp.Step<T>): csp.Step<T> {
     this.#writeStartMs = this.#clock.getMonotonicMs();
     try {
--- a/src/consensus/_election.ts
+++ b/src/consensus/_election.ts
@@ -7,7 +7,11 @@
 import * as replications from "./_replication.ts";
 import * as replicaStates from "./replica_state.ts";
 
-/** Draws the next election time: one to two election timeouts from now. */
+/**
+ * Resets the election timer to a random delay of one to two election timeouts,
+ * plus an allowance for a leader whose heartbeats are slow. A restarted leader
+ * gets a shorter, fixed delay.
+ */
 export function resetElectionTimer(
   state: replicaStates.ReplicaState,
   nowMs: number,
@@ -23,7 +27,7 @@
   return { ...state, electionAtMs, draws: state.draws + 1 };
 }
 
-/** Enters a term as follower, saving the change of term. */
+/** Becomes a follower in a term; a change of term is saved and clears the vote. */
 export function enterTerm(
   state: replicaStates.ReplicaState,
   term: number,
@@ -39,7 +43,7 @@
   };
 }
 
-/** Why votes are asked for. */
+/** Purpose of a vote request. */
 type VoteKind = "preVote" | "vote" | "transfer";
 
 function createVoteRequests(
@@ -64,7 +68,10 @@
   }));
 }
 
-/** Asks whether an election would be won, without disturbing the term. */
+/**
+ * Starts a pre-vote, which finds out whether an election could be won without
+ * raising the term.
+ */
 export function startPreVote(
   state: replicaStates.ReplicaState,
   nowMs: number,
@@ -162,7 +169,7 @@
   return nowMs < state.heardAtMs + state.config.electionTimeoutMs;
 }
 
-/** Why a vote is refused whatever the candidate's log holds. */
+/** Finds a reason to refuse a vote that does not depend on the candidate's log. */
 function findRefusal(
   state: replicaStates.ReplicaState,
   from: string,
@@ -176,7 +183,10 @@
   return state.identity.isAdmitted ? undefined : "notAdmitted";
 }
 
-/** Answers a vote request; while a leader is heard it is refused unread. */
+/**
+ * Grants or refuses a vote. Requests received while a leader is active are refused
+ * without adopting their term, so that they do not depose it.
+ */
 export function handleVoteRequest(
   state: replicaStates.ReplicaState,
   from: string,
@@ -250,7 +260,10 @@
   return { kind: "send", to, message: { kind: "voteReply", ...reply } };
 }
 
-/** Counts a vote. */
+/**
+ * Counts a vote; a quorum of pre-votes starts the election, and a quorum of votes
+ * wins it. A refusal with a higher term makes this replica a follower.
+ */
 export function handleVoteReply(
   state: replicaStates.ReplicaState,
   from: string,
@@ -287,8 +300,8 @@
 }
 
 /**
- * Asks for votes at once. Only in the term that the leader gave up: in any
- * later term another may lead, and the votes of the next term are given once.
+ * Starts an election without a pre-vote. Requests of any term but the current
+ * one are ignored: in a later term another replica may already lead.
  */
 export function handleTransferRequest(
   state: replicaStates.ReplicaState,
--- a/src/consensus/_election_delay.ts
+++ b/src/consensus/_election_delay.ts
@@ -2,20 +2,18 @@
 import * as generator from "pure-rand/generator/xoroshiro128plus";
 
 /**
- * Numbers of a new generator that are passed over. The first ones follow from its
- * seed alone: each delay was the one before less 1 ms, and two replicas in 450
- * had equal ones for ever; left alone with each other they never elected a
- * leader (356 candidacies in 120 s on a fake clock).
+ * Outputs of a new generator that are discarded. The first outputs of similar seeds
+ * are correlated; replicas with equal delays would split the vote every time.
  */
 const DISCARDED_OUTPUTS = 24;
-/** Keeps the seeds of two replicas apart for as many draws. */
+/** Distance between the seed ranges of two replicas, in draws. */
 const SEED_STRIDE = 7_919;
 
 /**
- * Draws the time after which a replica asks to lead: one to two timeouts.
+ * Draws a random election delay of one to two election timeouts.
  *
- * @param seed Seed of the replica's delays.
- * @param draw Which of its delays, from 0.
+ * @param seed Seed of the replica; must differ between replicas.
+ * @param draw Number of the draw, from 0.
  * @param timeoutMs The election timeout, in ms.
  * @returns The delay, in ms.
  */
--- a/src/consensus/_entry_size.ts
+++ b/src/consensus/_entry_size.ts
@@ -1,17 +1,17 @@
 import type * as replicaLogs from "./replica_log.ts";
 
-/** Bytes of a number, a key's quotes or what else stands around a value, about. */
+/** Approximate bytes of a number, or of the quotes and separators of a value. */
 const VALUE_OVERHEAD_BYTES = 8;
 
-/** Sizes of commands; a command does not change once it is in a log. */
+/** Estimated sizes by command; commands in a log are immutable. */
 const sizeCache = new WeakMap<object, number>();
 
 /**
- * Estimates the bytes of an entry in a message. Encoding it only for its size
- * would cost as much as sending it.
+ * Estimates the encoded size of an entry. Encoding it just to measure it would
+ * cost as much as sending it.
  *
  * @param entry The entry.
- * @returns Its size in bytes, about.
+ * @returns The approximate size, in bytes.
  */
 export function estimateBytes(entry: replicaLogs.Entry): number {
   const { command } = entry;
@@ -33,7 +33,7 @@
   return size;
 }
 
-/** Bytes of a text in a message: its characters may take three, or be escaped. */
+/** Counts the UTF-8 bytes of a string with JSON escapes. */
 function estimateTextBytes(text: string): number {
   return Buffer.byteLength(JSON.stringify(text)) + VALUE_OVERHEAD_BYTES;
 }
--- a/src/consensus/_follow.ts
+++ b/src/consensus/_follow.ts
@@ -21,7 +21,10 @@
   return { kind: "send", to, message: { kind: "appendReply", ...reply } };
 }
 
-/** Takes entries from the leader of the replica's term. */
+/**
+ * Appends entries from the leader of the current term, advances the commit index and
+ * replies. Without the previous entry the reply hints where the leader should retry.
+ */
 export function acceptAppend(
   state: replicaStates.ReplicaState,
   from: string,
@@ -70,8 +73,9 @@
 }
 
 /**
- * Lets a new replica count once it holds all that a leader, sure of its own
- * term, has committed: then it lacks nothing that its former self vouched for.
+ * Admits a new replica to quorums once it holds every entry that a leader with a
+ * committed entry of its own term has committed. Then it holds all entries that its
+ * former incarnation may have acknowledged.
  */
 function admitReplica(
   state: replicaStates.ReplicaState,
@@ -87,7 +91,10 @@
   };
 }
 
-/** Takes a snapshot from the leader of the replica's term. */
+/**
+ * Installs a snapshot from the leader of the current term, unless the log already
+ * holds its last entry, and replies.
+ */
 export function acceptSnapshot(
   state: replicaStates.ReplicaState,
   from: string,
@@ -108,7 +115,7 @@
   if (index <= state.commitIndex) {
     return { state, effects: [createReply(state.commitIndex)] };
   }
-  // A late snapshot must not take away entries after it that were confirmed.
+  // A delayed snapshot must not remove confirmed entries after it.
   if (replicaLogs.getTermAt(state.log, index) === snapshot.term) {
     const committed = commits.advanceCommitIndex(state, index);
     return {
--- a/src/consensus/_former_leader.ts
+++ b/src/consensus/_former_leader.ts
@@ -2,25 +2,24 @@
 import type * as replicaStates from "./replica_state.ts";
 
 /**
- * Share of the election timeout between the tries of a former leader that was
- * restarted. Its voters need not wait: after a restart of all, it leads again
- * within some 150 ms instead of 450 to 900.
+ * Share of the election timeout after which a restarted leader starts an election.
+ * Voters that followed it grant their votes at once, so it need not wait longer.
  */
 export const EARLY_ELECTION_FRACTION = 0.25;
 
-/** Command of the entry that each leader begins its term with. */
+/** Command of the first entry of each leader's term. */
 export interface NoOperation {
   readonly kind: "noOperation";
-  /** Id of the leader; entries that others proposed name none. */
+  /** Id of the leader; undefined in no-operations that were proposed by callers. */
   readonly leader?: string;
 }
 
 /**
- * Finds who led in the term of a replica.
+ * Finds the leader of a term by the no-operation at its start.
  *
  * @param log The replica's log.
  * @param term The replica's term.
- * @returns The leader's id; undefined where the log does not tell.
+ * @returns The leader's id; undefined if the log does not name it.
  */
 export function findLeader(
   log: replicaLogs.ReplicaLog,
@@ -34,7 +33,10 @@
   return undefined;
 }
 
-/** Whether this replica led when it was stopped, just before. */
+/**
+ * Tells whether this replica led the current term before it restarted, and is still
+ * within the time in which it may start an election early.
+ */
 export function canStartEarlyElection(
   state: replicaStates.ReplicaState,
   nowMs: number,
@@ -46,8 +48,8 @@
 
 /**
  * Tells whether a candidate is the leader that this replica follows, or followed
- * when it stopped. Votes are refused while that leader may still have authority;
- * one that asks for votes has none.
+ * before it restarted. Its vote request need not be refused to protect a leader's
+ * authority: a leader that asks for votes has given its own up.
  */
 export function isKnownLeader(
   state: replicaStates.ReplicaState,
--- a/src/consensus/_handover.ts
+++ b/src/consensus/_handover.ts
@@ -3,15 +3,14 @@
 import * as replicaLogs from "./replica_log.ts";
 import * as replicaStates from "./replica_state.ts";
 
-/** Longest time in which nothing is proposed for a successor's sake, in ms. */
+/** Longest pause of proposals during a leadership transfer, in ms. */
 const MAX_PAUSE_MS = 500;
-/** Time after that in which commands are taken again, at least, in ms. */
+/** Shortest time between the end of a pause and the next pause, in ms. */
 const MIN_PAUSE_INTERVAL_MS = 1_500;
 
 /**
- * Holds back commands for a while, so that some follower gets every entry. Under load
- * none has them at the moment of a look: with 200 commands a second and 40 ms a sync
- * a leader that was to be emptied led on for 20 s (fake clock).
+ * Pauses proposals for a while, so that a follower can catch up completely. Under
+ * steady load no follower ever holds every entry.
  */
 function pauseProposals(
   state: replicaStates.ReplicaState,
@@ -25,8 +24,11 @@
 }
 
 /**
- * Steps down in favour of a follower that has every entry. Authority ends
- * before the follower is told, so there are never two with it.
+ * Transfers leadership to an admitted voter that holds every entry. The leader steps
+ * down before the request is sent, so there are never two leaders with authority.
+ * If there is no such voter and no target is named, proposals are paused.
+ *
+ * @param to Id of the only replica that may take over; any voter if undefined.
  */
 export function transferLeadership(
   state: replicaStates.ReplicaState,
--- a/src/consensus/_heartbeat_gap.ts
+++ b/src/consensus/_heartbeat_gap.ts
@@ -1,13 +1,17 @@
 import type * as replicaStates from "./replica_state.ts";
 
-/** Share of the longest gap that counts after the next message. */
+/** Factor by which the longest gap decays with each message. */
 const GAP_DECAY = 0.8;
-/** Gaps for which a follower waits before it asks to lead. */
+/** Gaps for which a follower waits before it starts an election. */
 const GAPS_TO_ALLOW = 2;
-/** Longest wait for a late leader beside the usual one, in ms. */
+/** Longest addition to the election delay, in ms. */
 const MAX_EXTRA_DELAY_MS = 2_000;
 
-/** Notes how late a leader's message comes after the one before. */
+/**
+ * Records the gap between two messages of a leader.
+ *
+ * @returns The longest recent gap in this term; 0 after the first message.
+ */
 export function recordHeartbeat(
   state: replicaStates.ReplicaState,
   term: number,
@@ -20,14 +24,12 @@
 }
 
 /**
- * Says how much longer than usual a follower waits before it asks to lead. A
- * leader whose messages come 0.4 to 0.9 s apart, on boxes with a third of a core,
- * lost its lead twice a second to the next such one (terms 9 to 18 in 22 s),
- * and nothing that takes longer than a reign was ever done. One that is heard
- * each 225 ms or sooner is waited for no longer than usual.
+ * Computes the addition to the election delay of a follower whose leader sends
+ * heartbeats slowly. Without it, overloaded boxes would depose each other's leaders
+ * in turn. It is 0 while the gaps are at most half the election timeout.
  *
  * @param state The replica.
- * @returns The additional wait, in ms.
+ * @returns The additional delay, in ms.
  */
 export function getExtraDelayMs(state: replicaStates.ReplicaState): number {
   const { lateness, config } = state;
--- a/src/consensus/_log_applier.ts
+++ b/src/consensus/_log_applier.ts
@@ -4,14 +4,14 @@
 import type * as replicaLogs from "./replica_log.ts";
 import * as replicaSets from "./replica_set.ts";
 
-/** A machine, and how far the log has been applied to it. */
+/** Applies committed entries to a state machine and tracks the last applied index. */
 export class LogApplier {
   readonly #machine: machines.Machine;
   readonly #proposals: proposalTables.ProposalTable;
   #appliedIndex: number;
   #appliedTerm: number;
 
-  /** @param log The log whose snapshot the machine was restored from. */
+  /** @param log The log whose snapshot the state machine was restored from. */
   constructor(
     machine: machines.Machine,
     proposals: proposalTables.ProposalTable,
@@ -23,12 +23,15 @@
     this.#appliedTerm = log.snapshotTerm;
   }
 
-  /** Index of the last entry that the machine holds. */
+  /** Returns the index of the last applied entry. */
   getAppliedIndex(): number {
     return this.#appliedIndex;
   }
 
-  /** Applies a committed entry, and answers who proposed it. */
+  /**
+   * Applies a committed entry and settles its proposal with the result. Entries
+   * that are already applied are skipped.
+   */
   apply(entry: replicaLogs.Entry): void {
     if (entry.index <= this.#appliedIndex) return;
     const answer = this.#machine.apply(entry.command);
@@ -37,7 +40,10 @@
     this.#proposals.settle(entry, answer);
   }
 
-  /** Takes a snapshot that is ahead of the machine. */
+  /**
+   * Restores a snapshot, unless the state machine is already as far; proposals
+   * that it covers fail with an unknown outcome.
+   */
   restore(snapshot: messages.Snapshot): void {
     if (snapshot.index <= this.#appliedIndex) return;
     this.#machine.restore(snapshot.state);
@@ -46,7 +52,7 @@
     this.#proposals.dropUpTo(snapshot.index);
   }
 
-  /** Makes a snapshot of what the machine holds now. */
+  /** Creates a snapshot of the current state. */
   createSnapshot(log: replicaLogs.ReplicaLog): messages.Snapshot {
     const state = this.#machine.save();
     const set = replicaSets.findReplicaSet(log, this.#appliedIndex);
--- a/src/consensus/_stale_incarnation.ts
+++ b/src/consensus/_stale_incarnation.ts
@@ -2,9 +2,9 @@
 import type * as replicaStates from "./replica_state.ts";
 
 /**
- * Counts no answer of a former self. One that is not admitted may be of a new self
- * whose clock was stepped back before its first start; passed over for good, it
- * would stay empty for as long as this leader leads, and no other box may be lost.
+ * Ignores a reply whose incarnation is older than the known one. If the sender is
+ * not admitted, it may be a new replica whose wall clock was stepped back, so it is
+ * asked to raise its incarnation; otherwise it could never catch up.
  */
 export function handleStaleReply(
   state: replicaStates.ReplicaState,
