--- a/src/consensus/_append_window.ts
+++ b/src/consensus/_append_window.ts
@@ -22,7 +22,10 @@
 const MAX_CATCH_UP_MESSAGES = 2;
 /** Entries in the first messages to a replica that catches up. */
 const INITIAL_CATCH_UP_BATCH = 8;
-/** Fewest entries to which such a message shrinks while the leader is overloaded. */
+/**
+ * Fewest entries to which such a message shrinks while the leader is
+ * overloaded.
+ */
 const MIN_CATCH_UP_BATCH = 32;
 /** Most entries in a message to a replica that catches up. */
 const MAX_CATCH_UP_BATCH = 96;
@@ -166,7 +169,10 @@
   };
 }
 
-/** Counts the entries from an index on that fit into `maxBytes`; the first always does. */
+/**
+ * Counts the entries from an index on that fit into `maxBytes`; the first
+ * always does.
+ */
 function countFitting(
   log: replicaLogs.ReplicaLog,
   fromIndex: number,
@@ -200,9 +206,10 @@
 }
 
 /**
- * Selects the responsive replicas to catch up: the best one that makes progress,
- * preferring voters, then those with the most entries. While none makes progress
- * the best two are served, so that a stuck replica does not block its replacement.
+ * Selects which responsive, non-admitted replicas catch up: the best one that makes
+ * progress, preferring voters, then those with the most entries. While none makes
+ * progress the best two are served, so that a stuck replica does not block its
+ * replacement.
  */
 function selectCatchUps(
   state: replicaStates.ReplicaState,
--- a/src/consensus/_catch_up_monitor.ts
+++ b/src/consensus/_catch_up_monitor.ts
@@ -19,18 +19,27 @@
   }
   | { readonly kind: "counted"; readonly incarnation: number };
 
-/** Reports the catch-up of a leader's followers that do not count in a quorum yet. */
+/**
+ * Reports the catch-up of a leader's followers that do not count in a quorum
+ * yet.
+ */
 export class CatchUpMonitor {
   readonly #notify: notices.TakeNotice;
   #followers: ReadonlyMap<string, FollowerState> = new Map();
-  /** Monotonic time of the next notice, in ms; undefined while all followers count. */
+  /**
+   * Monotonic time of the next notice, in ms; undefined while all followers
+   * count.
+   */
   #nextNoticeMs: number | undefined;
 
   constructor(notify: notices.TakeNotice) {
     this.#notify = notify;
   }
 
-  /** Updates the followers' states and reports due notices; only a leader has followers. */
+  /**
+   * Updates the followers' states and reports due notices; only a leader has
+   * followers.
+   */
   observe(state: replicaStates.ReplicaState, nowMs: number): void {
     const { role } = state;
     const progress = role.kind === "leader" ? [...role.progress] : [];
@@ -44,7 +53,10 @@
     this.#reportCatchUps(state, nowMs);
   }
 
-  /** Returns how long the longest catch-up in progress has lasted, in ms; 0 for none. */
+  /**
+   * Returns how long the longest catch-up in progress has lasted, in ms; 0 for
+   * none.
+   */
   getLongestCatchUpMs(nowMs: number): number {
     const times = [...this.#followers.values()].flatMap((item) =>
       item.kind === "fed" ? [nowMs - item.sinceMs] : []
--- a/src/consensus/_commit.ts
+++ b/src/consensus/_commit.ts
@@ -1,7 +1,10 @@
 import * as replicaLogs from "./replica_log.ts";
 import type * as replicaStates from "./replica_state.ts";
 
-/** Raises the commit index and emits the newly committed entries; never lowers it. */
+/**
+ * Raises the commit index and emits the newly committed entries; never lowers
+ * it.
+ */
 export function advanceCommitIndex(
   state: replicaStates.ReplicaState,
   index: number,
--- a/src/consensus/_compaction_policy.ts
+++ b/src/consensus/_compaction_policy.ts
@@ -2,17 +2,16 @@
 import * as replicaLogs from "./replica_log.ts";
 
 /**
- * Bytes of commands after which a snapshot is taken, whatever their number. A log
- * of 70 MB beside its state took a leader of 140 MB of heap out of memory while it
- * fed a replica (real processes, entries of 98 KB).
+ * Bytes of applied entries after which a snapshot is taken, whatever their number.
+ * Bounds the memory that the log occupies.
  */
 const SNAPSHOT_BYTES = 24 * 1024 * 1024;
-/** Bytes of entries that stay in memory beside a snapshot, for those that lag. */
+/** Most bytes of recent entries that stay in memory for followers that lag. */
 const MAX_RETAINED_BYTES = 8 * 1024 * 1024;
-/** Bytes that stay while a follower needs the entries. */
+/** Most bytes of entries that stay in memory while a follower needs them. */
 const MAX_NEEDED_BYTES = 32 * 1024 * 1024;
 
-/** Says when a log is cut, and where: by its entries or by their bytes. */
+/** Decides when a snapshot is taken and which entries it lets the log drop. */
 export class CompactionPolicy {
   readonly #snapshotEntries: number;
   #appliedBytes = 0;
@@ -22,7 +21,7 @@
     this.#snapshotEntries = snapshotEntries;
   }
 
-  /** Notes entries that were applied. */
+  /** Counts the bytes of applied entries. */
   recordApplied(entries: readonly replicaLogs.Entry[]): void {
     for (const entry of entries) {
       this.#appliedBytes += entrySizes.estimateBytes(entry);
@@ -30,10 +29,10 @@
   }
 
   /**
-   * Claims a snapshot where one is due; bytes are counted anew from then on.
+   * Tells whether a snapshot is due; if so, resets the count of bytes.
    *
-   * @param applied Entries that were applied since the last snapshot.
-   * @returns Whether one is due.
+   * @param applied Number of entries applied since the last snapshot.
+   * @returns Whether a snapshot is due.
    */
   claimSnapshot(applied: number): boolean {
     const isDue = applied >= this.#snapshotEntries ||
@@ -43,16 +42,15 @@
   }
 
   /**
-   * Finds the last entry that leaves the memory once a snapshot is written: half
-   * as many entries stay as a snapshot covers, and no more bytes than is kept.
-   * What a replica that is fed needs stays too, up to its own bound: cut away,
-   * it would need a snapshot again, and again (200 commands a second, a
-   * snapshot each 200: not whole after 5.1 s on a fake clock).
+   * Finds the last entry to drop from memory once a snapshot is written. The most
+   * recent entries stay: half the number between two snapshots, within
+   * `MAX_RETAINED_BYTES`. Entries that a follower needs stay too, within
+   * `MAX_NEEDED_BYTES`; otherwise it could need one snapshot after another.
    *
    * @param log The log.
    * @param index Last index of the snapshot.
-   * @param neededIndex Entries after it are needed by a replica that is fed.
-   * @returns The index; not above the snapshot's.
+   * @param neededIndex Index after which a follower needs the entries.
+   * @returns The index of the last entry to drop, at most `index`.
    */
   findTrimIndex(
     log: replicaLogs.ReplicaLog,
@@ -64,12 +62,12 @@
       log.snapshotIndex + 1,
       index - log.snapshotIndex,
     );
-    const retainedFromIndex = index - Math.floor(this.#snapshotEntries / 2);
+    const retainedAfterIndex = index - Math.floor(this.#snapshotEntries / 2);
     let bytes = 0;
     for (const entry of covered.toReversed()) {
       bytes += entrySizes.estimateBytes(entry);
       const isNeeded = entry.index > neededIndex && bytes <= MAX_NEEDED_BYTES;
-      const isRecent = entry.index > retainedFromIndex &&
+      const isRecent = entry.index > retainedAfterIndex &&
         bytes <= MAX_RETAINED_BYTES;
       if (!isNeeded && !isRecent) return entry.index;
     }
--- a/src/consensus/_durable_writer.ts
+++ b/src/consensus/_durable_writer.ts
@@ -28,7 +28,9 @@
     yield* this.#trackDuration(this.#retry(() => this.#log.append(records)));
   }
 
-  /** Replaces the log by a snapshot and records; retries while the disk is full. */
+  /**
+   * Replaces the log by a snapshot and records; retries while the disk is full.
+   */
   *installSnapshot(
     snapshot: messages.Snapshot,
     records: readonly savedRecords.SavedRecord[],
@@ -77,7 +79,7 @@
     return Math.round(this.#clock.getMonotonicMs() - this.#writeStartMs);
   }
 
-  /** Stops retrying writes to a full disk; the pending write is abandoned. */
+  /** Stops retrying writes to a full disk; one that awaits a retry is abandoned. */
   stop(): void {
     this.#isStopped = true;
   }
--- a/src/consensus/_election.ts
+++ b/src/consensus/_election.ts
@@ -27,7 +27,9 @@
   return { ...state, electionAtMs, draws: state.draws + 1 };
 }
 
-/** Becomes a follower in a term; a change of term is saved and clears the vote. */
+/**
+ * Becomes a follower in a term; a change of term is saved and clears the vote.
+ */
 export function enterTerm(
   state: replicaStates.ReplicaState,
   term: number,
@@ -169,7 +171,9 @@
   return nowMs < state.heardAtMs + state.config.electionTimeoutMs;
 }
 
-/** Finds a reason to refuse a vote that does not depend on the candidate's log. */
+/**
+ * Finds a reason to refuse a vote that does not depend on the candidate's log.
+ */
 function findRefusal(
   state: replicaStates.ReplicaState,
   from: string,
--- a/src/consensus/_former_leader.ts
+++ b/src/consensus/_former_leader.ts
@@ -10,7 +10,9 @@
 /** Command of the first entry of each leader's term. */
 export interface NoOperation {
   readonly kind: "noOperation";
-  /** Id of the leader; undefined in no-operations that were proposed by callers. */
+  /**
+   * Id of the leader; undefined in no-operations that were proposed by callers.
+   */
   readonly leader?: string;
 }
 
--- a/src/consensus/_leader_monitor.ts
+++ b/src/consensus/_leader_monitor.ts
@@ -4,40 +4,43 @@
 import * as replicaStates from "./replica_state.ts";
 import * as replicaStatuses from "./replica_status.ts";
 
-/** Time without a leader after which it is told, and between two notices, in ms. */
+/** Time without a leader before the first notice, and between notices, in ms. */
 const NOTICE_INTERVAL_MS = 2_000;
 /**
- * Longest time between two notices of a replica that votes nowhere, in ms.
- * Leaders feed no spare that they don't need, so such a one may never hear any.
+ * Longest time between two notices of a replica outside the voter set, in ms. A
+ * leader need not contact such a replica, so it may never know one.
  */
 const MAX_NON_VOTER_INTERVAL_MS = 60_000;
 
-/** An answer to a vote request, and when it came. */
+/** A reply to a vote request, and the monotonic time at which it arrived. */
 interface ReceivedReply {
   readonly reply: messages.VoteReply;
   readonly atMs: number;
 }
 
-/** Follows since when a replica knows no leader, and what its voters answer. */
+/** Reports when a replica knows no leader, with the last vote replies. */
 export class LeaderMonitor {
   readonly #notify: notices.TakeNotice;
-  /** When a leader that may act was known last, in monotonic ms. */
+  /** Monotonic time at which a leader with authority was last known, in ms. */
   #leaderSeenAtMs: number;
-  /** Time without a leader after which the next notice is due, in ms. */
+  /** Leaderless time at which the next notice is due, in ms. */
   #nextNoticeAfterMs = NOTICE_INTERVAL_MS;
-  /** Last answer of each voter. */
+  /** Last reply of each voter. */
   #replies: ReadonlyMap<string, ReceivedReply> = new Map();
 
   /**
    * @param nowMs Monotonic time at which the replica was opened, in ms.
-   * @param notify Takes the notices.
+   * @param notify Receives the notices.
    */
   constructor(nowMs: number, notify: notices.TakeNotice) {
     this.#leaderSeenAtMs = nowMs;
     this.#notify = notify;
   }
 
-  /** Notes what a voter answered; only voters are kept, so they are few. */
+  /**
+   * Records a vote reply; replies from replicas outside the voter set are
+   * dropped.
+   */
   recordReply(
     state: replicaStates.ReplicaState,
     from: string,
@@ -51,15 +54,15 @@
       : new Map(kept);
   }
 
-  /** Time since a leader that may act was known, in ms. */
+  /** Returns the time since a leader with authority was known, in ms. */
   getLeaderlessMs(nowMs: number): number {
     return Math.round(nowMs - this.#leaderSeenAtMs);
   }
 
   /**
-   * Looks whether a leader is known.
+   * Checks whether a leader is known and reports a due notice.
    *
-   * @param writingMs How long the write under way has lasted, in ms.
+   * @param writingMs Age of the write in progress, in ms; 0 if there is none.
    */
   observe(
     state: replicaStates.ReplicaState,
@@ -104,7 +107,7 @@
   }
 }
 
-/** Voters are told of at each interval, others after ever longer ones. */
+/** Voters report at a fixed interval, other replicas at growing intervals. */
 function getNextNoticeMs(
   state: replicaStates.ReplicaState,
   sinceMs: number,
--- a/src/consensus/_log_applier.ts
+++ b/src/consensus/_log_applier.ts
@@ -4,7 +4,10 @@
 import type * as replicaLogs from "./replica_log.ts";
 import * as replicaSets from "./replica_set.ts";
 
-/** Applies committed entries to a state machine and tracks the last applied index. */
+/**
+ * Applies committed entries to a state machine and tracks the last applied
+ * index.
+ */
 export class LogApplier {
   readonly #machine: machines.Machine;
   readonly #proposals: proposalTables.ProposalTable;
--- a/src/consensus/_log_compactor.ts
+++ b/src/consensus/_log_compactor.ts
@@ -8,18 +8,20 @@
 import * as savedRecords from "./_saved_record.ts";
 import * as snapshotWriters from "./_snapshot_writer.ts";
 
-/** What a log cutter needs. */
+/** Options of a log compactor. */
 export interface LogCompactorOptions {
   readonly writer: durableWriters.DurableWriter;
   /** Entries after which a snapshot is taken. */
   readonly snapshotEntries: number;
-  /** Last index of the snapshot that the disk holds; 0 for none. */
+  /** Last index of the snapshot on disk; 0 for none. */
   readonly snapshotIndex: number;
-  /** Told of a failed write, but for a full disk. */
+  /** Called if a write fails for another reason than a full disk. */
   readonly onFatal: (error: unknown) => void;
 }
 
-/** Keeps a replica's log short: writes snapshots beside it and cuts it by them. */
+/**
+ * Compacts a replica's log: writes snapshots and drops the entries they cover.
+ */
 export class LogCompactor {
   readonly #writer: durableWriters.DurableWriter;
   readonly #snapshots: snapshotWriters.SnapshotWriter;
@@ -34,12 +36,12 @@
     this.#snapshotIndex = snapshotIndex;
   }
 
-  /** Notes entries that were applied. */
+  /** Counts applied entries towards the next snapshot. */
   recordApplied(entries: readonly replicaLogs.Entry[]): void {
     this.#policy.recordApplied(entries);
   }
 
-  /** Writes a snapshot beside the log once enough was applied. */
+  /** Starts writing a snapshot if one is due and none is being written. */
   startSnapshot(
     applied: logAppliers.LogApplier,
     log: replicaLogs.ReplicaLog,
@@ -50,11 +52,11 @@
   }
 
   /**
-   * Shortens the log by a snapshot that is now written, if there is one.
+   * Compacts the log if a snapshot has been written since the last call.
    *
    * @param state The replica.
-   * @param neededIndex Entries after it are needed by a replica that is fed.
-   * @returns The replica with the shorter log.
+   * @param neededIndex Index after which a follower needs the entries.
+   * @returns The replica with the compacted log, or unchanged.
    */
   *compact(
     state: replicaStates.ReplicaState,
@@ -69,12 +71,12 @@
     return replicaStates.trimLog(state, trimIndex);
   }
 
-  /** Puts a snapshot that was taken from a leader in the place of the log. */
+  /** Replaces the log on disk by a snapshot from a leader. */
   *restore(
     snapshot: messages.Snapshot,
     state: replicaStates.ReplicaState,
   ): csp.Step<void> {
-    // Both write the same file.
+    // A local snapshot would be written to the same file.
     yield* csp.waitFor(this.#snapshots.waitUntilIdle());
     yield* this.#writer.installSnapshot(
       snapshot,
@@ -83,7 +85,7 @@
     this.#snapshotIndex = snapshot.index;
   }
 
-  /** Resolves once nothing is being written. */
+  /** Resolves once no snapshot is being written. */
   waitUntilIdle(): Promise<void> {
     return this.#snapshots.waitUntilIdle();
   }
--- a/src/consensus/_membership.ts
+++ b/src/consensus/_membership.ts
@@ -1,12 +1,11 @@
-import type * as replicaSets from "./replica_set.ts";
 import * as replicaLogs from "./replica_log.ts";
-import * as sets from "./replica_set.ts";
+import * as replicaSets from "./replica_set.ts";
 import * as replicaStates from "./replica_state.ts";
 import * as replications from "./_replication.ts";
 
 const NO_EFFECTS: readonly replicaStates.Effect[] = [];
 
-/** Keeps progress of exactly the replicas that a leader feeds now. */
+/** Adds progress for new followers of a leader and drops that of removed ones. */
 function updateProgress(
   state: replicaStates.ReplicaState,
 ): replicaStates.ReplicaState {
@@ -23,7 +22,9 @@
   return { ...state, role: { ...role, progress } };
 }
 
-/** Names the replicas that a leader feeds beside the voters. */
+/**
+ * Sets the non-voting replicas to replicate to; a leader contacts them at once.
+ */
 export function setLearners(
   state: replicaStates.ReplicaState,
   learners: readonly string[],
@@ -40,10 +41,10 @@
 }
 
 /**
- * Adds or removes one voter. It needs an established leader without another
- * change under way, and a new voter that counts and lacks only what is under way:
- * the change itself is committed once that voter holds it, or a quorum without it.
- * A leader never removes itself. Otherwise nothing happens.
+ * Adds or removes one voter by appending a replica set entry, which takes effect
+ * once appended. Does nothing unless the replica is an established leader that stays
+ * a voter, the previous change is committed, and a new voter is admitted and nearly
+ * caught up: a quorum may need that voter to commit the change.
  */
 export function changeVoters(
   state: replicaStates.ReplicaState,
@@ -74,10 +75,10 @@
 ): boolean {
   const { role, commitIndex } = state;
   if (role.kind !== "leader" || commitIndex < role.firstIndex) return false;
-  const pending = sets.findReplicaSet(state.log)?.index ?? 0;
+  const pending = replicaSets.findReplicaSet(state.log)?.index ?? 0;
   if (pending > commitIndex || !voters.includes(state.config.id)) return false;
   const before = replicaStates.listVoters(state);
-  if (!sets.isSingleStep(before, voters)) return false;
+  if (!replicaSets.isSingleStep(before, voters)) return false;
   return voters.filter((id) => !before.includes(id)).every((id) => {
     const progress = role.progress.get(id);
     return progress !== undefined && progress.identity.isAdmitted &&
--- a/src/consensus/_notice_reporter.ts
+++ b/src/consensus/_notice_reporter.ts
@@ -6,13 +6,13 @@
 import * as replicaStates from "./replica_state.ts";
 import * as replicaStatuses from "./replica_status.ts";
 
-/** What a teller needs. */
+/** Options of a notice reporter. */
 type ReporterOptions = Pick<
   replicaOptions.ReplicaDriverOptions,
   "clock" | "onNotice"
 >;
 
-/** Tells what changed about a replica since it was looked at last. */
+/** Reports changes of a replica since it was last observed. */
 export class NoticeReporter {
   readonly #clock: clocks.Clock;
   readonly #notify: notices.TakeNotice;
@@ -25,8 +25,8 @@
   readonly #leaderMonitor: leaderMonitors.LeaderMonitor;
 
   /**
-   * @param options Where notices go; none are told unless `onNotice` is given.
-   * @param opened The replica as it was opened.
+   * @param options Clock and receiver; notices are discarded without `onNotice`.
+   * @param opened The replica as loaded from disk.
    */
   constructor(options: ReporterOptions, opened: replicaStates.ReplicaState) {
     const { clock, onNotice = () => {} } = options;
@@ -41,7 +41,7 @@
     );
   }
 
-  /** Notes an answer to a vote request, and tells of a refusal. */
+  /** Records a vote reply and reports a refusal; ignores all other events. */
   recordEvent(
     state: replicaStates.ReplicaState,
     event: replicaStates.ReplicaEvent,
@@ -60,10 +60,10 @@
   }
 
   /**
-   * Looks whether the replica knows a leader, also while it waits for a write,
-   * which may not end; tells at intervals that it knows none.
+   * Reports at intervals that the replica knows no leader. Must also be called
+   * while a write blocks the replica, as the write may never end.
    *
-   * @param writingMs How long the write under way has lasted, in ms.
+   * @param writingMs Age of the write in progress, in ms; 0 if there is none.
    */
   observeLeader(
     state: replicaStates.ReplicaState,
@@ -74,7 +74,7 @@
     this.#leaderMonitor.observe(state, hasAuthority, nowMs, writingMs);
   }
 
-  /** Looks at the replica; tells each change once. */
+  /** Reports each change of the replica once. */
   observe(state: replicaStates.ReplicaState, hasAuthority: boolean): void {
     const nowMs = this.#clock.getMonotonicMs();
     this.#observeRole(state);
@@ -85,7 +85,7 @@
     this.#observeAuthority(state, hasAuthority, nowMs);
   }
 
-  /** Describes why the replica leads, or why it does not. */
+  /** Describes the replica's health, including why it has no authority. */
   describe(
     state: replicaStates.ReplicaState,
     hasAuthority: boolean,
--- a/src/consensus/_open_replica.ts
+++ b/src/consensus/_open_replica.ts
@@ -7,14 +7,15 @@
 import * as replicaStatuses from "./replica_status.ts";
 import * as stepReplica from "./step_replica.ts";
 
-/** A replica as its data folder holds it. */
+/** A replica as loaded from its data folder. */
 export interface OpenedReplica {
   readonly log: storage.DurableLog;
   readonly state: replicaStates.ReplicaState;
 }
 
 /**
- * Opens a data folder, and gives the machine the state that is saved there.
+ * Opens a data folder and restores the state machine from the snapshot in it. An
+ * empty folder is given an identity.
  *
  * @throws FailureError `corruptLog` or `wrongFolder`.
  */
--- a/src/consensus/_progress.ts
+++ b/src/consensus/_progress.ts
@@ -1,7 +1,10 @@
 import type * as messages from "./message.ts";
 import type * as replicaStates from "./replica_state.ts";
 
-/** A replica whose disk was lost holds nothing of what it held before. */
+/**
+ * Resets the progress of a follower with a new incarnation: its disk was lost, and
+ * with it all entries that it had confirmed.
+ */
 export function resetForNewIncarnation(
   known: replicaStates.Progress,
   reply: messages.AppendReply,
@@ -16,9 +19,9 @@
 }
 
 /**
- * Goes back to where a follower's log ends. Only once for all that was sent
- * before: each of those messages is answered like the first one, and going back
- * for each sends the same entries again and again.
+ * Moves the next index back to the end of a follower's log. Mismatch replies to
+ * messages that were sent before the last move are ignored; otherwise each of them
+ * would cause the same entries to be sent again.
  */
 function resetNextIndex(
   progress: replicaStates.Progress,
@@ -34,7 +37,7 @@
   };
 }
 
-/** What is known of a follower after an answer. */
+/** Updates a follower's progress from an append reply. */
 export function recordReply(
   old: replicaStates.Progress,
   reply: messages.AppendReply,
--- a/src/consensus/_proposals.ts
+++ b/src/consensus/_proposals.ts
@@ -3,28 +3,31 @@
 import type * as driverEvents from "./_driver_event.ts";
 import type * as replicaLogs from "./replica_log.ts";
 
-/** When a proposal may come again that the inbox had no room for, in ms. */
+/** Delay to suggest before a retry if the inbox is full, in ms. */
 const OVERLOADED_RETRY_MS = 100;
 
-/** A proposal that waits to be committed. */
+/** A proposal whose entry is not committed yet. */
 export interface PendingProposal {
   readonly index: number;
   readonly term: number;
   readonly settle: (result: results.Result<unknown>) => void;
 }
 
-/** The proposals of this replica that are not yet settled. */
+/** Pending proposals of this replica, by log index. */
 export class ProposalTable {
   readonly #pending = new Map<number, PendingProposal>();
 
-  /** Adds a proposal; one that waited at its index was overwritten. */
+  /**
+   * Adds a proposal; rejects one at the same index, whose entry was
+   * overwritten.
+   */
   add(proposal: PendingProposal): void {
     const old = this.#pending.get(proposal.index);
     if (old !== undefined) rejectOverwritten(old);
     this.#pending.set(proposal.index, proposal);
   }
 
-  /** Adds proposals whose commands a leader appends from an index on. */
+  /** Adds proposals for consecutive entries from `firstIndex` on. */
   addAll(
     firstIndex: number,
     term: number,
@@ -35,7 +38,10 @@
     });
   }
 
-  /** Settles the proposal at a committed entry. */
+  /**
+   * Settles the proposal at a committed entry's index with the state machine's
+   * result; rejects it if another leader's entry took its place.
+   */
   settle(entry: replicaLogs.Entry, answer: unknown): void {
     const proposal = this.#pending.get(entry.index);
     if (proposal === undefined) return;
@@ -44,7 +50,7 @@
     proposal.settle(results.createOk(answer));
   }
 
-  /** Gives up proposals that a snapshot covers; what became of them is unknown. */
+  /** Fails the proposals that a snapshot covers; their outcome is unknown. */
   dropUpTo(index: number): void {
     for (const [at, proposal] of this.#pending) {
       if (at > index) continue;
@@ -66,11 +72,12 @@
 }
 
 /**
- * Makes a proposal and waits for what becomes of it.
+ * Submits a proposal and waits for its outcome.
  *
- * @param timeoutMs How long to wait for it to be committed.
- * @param offer Gives it to the replica; false where there is no room.
- * @returns What became of it.
+ * @param timeoutMs Longest wait for the commit, in ms.
+ * @param offer Enqueues the proposal; returns false if the inbox is full.
+ * @returns The state machine's result; `overloaded`, `notLeader` or `changeUnknown`
+ * on failure.
  */
 export function awaitProposal(
   clock: clocks.Clock,
@@ -89,7 +96,7 @@
   });
 }
 
-/** Tells proposals that this replica does not lead. */
+/** Fails proposals with `notLeader`. */
 export function rejectProposals(
   proposals: readonly driverEvents.Proposal[],
   leader: string | undefined,
@@ -97,7 +104,7 @@
   for (const { settle } of proposals) settle(createNotLeader(leader));
 }
 
-/** Gives what is told of a proposal that the inbox has no room for. */
+/** Creates the failure of a proposal that does not fit into the inbox. */
 function createOverloaded(): results.Result<never> {
   return results.createFailure(
     "overloaded",
@@ -106,7 +113,9 @@
   );
 }
 
-/** Gives what is told of a proposal whose commit was not seen in time. */
+/**
+ * Creates the failure of a proposal that timed out; it may still be committed.
+ */
 function createUnconfirmed(): results.Result<never> {
   return results.createFailure(
     "changeUnknown",
@@ -115,7 +124,7 @@
   );
 }
 
-/** Gives what is told of a proposal to a replica that does not lead. */
+/** Creates the failure of a proposal to a replica that is not the leader. */
 function createNotLeader(
   leader: string | undefined,
 ): results.Result<never> {
--- a/src/consensus/_replication.ts
+++ b/src/consensus/_replication.ts
@@ -8,15 +8,14 @@
 import * as replicaStates from "./replica_state.ts";
 
 /**
- * Time in which followers are told of a commit, in ms. A read at a follower
- * waits for it; by heartbeats alone it took up to 90 ms. Commits that come in
- * between go along.
+ * Longest delay before followers are sent a new commit index, in ms. Reads at a
+ * follower wait for it; the delay lets several commits share one message.
  */
 const MAX_COMMIT_DELAY_MS = 15;
 
 const NO_EFFECTS: readonly replicaStates.Effect[] = [];
 
-/** Sends each follower what it lacks and may be sent, or a heartbeat. */
+/** Sends each follower the entries that its window admits, or a heartbeat. */
 export function sendAppends(
   state: replicaStates.ReplicaState,
   nowMs: number,
@@ -33,7 +32,7 @@
   });
 }
 
-/** Sends a follower what it lacks, unless it may not be sent more now. */
+/** Sends a follower missing entries, or a snapshot, unless its window is full. */
 function sendAppendTo(
   state: replicaStates.ReplicaState,
   to: string,
@@ -59,6 +58,10 @@
   };
 }
 
+/**
+ * Commits up to the last entry that a quorum holds, if it is of the current
+ * term.
+ */
 function commitReplicated(
   transition: replicaStates.Transition,
 ): replicaStates.Transition {
@@ -80,7 +83,7 @@
   };
 }
 
-/** Adds commands to the leader's log and sends them on. */
+/** Appends commands to the leader's log and replicates them. */
 export function proposeCommands(
   state: replicaStates.ReplicaState,
   commands: readonly unknown[],
@@ -101,7 +104,9 @@
   };
 }
 
-/** Has later messages to a follower that was fed take more entries, or fewer. */
+/**
+ * Adjusts the batch size of a catching-up follower that has confirmed entries.
+ */
 function updateCatchUpBatch(
   state: replicaStates.ReplicaState,
   from: string,
@@ -128,7 +133,10 @@
   return { ...state, role: { ...role, progress: next } };
 }
 
-/** Notes how far a follower is, and sends what it still lacks. */
+/**
+ * Updates a follower's progress from its reply, sends entries that it still lacks
+ * and commits what a quorum now holds.
+ */
 export function handleAppendReply(
   state: replicaStates.ReplicaState,
   from: string,
@@ -161,7 +169,7 @@
   return { ...advanced, state: advanceHeartbeat(advanced.state, nowMs) };
 }
 
-/** Has the next heartbeat, which tells what is committed, go out soon. */
+/** Moves the next heartbeat forward to announce a new commit index soon. */
 function advanceHeartbeat(
   state: replicaStates.ReplicaState,
   nowMs: number,
--- a/src/consensus/_saved_record.ts
+++ b/src/consensus/_saved_record.ts
@@ -18,10 +18,10 @@
   }
   | { readonly kind: "entry"; readonly entry: replicaLogs.Entry };
 
-/** A replica that must catch up before it counts. */
+/** Identity of a replica that must catch up before it counts in a quorum. */
 const NEW_IDENTITY = { incarnation: 0, isAdmitted: false };
 
-/** Reads a snapshot from what the disk holds. */
+/** Converts a stored snapshot. */
 export function toSnapshot(
   stored: storage.StoredSnapshot | undefined,
 ): messages.Snapshot | undefined {
@@ -30,7 +30,10 @@
   return { ...head, state: stored.parts };
 }
 
-/** Gives the identity that an empty data folder is given, if it has none. */
+/**
+ * Creates the identity record of a data folder that has none. The incarnation is the
+ * wall time, so that it rises when a folder is created anew.
+ */
 export function createInitialRecords(
   records: readonly SavedRecord[],
   wallMs: number,
@@ -40,12 +43,12 @@
   return [{ kind: "identity", identity }];
 }
 
-/** Term of the entry that founds a replica set. */
+/** Term of the entry that bootstraps a replica set. */
 const BOOTSTRAP_TERM = 1;
 
 /**
- * Gives the records of a replica that founds a replica set: all founders write
- * the same first entry, so it counts as committed from the start.
+ * Creates the records of an initial member of a replica set. All initial members
+ * write the same first entry, so it counts as committed.
  */
 export function createBootstrapRecords(
   voters: readonly string[],
@@ -59,7 +62,7 @@
   ];
 }
 
-/** Gives the records that a new log begins with. */
+/** Creates the identity and vote records at the head of a rewritten log. */
 export function createHeadRecords(
   state: replicaStates.ReplicaState,
 ): readonly SavedRecord[] {
@@ -67,7 +70,7 @@
   return [{ kind: "identity", identity }, { kind: "vote", term, votedFor }];
 }
 
-/** Gives the records that a log begins with after a snapshot of an index. */
+/** Creates the records of the log after a snapshot up to `index`. */
 export function createRecordsAfter(
   state: replicaStates.ReplicaState,
   index: number,
@@ -80,7 +83,10 @@
   ];
 }
 
-/** Rebuilds a replica from its snapshot and the records after it. */
+/**
+ * Rebuilds a replica from its snapshot and the records after it. An entry replaces
+ * earlier entries from its index on.
+ */
 export function rebuildReplica(
   snapshot: messages.Snapshot | undefined,
   records: readonly SavedRecord[],
@@ -107,7 +113,7 @@
   };
 }
 
-/** Gives what an effect writes to disk. */
+/** Converts an effect to the records to write; none if it saves nothing. */
 export function toRecords(
   effect: replicaStates.Effect,
 ): readonly SavedRecord[] {
--- a/src/consensus/_snapshot_transfer.ts
+++ b/src/consensus/_snapshot_transfer.ts
@@ -3,51 +3,51 @@
 import type * as notices from "./replica_notice.ts";
 import type * as replicaStates from "./replica_state.ts";
 
-/** Parts on their way to a replica at first, and after some were lost. */
+/** Initial window of unconfirmed parts, also used after a loss. */
 const INITIAL_WINDOW = 4;
-/** Parts on their way at most: some 2 MB. */
+/** Largest window of unconfirmed parts. */
 const MAX_WINDOW = 16;
-/** Parts by which more are on their way after each that came. */
+/** Parts by which the window grows with each confirmation. */
 const WINDOW_GROWTH = 1;
-/** Time for which a snapshot is kept where another replica leads meanwhile, in ms. */
+/** Time without progress after which a paused transfer is dropped, in ms. */
 const PAUSED_EXPIRY_MS = 20_000;
-/** Snapshots of which a replica keeps the parts that came. */
+/** Most incomplete snapshots whose parts a receiver keeps. */
 const MAX_PARTIAL_SNAPSHOTS = 2;
-/** Silence after which the parts under way are sent again, in ms. */
+/** Time without progress after which unconfirmed parts are sent again, in ms. */
 const RESEND_TIMEOUT_MS = 600;
 
-/** A snapshot on its way to one replica. */
+/** A transfer of a snapshot to one replica. */
 interface Transfer {
   readonly id: string;
   readonly snapshot: messages.Snapshot;
-  /** Parts that the replica has confirmed. */
+  /** Number of parts that the replica has confirmed. */
   confirmed: number;
   sent: number;
   progressAtMs: number;
-  /** Parts that may be on their way. */
+  /** Most unconfirmed parts. */
   window: number;
-  /** Whether this replica leads no more, or did not when it last looked. */
+  /** Whether the transfer is paused because this replica does not lead. */
   isPaused: boolean;
 }
 
-/** What a sender needs. */
+/** Options of a snapshot sender. */
 export interface SnapshotSenderOptions {
   readonly clock: clocks.Clock;
   readonly send: (to: string, message: messages.DriverMessage) => void;
-  /** Makes a snapshot of the present state. */
+  /** Creates a snapshot of the current state. */
   readonly createSnapshot: () => messages.Snapshot;
-  /** Told of each snapshot that begins to be sent. */
+  /** Called when the transfer of a snapshot starts. */
   readonly onNotice?: notices.TakeNotice | undefined;
 }
 
 /**
- * Sends snapshots in parts, so that no message grows with the state, and only
- * so many parts at a time that a slow replica is not flooded.
+ * Sends snapshots in parts, which bounds the size of a message, with a sliding
+ * window per replica, which keeps a slow replica from being flooded.
  */
 export class SnapshotSender {
   readonly #options: SnapshotSenderOptions;
   readonly #transfers = new Map<string, Transfer>();
-  /** Last index of the newest snapshot that each replica was sent. */
+  /** Last index of the newest snapshot sent to each replica. */
   readonly #sentIndexes = new Map<string, number>();
   #transferCount = 0;
 
@@ -55,7 +55,9 @@
     this.#options = options;
   }
 
-  /** Begins to send a snapshot, or goes on with one that is under way. */
+  /**
+   * Starts a transfer to a replica; resumes one that is paused or has stalled.
+   */
   send(to: string, term: number): void {
     const nowMs = this.#options.clock.getMonotonicMs();
     const known = this.#transfers.get(to);
@@ -92,7 +94,7 @@
     this.#sendParts(to, term, transfer);
   }
 
-  /** Sends what follows the parts that a replica has. */
+  /** Sends the next parts after a confirmation; ends a completed transfer. */
   handleReply(
     from: string,
     reply: messages.SnapshotPartReply,
@@ -105,8 +107,8 @@
       return;
     }
     if (reply.received === transfer.confirmed) return;
-    // A replica that was started again holds none of what its former process
-    // confirmed; without going back its transfer never ends.
+    // A restarted replica has lost the parts that it confirmed before; the transfer
+    // continues from the parts that it holds now.
     const hasRestarted = reply.received < transfer.confirmed;
     transfer.confirmed = reply.received;
     transfer.sent = hasRestarted
@@ -121,9 +123,9 @@
   }
 
   /**
-   * Sends no more while another replica leads. What was begun is gone on with where
-   * this one leads again soon: begun anew with each reign, a snapshot never came
-   * whole on boxes where a reign took 0.5 to 2 s.
+   * Pauses all transfers when this replica does not lead, and drops those without
+   * recent progress. `send` resumes the others, so that a large snapshot can
+   * complete although leadership changes often.
    */
   pause(): void {
     const nowMs = this.#options.clock.getMonotonicMs();
@@ -135,7 +137,10 @@
     }
   }
 
-  /** Last index of the newest snapshot that a replica was sent; 0 for none. */
+  /**
+   * Returns the last index of the newest snapshot sent to a replica; 0 for
+   * none.
+   */
   getSentIndex(to: string): number {
     return this.#sentIndexes.get(to) ?? 0;
   }
@@ -164,12 +169,12 @@
   }
 }
 
-/** A snapshot without parts still takes a message. */
+/** Counts the messages of a snapshot; one without parts still takes a message. */
 function countMessages(snapshot: messages.Snapshot): number {
   return Math.max(1, snapshot.state.length);
 }
 
-/** What came of one snapshot. */
+/** The parts of an incomplete snapshot. */
 interface PartialSnapshot {
   received: number;
   readonly values: unknown[];
@@ -177,14 +182,14 @@
 
 /** Collects the parts of snapshots that leaders send. */
 export class SnapshotReceiver {
-  /** By the transfers' names; the one whose part came last stands last. */
+  /** Incomplete snapshots by transfer id, least recently used first. */
   readonly #partials = new Map<string, PartialSnapshot>();
 
   /**
-   * Takes a part.
+   * Adds a part; parts out of order are dropped and sent again.
    *
    * @param message The part.
-   * @returns The reply, and the snapshot once it is whole.
+   * @returns The reply, and the snapshot request with the last part.
    */
   addPart(message: messages.SnapshotPart): {
     readonly reply: messages.SnapshotPartReply;
@@ -217,7 +222,10 @@
     return { reply, whole };
   }
 
-  /** What came of a transfer; of others only the newest are kept. */
+  /**
+   * Finds or creates the parts of a transfer and evicts the least recently
+   * used.
+   */
   #findPartial(transfer: string): PartialSnapshot {
     const known = this.#partials.get(transfer) ?? { received: 0, values: [] };
     this.#partials.delete(transfer);
@@ -231,7 +239,7 @@
   }
 }
 
-/** Sends and collects the snapshots of one replica. */
+/** Sends and receives the snapshots of one replica. */
 export class SnapshotExchange {
   readonly #options: SnapshotSenderOptions;
   readonly #sender: SnapshotSender;
@@ -242,23 +250,25 @@
     this.#sender = new SnapshotSender(options);
   }
 
-  /** Begins to send a snapshot, or goes on with one that is under way. */
+  /**
+   * Starts a transfer to a replica; resumes one that is paused or has stalled.
+   */
   send(to: string, term: number): void {
     this.#sender.send(to, term);
   }
 
-  /** Sends no more while another replica leads. */
+  /** Pauses all transfers; see `SnapshotSender.pause`. */
   pause(): void {
     this.#sender.pause();
   }
 
   /**
-   * Finds the index after which followers need entries: what they hold, or get
-   * with a snapshot. Those that count are among them: one that was away for 1.7 s
-   * was sent 15 snapshots in 20 s where its entries were cut away (fake clock).
+   * Finds the index after which followers still need entries, given what they hold
+   * or are sent with a snapshot. Compacting entries after it could make a follower
+   * need one snapshot after another.
    *
    * @param state The replica.
-   * @returns The lowest such index; infinite for a replica that does not lead.
+   * @returns The lowest such index; infinity for a replica that does not lead.
    */
   findNeededIndex(state: replicaStates.ReplicaState): number {
     if (state.role.kind !== "leader") return Number.POSITIVE_INFINITY;
@@ -271,12 +281,13 @@
   }
 
   /**
-   * Takes what concerns snapshots in parts.
+   * Handles snapshot parts and their replies; passes on all other messages.
    *
-   * @param from Who sent the message.
-   * @param message Any message.
-   * @param term The term of this replica.
-   * @returns The message for the replica itself, if it is one or completes one.
+   * @param from Id of the sender.
+   * @param message The message.
+   * @param term The current term of this replica.
+   * @returns The message for the replica to handle: the given one, or the snapshot
+   * request that its part completes; undefined if there is none.
    */
   handleMessage(
     from: string,
--- a/src/consensus/_snapshot_writer.ts
+++ b/src/consensus/_snapshot_writer.ts
@@ -1,15 +1,15 @@
 import type * as durableWriters from "./_durable_writer.ts";
 import type * as messages from "./message.ts";
 
-/** A snapshot that is written beside the log. */
+/** A snapshot that is being written, or whose result has not been taken yet. */
 interface PendingSnapshot {
   readonly index: number;
   state: "writing" | "written" | "failed";
 }
 
 /**
- * Writes snapshots beside the log, one at a time, so that a large state does
- * not hold up what comes meanwhile.
+ * Writes snapshots in the background, one at a time, so that a large state does not
+ * delay the log.
  */
 export class SnapshotWriter {
   readonly #writer: durableWriters.DurableWriter;
@@ -17,7 +17,9 @@
   #pending: PendingSnapshot | undefined;
   #idle: Promise<void> = Promise.resolve();
 
-  /** @param onFatal Told of a failed write, but for a full disk. */
+  /**
+   * @param onFatal Called if a write fails for another reason than a full disk.
+   */
   constructor(
     writer: durableWriters.DurableWriter,
     onFatal: (error: unknown) => void,
@@ -39,7 +41,10 @@
     this.#idle = this.#write(snapshot, pending);
   }
 
-  /** Gives the index of a snapshot that is now written, once. */
+  /**
+   * Takes the last index of a finished snapshot; a second call returns undefined, as
+   * does a call while a snapshot is being written or after a failure.
+   */
   takeWrittenIndex(): number | undefined {
     const pending = this.#pending;
     if (pending === undefined || pending.state === "writing") return undefined;
@@ -47,7 +52,7 @@
     return pending.state === "written" ? pending.index : undefined;
   }
 
-  /** Resolves once nothing is being written. */
+  /** Resolves once no snapshot is being written. */
   waitUntilIdle(): Promise<void> {
     return this.#idle;
   }
--- a/src/consensus/_tick_timer.ts
+++ b/src/consensus/_tick_timer.ts
@@ -4,8 +4,8 @@
 const MIN_TICK_MS = 10;
 
 /**
- * Ticks when something is due. Events that put the due time off leave the
- * timer as it is; after its tick it is set anew.
+ * Calls back at a due time. A later due time does not postpone a pending tick, which
+ * saves restarting the timer; the caller sets it again after each tick.
  */
 export class TickTimer {
   readonly #clock: clocks.Clock;
@@ -18,7 +18,10 @@
     this.#onTick = onTick;
   }
 
-  /** Ticks at a monotonic time, in ms, or earlier if it was set so. */
+  /**
+   * Schedules a tick at a monotonic time, in ms, unless an earlier one is
+   * pending.
+   */
   set(dueMs: number): void {
     if (this.#dueMs <= dueMs) return;
     this.#cancel();
