--- a/src/consensus/_election_delay.ts
+++ b/src/consensus/_election_delay.ts
@@ -23,8 +23,6 @@
   timeoutMs: number,
 ): number {
   const random = generator.xoroshiro128plus(seed * SEED_STRIDE + draw);
-  for (let discarded = 0; discarded < DISCARDED_OUTPUTS; discarded += 1) {
-    random.next();
-  }
+  for (let index = 0; index < DISCARDED_OUTPUTS; index += 1) random.next();
   return timeoutMs + uniform.uniformInt(random, 0, timeoutMs);
 }
--- a/src/consensus/_snapshot_transfer.ts
+++ b/src/consensus/_snapshot_transfer.ts
@@ -14,7 +14,7 @@
 /** Most incomplete snapshots whose parts a receiver keeps. */
 const MAX_PARTIAL_SNAPSHOTS = 2;
 /** Time without progress after which unconfirmed parts are sent again, in ms. */
-const RESEND_TIMEOUT_MS = 600;
+const RESEND_MS = 600;
 
 /** A transfer of a snapshot to one replica. */
 interface Transfer {
@@ -62,9 +62,7 @@
     const nowMs = this.#options.clock.getMonotonicMs();
     const known = this.#transfers.get(to);
     if (known !== undefined) {
-      if (!known.isPaused && nowMs - known.progressAtMs < RESEND_TIMEOUT_MS) {
-        return;
-      }
+      if (!known.isPaused && nowMs - known.progressAtMs < RESEND_MS) return;
       known.sent = known.confirmed;
       known.progressAtMs = nowMs;
       known.window = INITIAL_WINDOW;
