--- a/src/consensus/_append_window.ts
+++ b/src/consensus/_append_window.ts
@@ -73,7 +73,7 @@
 ): number {
   const { maxBatchEntries } = state.config;
   const { nextIndex } = progress;
-  // No reply has confirmed an index yet, so no entries count as in flight.
+  // Before the first reply the match index is unknown, so the window does not apply.
   if (!Number.isFinite(progress.answeredSentAtMs)) {
     return countFitting(
       state.log,
--- a/src/consensus/_handover.ts
+++ b/src/consensus/_handover.ts
@@ -10,7 +10,7 @@
 
 /**
  * Pauses proposals for a while, so that a follower can catch up completely. Under
- * steady load no follower ever holds every entry.
+ * steady load there may never be a moment at which a follower holds every entry.
  */
 function pauseProposals(
   state: replicaStates.ReplicaState,
