--- a/src/capacity/capacity_book.ts
+++ b/src/capacity/capacity_state.ts
@@ -1,42 +1,47 @@
 import type * as planCapacity from "./plan_capacity.ts";
 
-/** Engines of a kind that were asked for in a failure domain. */
+/** Number of engines of one kind that are ordered in a failure domain. */
 export interface CapacityOrder {
   readonly service: string;
   readonly domain: string;
-  readonly engines: planCapacity.EngineKind;
+  readonly engines: planCapacity.PurchaseOption;
+  /** Total that should run, including those that run already. */
   readonly desired: number;
 }
 
-/** Changes what is agreed on about capacity. */
+/** A change to the replicated capacity state. */
 export type CapacityCommand =
-  /** Notes an order before it is sent, so that another holder goes on from it. */
+  /** Records an order before it is sent, so that a later holder knows of it. */
   | { readonly kind: "noteCapacityOrder"; readonly order: CapacityOrder }
-  /** Notes how many engines a service had at first; the first word holds. */
+  /**
+   * Records the initial number of engines of a service; only the first counts.
+   */
   | {
     readonly kind: "noteCapacityBase";
     readonly service: string;
     readonly engines: number;
   };
 
-/** Saved state of a capacity book. */
+/** Snapshot of a capacity state. */
 export interface SavedCapacity {
   readonly orders: readonly CapacityOrder[];
   readonly bases: readonly (readonly [service: string, engines: number])[];
 }
 
-/** What all replicas agree was ordered. */
-export class CapacityBook {
+/**
+ * Replicated record of the engines ordered and of the initial engine counts.
+ */
+export class CapacityState {
   #orders = new Map<string, CapacityOrder>();
   #bases = new Map<string, number>();
 
-  /** Engines that were asked for last; 0 where none were. */
-  getDesired(order: Omit<CapacityOrder, "desired">): number {
+  /** Number of engines in the last order; 0 without one. */
+  getDesiredCount(order: Omit<CapacityOrder, "desired">): number {
     return this.#orders.get(createKey(order))?.desired ?? 0;
   }
 
-  /** Engines that a service had at first; undefined before that is noted. */
-  getBase(service: string): number | undefined {
+  /** Initial number of engines of a service; undefined until it is recorded. */
+  getBaseline(service: string): number | undefined {
     return this.#bases.get(service);
   }
 
--- a/src/capacity/demand_window.ts
+++ b/src/capacity/demand_window.ts
@@ -1,33 +1,34 @@
-/** A number of places that were needed, and when. */
-interface Sample {
+/** Slots needed at a monotonic time, in ms. */
+interface DemandPoint {
   readonly atMs: number;
-  readonly places: number;
+  readonly slots: number;
 }
 
 /**
- * Most places that were needed lately. Steps come in a rhythm, so the
- * peaks of the last rounds tell what the next one needs.
+ * Peak demand for slots within a sliding time window. Steps recur at intervals,
+ * so the peak of the last ones predicts the demand of the next.
  */
 export class DemandWindow {
-  readonly #keepMs: number;
-  #samples: readonly Sample[] = [];
+  readonly #windowMs: number;
+  #points: readonly DemandPoint[] = [];
 
-  /** @param keepMs How long a peak counts, in ms. */
-  constructor(keepMs: number) {
-    this.#keepMs = keepMs;
+  /** @param windowMs Length of the window, in ms. */
+  constructor(windowMs: number) {
+    this.#windowMs = windowMs;
   }
 
-  /** Notes how many places are needed now. */
-  note(nowMs: number, places: number): void {
-    const sinceMs = nowMs - this.#keepMs;
-    // What a newer and higher number outlives needs no keeping.
-    const kept = this.#samples.filter((sample) =>
-      sample.atMs > sinceMs && sample.places > places
+  /** Records the number of slots needed now. */
+  record(nowMs: number, slots: number): void {
+    const sinceMs = nowMs - this.#windowMs;
+    // A point can never be the peak again once a later one is at least as high.
+    const kept = this.#points.filter((point) =>
+      point.atMs > sinceMs && point.slots > slots
     );
-    this.#samples = [...kept, { atMs: nowMs, places }];
+    this.#points = [...kept, { atMs: nowMs, slots }];
   }
 
+  /** Highest number recorded within the window; 0 without one. */
   getPeak(): number {
-    return Math.max(0, ...this.#samples.map((sample) => sample.places));
+    return Math.max(0, ...this.#points.map((point) => point.slots));
   }
 }
--- a/src/capacity/mod.ts
+++ b/src/capacity/mod.ts
@@ -1,6 +1,6 @@
 /**
- * How many engines run, where and of which kind: planned from the work, ordered
- * by one box at a time.
+ * Autoscaling: plans how many engines should run in each failure domain, and
+ * orders them from the infrastructure, one box at a time.
  *
  * @example
  * ```ts
@@ -9,7 +9,7 @@
  * ```
  * @module
  */
-export * from "./capacity_book.ts";
-export * from "./capacity_orders.ts";
+export * from "./capacity_state.ts";
+export * from "./autoscaler.ts";
 export * from "./demand_window.ts";
 export * from "./plan_capacity.ts";
--- a/src/capacity/plan_capacity.ts
+++ b/src/capacity/plan_capacity.ts
@@ -1,119 +1,127 @@
 import type * as trafficConfig from "../traffic_config/mod.ts";
 
 /** How an engine is paid for. */
-export type EngineKind =
-  /** Stays until it is given back. */
+export type PurchaseOption =
+  /** On demand: runs until it is released. */
   | "lasting"
-  /** Cheaper; taken back with those of its failure domain, at short notice. */
+  /**
+   * Cheaper; the provider may reclaim all of a failure domain at short notice.
+   */
   | "spot";
 
-/** What decides how many engines run. */
+/** Policy for the number of engines. */
 export type CapacityPolicy =
-  /** As many as there were at first, lost ones replaced. */
+  /** Keeps the initial number of engines by replacing lost ones. */
   | { readonly kind: "fixed" }
-  /** As many as the work needs, never fewer than there were at first. */
+  /** Follows demand, but never goes below the initial number of engines. */
   | {
     readonly kind: "planned";
-    /** Places a run that wants one; above 1 there is a choice of fast ones. */
+    /**
+     * Slots provided per slot needed; above 1 leaves a choice of fast engines.
+     */
     readonly headroom: number;
   };
 
-/** What the operator allows, for each failure domain. */
+/** Limits and prices that the operator has set. */
 export type CapacityLimits = Omit<trafficConfig.Scaling, "bootMs">;
 
 /** The engines of a service in one failure domain. */
 export interface DomainEngines {
   readonly domain: string;
-  /** Lasting engines that take work. */
+  /** Ready lasting engines. */
   readonly lasting: number;
-  /** Spot engines asked for last; those that are starting among them. */
+  /** Spot engines ordered, including those that are still starting. */
   readonly orderedSpot: number;
-  /** Whether it has none to be had, or takes its spot engines back. */
-  readonly isShort: boolean;
+  /** Whether it recently refused an order or reclaimed spot engines. */
+  readonly isUnavailable: boolean;
 }
 
-/** What a plan is made from. */
-export interface CapacitySituation {
+/** Input of a capacity plan for one service. */
+export interface CapacityInput {
   readonly policy: CapacityPolicy;
   readonly limits: CapacityLimits;
-  /** Engines that there were at first. */
-  readonly base: number;
-  /** Runs that an engine takes at once. */
+  /** Initial number of engines. */
+  readonly baseline: number;
+  /** Number of concurrent runs per engine. */
   readonly slots: number;
-  /** Most places that open steps needed lately to be in time. */
-  readonly neededPlaces: number;
+  /** Recent peak of the slots that open steps need to finish in time. */
+  readonly neededSlots: number;
   readonly domains: readonly DomainEngines[];
 }
 
-/** Spot engines that a failure domain should have. */
+/** Number of spot engines that a failure domain should have. */
 export interface SpotPlan {
   readonly domain: string;
   readonly desired: number;
 }
 
 /**
- * Share of a lasting engine's price up to which spot engines are worth their
- * being taken back: one lost with a domain costs its runs some 10 ms of reading
- * each, and a start-up time until it is replaced.
+ * Highest price of a spot engine, as a share of a lasting engine's price, at
+ * which spot engines are ordered. The saving has to cover the runs and the
+ * start-up time that are lost when spot engines are reclaimed.
  */
-const MAX_SPOT_PRICE = 0.6;
-/** Spot engines above the plan that are kept: giving back and ordering cost. */
-const KEPT_SURPLUS = 2;
+const MAX_SPOT_PRICE_RATIO = 0.6;
+/** Spot engines kept above the plan, to avoid frequent release and reorder. */
+const MAX_KEPT_SURPLUS = 2;
 
 /**
- * Plans the spot engines of each failure domain: what the work needs beyond the
- * lasting engines, evenly over the domains that have any, so that the loss of one
- * domain's takes as few as possible; where that leaves a choice, the cheapest.
+ * Plans the spot engines of each failure domain: the engines needed beyond the
+ * lasting ones, spread evenly over the available domains, so that a reclaim in
+ * one domain hits as few as possible. Among equal choices the cheapest domain
+ * wins.
  *
- * @param situation What is known.
- * @returns The domains whose number changes.
+ * @param input Policy, limits, demand and current engines.
+ * @returns The failure domains whose number of spot engines should change.
  */
 export function planCapacity(
-  situation: CapacitySituation,
+  input: CapacityInput,
 ): readonly SpotPlan[] {
-  const { limits, domains } = situation;
+  const { limits, domains } = input;
   const { spotPrice = Number.POSITIVE_INFINITY } = limits;
-  if (spotPrice > MAX_SPOT_PRICE) return [];
+  if (spotPrice > MAX_SPOT_PRICE_RATIO) return [];
   const lasting = domains.reduce((sum, { lasting }) => sum + lasting, 0);
-  const wanted = Math.max(0, countWanted(situation) - lasting);
-  const spread = spreadEvenly(wanted, situation);
+  const desiredSpot = Math.max(0, countDesiredEngines(input) - lasting);
+  const spotByDomain = spreadEvenly(desiredSpot, input);
   const ordered = domains.reduce((sum, item) => sum + item.orderedSpot, 0);
-  const planned = [...spread.values()].reduce((sum, count) => sum + count, 0);
-  const isSurplus = planned < ordered && ordered - planned <= KEPT_SURPLUS;
+  const planned = [...spotByDomain.values()].reduce(
+    (sum, count) => sum + count,
+    0,
+  );
+  const isSurplus = planned < ordered && ordered - planned <= MAX_KEPT_SURPLUS;
   return domains.flatMap(({ domain, orderedSpot }) => {
-    const desired = spread.get(domain) ?? 0;
+    const desired = spotByDomain.get(domain) ?? 0;
     if (desired === orderedSpot) return [];
     if (isSurplus && desired < orderedSpot) return [];
     return [{ domain, desired }];
   });
 }
 
-function countWanted({
+function countDesiredEngines({
   policy,
-  base,
+  baseline,
   slots,
-  neededPlaces,
-}: CapacitySituation): number {
+  neededSlots,
+}: CapacityInput): number {
   switch (policy.kind) {
     case "fixed":
-      return base;
+      return baseline;
     case "planned":
       return Math.max(
-        base,
-        Math.ceil(neededPlaces * policy.headroom / Math.max(1, slots)),
+        baseline,
+        Math.ceil(neededSlots * policy.headroom / Math.max(1, slots)),
       );
   }
 }
 
-/** Gives one engine after the other to the domain that has the fewest. */
+/** Assigns engines one by one to the available domain with the fewest. */
 function spreadEvenly(
-  wanted: number,
-  { limits, domains }: CapacitySituation,
+  total: number,
+  { limits, domains }: CapacityInput,
 ): ReadonlyMap<string, number> {
   const counts = new Map<string, number>();
-  const open = domains.filter((item) => !item.isShort);
-  for (let left = wanted; left > 0; left -= 1) {
-    const next = open
+  const available = domains.filter((item) => !item.isUnavailable);
+  for (let remaining = total; remaining > 0; remaining -= 1) {
+    const next = available
       .filter((item) => count(item) + item.lasting < limits.maximum)
       .toSorted((a, b) => count(a) - count(b) || getPrice(a) - getPrice(b))[0];
     if (next === undefined) break;
--- a/src/duty/duty_holder.ts
+++ b/src/duty/duty_lease.ts
@@ -5,34 +5,38 @@
 import type * as replicaGroups from "../replica_group/mod.ts";
 import * as planHandover from "./plan_handover.ts";
 
-/** Between two looks at who holds the duties, in ms. */
-const TICK_MS = 40;
-/** Margin on the lease of the former holder, for its last calls' way, in ms. */
+/** Interval between checks for the holder, in ms. */
+const CHECK_INTERVAL_MS = 40;
+/**
+ * Time added to the lease for calls of the previous holder in flight, in ms.
+ */
 const LEASE_MARGIN_MS = 250;
-/** Longest wait until the other replicas know the holder, in ms. */
-const CLAIM_MS = 1_000;
+/** Timeout of a claim's commit to the replicated log, in ms. */
+const CLAIM_TIMEOUT_MS = 1_000;
 /**
- * Time between two handovers to the former holder, in ms; one that lost its
- * leadership again so soon is slow and should not lead.
+ * Minimum time between handovers to the previous holder, in ms. A box that
+ * loses leadership again sooner is too slow to lead.
  */
-const HANDOVER_MS = 10_000;
+const HANDOVER_INTERVAL_MS = 10_000;
 
-/** Names the box that holds the duties from now on. */
+/** Command that makes a box the holder of the duties. */
 export interface NoteHolder {
   readonly kind: "noteHolder";
   readonly box: string;
 }
 
-/** The agreed holder, as a replica's machine knows it. */
+/** The holder as recorded in the replicated state. */
 export interface HolderRecord {
-  /** Name of the box that acted last, or may have. */
+  /**
+   * Name of the box that claimed the duties last; undefined before any claim.
+   */
   getHolder(): string | undefined;
-  /** Ids of boxes that are to be emptied. */
+  /** Ids of the boxes that are being drained. */
   listRetiring(): readonly string[];
 }
 
-/** What a duty holder needs. */
-export interface DutyHolderOptions {
+/** Options of a duty lease. */
+export interface DutyLeaseOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly metrics: metricTypes.FleetMetrics;
@@ -43,29 +47,30 @@
   readonly box: string;
   /** Id of this box. */
   readonly id: string;
-  /** Time between the calls of two holders, in ms. */
+  /** Minimum time between the calls of two successive holders, in ms. */
   readonly leaseMs: number;
 }
 
 /**
- * Makes one box at a time the holder of the duties towards servers and the
- * infrastructure: the leader of a replica group, once the last call of the
- * former holder lies a whole lease back. The term of the group is its fence.
+ * Lease on the duties towards servers and the infrastructure, which at most one
+ * box holds at a time. The leader of a replica group claims it once the lease
+ * of the previous holder must have expired. The group's term is the fencing
+ * token.
  */
-export class DutyHolder {
-  readonly #options: DutyHolderOptions;
+export class DutyLease {
+  readonly #options: DutyLeaseOptions;
   #isStopped = false;
   #isClaiming = false;
-  #transferred = { term: 0, atMs: Number.NEGATIVE_INFINITY };
+  #lastHandover = { term: 0, atMs: Number.NEGATIVE_INFINITY };
 
-  constructor(options: DutyHolderOptions) {
+  constructor(options: DutyLeaseOptions) {
     this.#options = options;
   }
 
   start(): void {
     if (this.#isStopped) return;
     if (!this.canAct()) void this.#claim();
-    this.#options.clock.startTimer(TICK_MS, () => this.start());
+    this.#options.clock.startTimer(CHECK_INTERVAL_MS, () => this.start());
   }
 
   stop(): void {
@@ -73,8 +78,8 @@
   }
 
   /**
-   * Whether this box is the agreed holder now. To be asked right before each
-   * call: a box that was paused has lost its authority by its own clock.
+   * Whether this box holds the lease now. Has to be checked immediately before
+   * each call, since the lease may have expired while the process was paused.
    */
   canAct(): boolean {
     const { group, machine, box } = this.#options;
@@ -82,7 +87,7 @@
       machine.getHolder() === box;
   }
 
-  /** Number that rises with each change of the holder. */
+  /** Fencing token, which increases with each change of the holder. */
   getFence(): number {
     return this.#options.group.getTerm();
   }
@@ -92,54 +97,56 @@
     return this.#options.box;
   }
 
-  /** How long this box has led, in ms. */
+  /** Time since this box became leader, in ms. */
   getReignMs(): number {
     return this.#options.group.getReignMs();
   }
 
   /**
-   * Becomes the holder once the former one's last call lies a whole lease
-   * back; the box that was the holder before goes on at once.
+   * Claims the lease once that of the previous holder must have expired; until
+   * then offers leadership to the previous holder, which need not wait.
    */
   async #claim(): Promise<void> {
     const { group, leaseMs, box, log, machine, metrics } = this.#options;
     if (this.#isClaiming || !group.hasAuthority()) return;
     if (group.getReignMs() < leaseMs + LEASE_MARGIN_MS) {
-      return this.#transferToHolder();
+      return this.#transferToPreviousHolder();
     }
     this.#isClaiming = true;
-    const former = machine.getHolder();
+    const previousHolder = machine.getHolder();
     const command: NoteHolder = { kind: "noteHolder", box };
-    const claimed = await group.propose(command, CLAIM_MS);
+    const claimed = await group.propose(command, CLAIM_TIMEOUT_MS);
     this.#isClaiming = false;
     metrics.countClaim(claimed.kind);
     log.write("info", "duties.claimed", {
       fence: group.getTerm(),
-      former,
+      former: previousHolder,
       outcome: claimed.kind,
     });
   }
 
-  /** Lets the former holder lead where it is sound; it need not wait. */
-  #transferToHolder(): void {
+  /** Transfers leadership to the previous holder if it is fit to lead. */
+  #transferToPreviousHolder(): void {
     const { group, clock, log, id } = this.#options;
     const nowMs = clock.getMonotonicMs();
     const term = group.getTerm();
-    const isSameTerm = this.#transferred.term === term;
-    if (!isSameTerm && nowMs - this.#transferred.atMs < HANDOVER_MS) return;
-    const heir = planHandover.planHandover({
+    const isRepeated = this.#lastHandover.term === term;
+    if (!isRepeated && nowMs - this.#lastHandover.atMs < HANDOVER_INTERVAL_MS) {
+      return;
+    }
+    const successor = planHandover.planHandover({
       ...this.#describeHolder(),
       self: id,
     });
-    if (heir === undefined) return;
-    if (!isSameTerm) {
-      log.write("info", "leadership.transferred", { holder: heir, term });
-      this.#transferred = { term, atMs: nowMs };
+    if (successor === undefined) return;
+    if (!isRepeated) {
+      log.write("info", "leadership.transferred", { holder: successor, term });
+      this.#lastHandover = { term, atMs: nowMs };
     }
-    group.transferTo(heir);
+    group.transferTo(successor);
   }
 
-  #describeHolder(): Omit<planHandover.HandoverSituation, "self"> {
+  #describeHolder(): Omit<planHandover.HandoverInput, "self"> {
     const { group, machine, directory, leaseMs } = this.#options;
     const holder = directory.findByName(machine.getHolder() ?? "");
     const isRetiring = holder !== undefined &&
@@ -147,8 +154,8 @@
     return {
       holder: holder?.id,
       isHolderLeaving: holder?.isLeaving === true || isRetiring,
-      reignMs: group.getReignMs(),
-      waitMs: leaseMs + LEASE_MARGIN_MS,
+      leadershipMs: group.getReignMs(),
+      claimDelayMs: leaseMs + LEASE_MARGIN_MS,
       voters: group.listVoters(),
       followers: group.getStatus()?.followers ?? [],
     };
--- a/src/duty/mod.ts
+++ b/src/duty/mod.ts
@@ -1,16 +1,16 @@
 /**
- * Duties that exactly one box at a time has towards servers and the
- * infrastructure.
+ * Lease on the duties towards servers and the infrastructure, which at most one
+ * box carries out at a time.
  *
  * @example
  * ```ts
  * import * as duties from "../duty/mod.ts";
- * const holder = new duties.DutyHolder(options);
- * holder.start();
- * if (holder.canAct()) send(holder.getFence());
+ * const lease = new duties.DutyLease(options);
+ * lease.start();
+ * if (lease.canAct()) send(lease.getFence());
  * ```
  * @module
  */
 export * from "./duty_client.ts";
-export * from "./duty_holder.ts";
+export * from "./duty_lease.ts";
 export * from "./plan_handover.ts";
--- a/src/duty/plan_handover.ts
+++ b/src/duty/plan_handover.ts
@@ -1,42 +1,51 @@
 import type * as consensus from "../consensus/mod.ts";
 
-/** Silence up to which the former holder counts as sound, in ms. */
-const SOUND_MS = 250;
+/** Longest silence of a responsive follower, in ms. */
+const MAX_SILENCE_MS = 250;
 
-/** What decides whether the former holder of the orders should lead. */
-export interface HandoverSituation {
-  /** Id of the box that gave the last orders; undefined where none did. */
+/** Input of a handover plan. */
+export interface HandoverInput {
+  /** Id of the previous holder of the duties; undefined if there is none. */
   readonly holder: string | undefined;
-  /** Id of this box, which leads. */
+  /** Id of this box, the leader. */
   readonly self: string;
-  /** Whether the holder is being stopped or emptied. */
+  /** Whether the previous holder is being stopped or drained. */
   readonly isHolderLeaving: boolean;
-  /** How long this box has led in its term, in ms. */
-  readonly reignMs: number;
-  /** How long a new holder must wait before its first order, in ms. */
-  readonly waitMs: number;
+  /** Time since this box became leader, in ms. */
+  readonly leadershipMs: number;
+  /** Time that a new holder must wait before its first call, in ms. */
+  readonly claimDelayMs: number;
   readonly voters: readonly string[];
   readonly followers: readonly consensus.FollowerStatus[];
 }
 
 /**
- * Plans whether leadership goes back to the box that gave the last orders. That
- * box may order engines at once, while any other must wait the order lease out;
- * after a restart of all boxes at once that would cost seconds.
+ * Decides whether to transfer leadership to the previous holder of the duties.
+ * That box may act at once, while any other has to wait until the lease
+ * expires; this shortens the pause after a restart of all boxes.
  *
- * @param situation What this leader knows.
- * @returns Id of the box that should lead instead, or undefined.
+ * @param input State known to this leader.
+ * @returns Id of the box that should lead instead; undefined to keep leading.
  */
 export function planHandover(
-  situation: HandoverSituation,
+  input: HandoverInput,
 ): string | undefined {
-  const { holder, self, isHolderLeaving, reignMs, waitMs, voters, followers } =
-    situation;
+  const {
+    holder,
+    self,
+    isHolderLeaving,
+    leadershipMs,
+    claimDelayMs,
+    voters,
+    followers,
+  } = input;
   if (holder === undefined || holder === self || isHolderLeaving) {
     return undefined;
   }
-  if (reignMs > waitMs / 2 || !voters.includes(holder)) return undefined;
+  if (leadershipMs > claimDelayMs / 2 || !voters.includes(holder)) {
+    return undefined;
+  }
   const follower = followers.find(({ id }) => id === holder);
   if (follower === undefined || !follower.isAdmitted) return undefined;
-  return follower.silentMs <= SOUND_MS ? holder : undefined;
+  return follower.silentMs <= MAX_SILENCE_MS ? holder : undefined;
 }
--- a/src/duty/plan_handover_test.ts
+++ b/src/duty/plan_handover_test.ts
@@ -1,38 +1,42 @@
 import * as chai from "chai";
 import * as planHandover from "./plan_handover.ts";
 
-describe("handover to the former holder", () => {
-  const sound = { id: "b", isAdmitted: true, matchIndex: 9, silentMs: 40 };
-  const situation: planHandover.HandoverSituation = {
+describe("handover to the previous holder", () => {
+  const responsive = { id: "b", isAdmitted: true, matchIndex: 9, silentMs: 40 };
+  const input: planHandover.HandoverInput = {
     holder: "b",
     self: "a",
     isHolderLeaving: false,
-    reignMs: 100,
-    waitMs: 3_250,
+    leadershipMs: 100,
+    claimDelayMs: 3_250,
     voters: ["a", "b", "c"],
-    followers: [sound],
+    followers: [responsive],
   };
 
-  it("lets a sound former holder lead, which need not wait", () => {
-    chai.expect(planHandover.planHandover(situation)).to.equal("b");
+  it("transfers leadership to a responsive previous holder", () => {
+    chai.expect(planHandover.planHandover(input)).to.equal("b");
   });
 
-  const kept: Readonly<
-    Record<string, Partial<planHandover.HandoverSituation>>
+  const refusals: Readonly<
+    Record<string, Partial<planHandover.HandoverInput>>
   > = {
-    "it is the holder itself": { holder: "a" },
-    "no box has ordered": { holder: undefined },
-    "the holder is being stopped or emptied": { isHolderLeaving: true },
-    "the wait is half over": { reignMs: 2_000 },
-    "the holder does not vote": { voters: ["a", "c", "d"] },
-    "the holder is silent": { followers: [{ ...sound, silentMs: 900 }] },
-    "the holder lost its disk": {
-      followers: [{ ...sound, isAdmitted: false }],
+    "this box is the previous holder": { holder: "a" },
+    "there is no previous holder": { holder: undefined },
+    "the previous holder is being stopped or drained": {
+      isHolderLeaving: true,
+    },
+    "half of the waiting time has passed": { leadershipMs: 2_000 },
+    "the previous holder is not a voter": { voters: ["a", "c", "d"] },
+    "the previous holder is silent": {
+      followers: [{ ...responsive, silentMs: 900 }],
+    },
+    "the previous holder is not admitted as a follower": {
+      followers: [{ ...responsive, isAdmitted: false }],
     },
   };
-  for (const [reason, changes] of Object.entries(kept)) {
-    it(`goes on leading where ${reason}`, () => {
-      const plan = planHandover.planHandover({ ...situation, ...changes });
+  for (const [reason, changes] of Object.entries(refusals)) {
+    it(`keeps leading if ${reason}`, () => {
+      const plan = planHandover.planHandover({ ...input, ...changes });
       chai.expect(plan).to.equal(undefined);
     });
   }
--- a/src/model_version/mod.ts
+++ b/src/model_version/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The model version aggregate: versions only rise.
+ * Weight versions of models, which only increase.
  *
  * @example
  * ```ts
@@ -8,5 +8,5 @@
  * ```
  * @module
  */
-export * from "./get_service.ts";
+export * from "./get_service_name.ts";
 export * from "./model_version.ts";
--- a/src/model_version/model_version.ts
+++ b/src/model_version/model_version.ts
@@ -1,17 +1,17 @@
-/** The newest weight version of a model that the system knows of. */
+/** The newest known weight version of a model. */
 export interface ModelVersion {
   readonly model: string;
   readonly weightVersion: number;
-  /** Configuration revision that last changed it. */
+  /** Configuration revision of the last change. */
   readonly revision: number;
 }
 
 /**
- * Decides on a published version; a model never goes back.
+ * Tells whether a published version supersedes the newest known one.
  *
- * @param current What is known now, if anything.
+ * @param current The newest known version; undefined for a new model.
  * @param weightVersion The published version.
- * @returns Whether it is news.
+ * @returns Whether the published version is newer.
  */
 export function isNewer(
   current: ModelVersion | undefined,
--- a/src/weight_orders/list_due_loads.ts
+++ b/src/weight_orders/list_due_loads.ts
@@ -1,24 +1,27 @@
 import type * as registry from "../registry/mod.ts";
-import type * as assignTurns from "./assign_turns.ts";
+import type * as assignParities from "./assign_parities.ts";
 import * as planVersion from "./plan_version.ts";
 
-/** A load that is due at an engine. */
+/** A weight version that an engine should load. */
 export interface DueLoad {
   readonly engine: registry.RegisteredServer;
   readonly model: string;
   readonly version: number;
 }
 
-/** What decides which loads are due. */
+/** Input for listing the due loads. */
 export interface DueLoadsInput {
-  /** Engines that take work, those that should load first at the front. */
+  /** Engines that accept work, in order of preference for loading. */
   readonly engines: readonly registry.RegisteredServer[];
-  /** Engines that share each model, and the versions at which they load it. */
-  readonly turns: assignTurns.EngineTurns;
-  /** Newest named version of each model; 1 for a model without one. */
+  /**
+   * Engines that load each model, and whether they load even or odd versions.
+   */
+  readonly parities: assignParities.EngineParities;
+  /** Newest named version, by model; a model without an entry has version 1. */
   readonly versions: ReadonlyMap<string, number>;
   /** Versions that the newest step of a model may lag behind, by model. */
   readonly lags: ReadonlyMap<string, number>;
+  /** Last known version of a model on an engine. */
   readonly getVersion: (
     engine: registry.RegisteredServer,
     model: string,
@@ -26,36 +29,36 @@
 }
 
 /**
- * Lists the loads that engines lack, in the order to give them: models whose
- * next step finds the fewest engines come first, so that loads that wait for
- * one another hold up no trainer longer than the others.
+ * Lists the due loads, most urgent first. A load is the more urgent, the fewer
+ * engines can serve the next step of its model: since only some loads run at
+ * once, no trainer should wait much longer than another.
  *
  * @param input Engines, their models and versions.
  * @returns Due loads, most urgent first.
  */
 export function listDueLoads(input: DueLoadsInput): readonly DueLoad[] {
-  const { engines, turns, versions, lags, getVersion } = input;
+  const { engines, parities, versions, lags, getVersion } = input;
   const models = [...lags.keys()];
-  const usable = new Map(
+  const usableCounts = new Map(
     models.map((model) => {
       const oldest = (versions.get(model) ?? 1) - (lags.get(model) ?? 0);
-      const able = engines.filter((engine) =>
+      const usable = engines.filter((engine) =>
         getVersion(engine, model) >= oldest
       );
-      return [model, able.length] as const;
+      return [model, usable.length] as const;
     }),
   );
   const due = models.flatMap((model) => {
     const newest = versions.get(model) ?? 1;
     const lag = lags.get(model) ?? 0;
     return engines.filter((engine) => {
-      const place = turns.get(model)?.get(engine.id);
-      if (place === undefined) return false;
-      const wanted = planVersion.planVersion({ newest, lag, place });
-      return getVersion(engine, model) < wanted;
+      const parity = parities.get(model)?.get(engine.id);
+      if (parity === undefined) return false;
+      const target = planVersion.planVersion({ newest, lag, parity });
+      return getVersion(engine, model) < target;
     }).map((engine): DueLoad => ({ engine, model, version: newest }));
   });
   return due.toSorted((a, b) =>
-    (usable.get(a.model) ?? 0) - (usable.get(b.model) ?? 0)
+    (usableCounts.get(a.model) ?? 0) - (usableCounts.get(b.model) ?? 0)
   );
 }
--- a/src/weight_orders/mod.ts
+++ b/src/weight_orders/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Orders that move engines to the newest weight versions.
+ * Scheduling of the orders by which engines load the newest weight versions.
  *
  * @example
  * ```ts
@@ -9,7 +9,7 @@
  * @module
  */
 export * from "./assign_engines.ts";
-export * from "./known_engines.ts";
+export * from "./engine_tracker.ts";
 export * from "./order_client.ts";
 export * from "./plan_version.ts";
-export * from "./weight_orders.ts";
+export * from "./weight_order_scheduler.ts";
--- a/src/weight_orders/order_client.ts
+++ b/src/weight_orders/order_client.ts
@@ -2,36 +2,37 @@
 import * as httpClient from "../http_client/mod.ts";
 import * as registry from "../registry/mod.ts";
 
-/** Longest wait for the answer to an order or a report, in ms. */
-const CALL_MS = 600;
-const CONNECT_MS = 250;
-const TAKEN_STATUS = 202;
-const HELD_STATUS = 200;
-const OTHER_SERVER_STATUS = 421;
+/** Timeout of an order or a read of an engine's report, in ms. */
+const CALL_TIMEOUT_MS = 600;
+const CONNECT_TIMEOUT_MS = 250;
+const ACCEPTED_STATUS = 202;
+const OK_STATUS = 200;
+const MISDIRECTED_STATUS = 421;
 
-/** What an engine said to an order. */
+/** Outcome of an order to an engine. */
 export type OrderOutcome =
+  /** The engine accepted the order and will load the version. */
   | { readonly kind: "taken" }
-  /** The engine holds the version already. */
+  /** The engine already holds the version. */
   | { readonly kind: "held" }
   | {
     readonly kind: "refused";
     readonly status: number;
-    /** Whether another server than the engine answered at its address. */
-    readonly isOther: boolean;
+    /** Whether a different server responded at the engine's address. */
+    readonly isMisdirected: boolean;
   }
-  /** A later start of the engine answered; it was given no order. */
+  /** A newer process of the engine responded; the order did not apply to it. */
   | { readonly kind: "reborn"; readonly born: number }
-  /** It may be taken now or later. */
+  /** No response; the engine may still accept the order. */
   | { readonly kind: "unanswered"; readonly reason: string };
 
 /**
- * Gives an engine an order; it is sent once.
+ * Sends an engine an order to load a version, without retries.
  *
  * @param engine The engine.
  * @param order The order.
- * @param dialect How it is written.
- * @returns What became of it.
+ * @param dialect Encoding of the request and the response.
+ * @returns The outcome; failures of the connection are outcomes, too.
  */
 export async function sendOrder(
   engine: registry.RegisteredServer,
@@ -47,51 +48,51 @@
     return { kind: "unanswered", reason: sent.message };
   }
   const born = dialect.parseOrderAnswer(sent.body);
-  if (born !== undefined && isLater(engine, born)) {
+  if (born !== undefined && isLaterProcess(engine, born)) {
     return { kind: "reborn", born };
   }
   switch (sent.head.status) {
-    case TAKEN_STATUS:
+    case ACCEPTED_STATUS:
       return { kind: "taken" };
-    case HELD_STATUS:
+    case OK_STATUS:
       return { kind: "held" };
     default:
       return {
         kind: "refused",
         status: sent.head.status,
-        isOther: sent.head.status === OTHER_SERVER_STATUS,
+        isMisdirected: sent.head.status === MISDIRECTED_STATUS,
       };
   }
 }
 
-/** What an engine said of its state. */
+/** Outcome of reading an engine's report. */
 export type EngineReading =
   | registry.ReportReading<dialects.EngineReport>
-  /** A later start of the engine answered. */
+  /** A newer process of the engine responded. */
   | { readonly kind: "reborn"; readonly server: registry.ServerReport }
+  /** No valid response, or one from an older process of the engine. */
   | { readonly kind: "unread"; readonly message: string };
 
 /**
- * Asks an engine for its state.
+ * Reads an engine's report of its state.
  *
- * @param engine The start of the engine that is meant.
- * @param dialect How that is written.
- * @returns Its report; without a time of start it is taken for that of the
- * start that is meant.
+ * @param engine The expected process of the engine.
+ * @param dialect Encoding of the request and the response.
+ * @returns The report. One without a start time is attributed to the expected
+ * process.
  */
 export async function readReport(
   engine: registry.ServerReport,
   dialect: dialects.Dialect,
 ): Promise<EngineReading> {
-  // A read may go over a connection that served before: one that was closed
-  // meanwhile costs a repeated read. On a day with 50 loads, 223 of the 669 new
-  // connections to servers were made for such reads.
+  // A read is idempotent, so it may reuse a pooled connection: if the engine
+  // has closed it, the read is repeated.
   const sent = await send(
     engine,
     dialect.createReportRequest(engine.id),
     false,
   );
-  if (sent.kind !== "answered" || sent.head.status !== HELD_STATUS) {
+  if (sent.kind !== "answered" || sent.head.status !== OK_STATUS) {
     return { kind: "unread", message: `Cannot read the state of ${engine.id}` };
   }
   const reading = dialect.parseEngineReport(sent.body, engine.id);
@@ -107,11 +108,14 @@
         server: registry.createReborn(engine, born, models),
       };
     case "former":
-      return { kind: "unread", message: `${engine.id} told a former start` };
+      return {
+        kind: "unread",
+        message: `${engine.id} reported an older start time`,
+      };
   }
 }
 
-function isLater(engine: registry.Lifetime, born: number): boolean {
+function isLaterProcess(engine: registry.Lifetime, born: number): boolean {
   return registry.compareLifetimes({ born }, engine) === "later";
 }
 
@@ -128,8 +132,8 @@
     path: target,
     headers,
     ...(body === undefined ? {} : { body }),
-    timeoutMs: CALL_MS,
-    connectTimeoutMs: CONNECT_MS,
+    timeoutMs: CALL_TIMEOUT_MS,
+    connectTimeoutMs: CONNECT_TIMEOUT_MS,
     isFreshConnection,
   });
 }
--- a/src/weight_rollout/mod.ts
+++ b/src/weight_rollout/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Weight rollouts: which engine loads which version when.
+ * Weight rollouts: plans which engines load a new weight version now.
  *
  * @example
  * ```ts
--- a/src/weight_rollout/plan_orders.ts
+++ b/src/weight_rollout/plan_orders.ts
@@ -1,41 +1,43 @@
 import type * as backends from "../backend_server/mod.ts";
 import type * as engines from "../engine/mod.ts";
 
-/** What is known of an engine when orders are planned. */
+/** State of an engine as known when orders are planned. */
 export interface EngineView {
   readonly id: string;
-  /** Weight version loaded, by model, as the engine reported last. */
+  /** Loaded weight version by model, as last reported by the engine. */
   readonly models: ReadonlyMap<string, number>;
-  /** An order to it is under way, or it switches weights. */
+  /** Whether an order to it is in progress or it is switching weights. */
   readonly isBusy: boolean;
-  /** Role as reported, and as operators set it. */
+  /** Role reported by the engine. */
   readonly role: backends.ServerRole;
+  /** Role set by operators. */
   readonly wantedRole: backends.ServerRole;
-  /** No order before this monotonic time, in ms; set after a failure. */
+  /** Earliest monotonic time of the next order, in ms; set after a failure. */
   readonly notBeforeMs: number;
 }
 
-/** A version that every engine is to serve. */
+/** A weight version that every engine should serve. */
 export interface WeightTarget {
   readonly model: string;
   readonly weightVersion: number;
 }
 
-/** An order to give now. */
+/** An order to send to an engine now. */
 export interface PlannedOrder {
   readonly engineId: string;
   readonly action: engines.OrderAction;
 }
 
-/** Bounds on a plan. */
+/** Limits of a plan. */
 export interface PlanLimits {
-  /** Share of the engines that may switch at once. */
+  /** Share of the engines that may switch weights at once. */
   readonly maxSwapFraction: number;
+  /** Current monotonic time, in ms. */
   readonly nowMs: number;
 }
 
-/** An adapter is named `base:name`. */
-function createLoad(target: WeightTarget): engines.OrderAction {
+/** Creates a load order; a model named `base:name` is an adapter. */
+function createLoadAction(target: WeightTarget): engines.OrderAction {
   const kind = target.model.includes(":") ? "loadAdapter" : "load";
   return { kind, model: target.model, weightVersion: target.weightVersion };
 }
@@ -48,26 +50,26 @@
   if (engine.role !== engine.wantedRole) {
     return { engineId, action: { kind: "setRole", role: engine.wantedRole } };
   }
-  const [behind] = targets
+  const [mostOutdated] = targets
     .map((target) => ({
       target,
       lag: target.weightVersion - (engine.models.get(target.model) ?? 0),
     }))
     .filter((entry) => entry.lag > 0)
     .sort((a, b) => b.lag - a.lag);
-  if (behind === undefined) return undefined;
-  return { engineId, action: createLoad(behind.target) };
+  if (mostOutdated === undefined) return undefined;
+  return { engineId, action: createLoadAction(mostOutdated.target) };
 }
 
 /**
- * Plans which engines are ordered to load which version now. Versions that
- * were superseded before their turn are skipped, since only the newest is a
- * target; no engine is ever ordered to an older version.
+ * Plans the orders to send now. Only the newest version of a model is a target,
+ * so superseded versions are skipped, and no engine is ordered to load an older
+ * version than it holds. A change of role goes before a load.
  *
  * @param engines The live engines.
  * @param targets The newest version of each model.
- * @param limits Bounds.
- * @returns The orders, at most one an engine.
+ * @param limits Limits of the plan.
+ * @returns The orders, at most one per engine.
  */
 export function planOrders(
   engines: readonly EngineView[],
--- a/src/weight_rollout/plan_orders_test.ts
+++ b/src/weight_rollout/plan_orders_test.ts
@@ -20,7 +20,7 @@
 }
 
 describe("weight rollout", () => {
-  it("orders only the newest version and keeps a floor of engines serving", () => {
+  it("orders the newest version and keeps enough engines serving", () => {
     const engines = ["a", "b", "c", "d"].map((id) => createEngine(id, 1));
     const orders = planOrders.planOrders(engines, [{
       model: "lm",
@@ -38,7 +38,7 @@
     ]);
   });
 
-  it("counts engines that switch already against the floor", () => {
+  it("counts engines that are already switching against the limit", () => {
     const engines = [
       createEngine("a", 1, { isBusy: true }),
       createEngine("b", 1),
@@ -52,7 +52,7 @@
     chai.expect(orders.map((order) => order.engineId)).to.deep.equal(["b"]);
   });
 
-  it("never orders an older version, and waits after a failed order", () => {
+  it("never orders an older version and backs off after a failed order", () => {
     const ahead = createEngine("a", 9);
     const waiting = createEngine("b", 1, { notBeforeMs: 1_001 });
     chai.expect(
@@ -63,7 +63,7 @@
     ).to.deep.equal([]);
   });
 
-  it("orders first the model that is furthest behind", () => {
+  it("orders the most outdated model first", () => {
     const engine = {
       ...createEngine("a", 4),
       models: new Map([["lm", 4], ["lm:x", 1]]),
@@ -80,7 +80,7 @@
     );
   });
 
-  it("orders a role before weights", () => {
+  it("orders a role change before a load", () => {
     const engine = createEngine("a", 1, { wantedRole: "rollout" });
     chai.expect(
       planOrders.planOrders(
