--- a/src/capacity/autoscaler.ts
+++ b/src/capacity/autoscaler.ts
@@ -11,7 +11,7 @@
 import * as demandWindows from "./demand_window.ts";
 import * as planCapacity from "./plan_capacity.ts";
 
-/** Interval between samples of the demand, in ms. */
+/** Interval between readings of the demand, in ms. */
 const CHECK_INTERVAL_MS = 200;
 /** Minimum interval between capacity plans, in ms; limits the orders sent. */
 const PLAN_INTERVAL_MS = 1_000;
@@ -24,7 +24,7 @@
  * reclaimed its spot engines, in ms.
  */
 const UNAVAILABLE_MS = 10_000;
-/** Time beyond the start-up time after which a spot engine is lost, in ms. */
+/** Time beyond a start-up after which a spot engine counts as lost, in ms. */
 const MISSING_GRACE_MS = 5_000;
 
 /** Options of an autoscaler. */
