--- a/src/weight_orders/engine_tracker_test.ts
+++ b/src/weight_orders/engine_tracker_test.ts
@@ -120,30 +120,30 @@
   }
 
   it("registers recorded engines that report ready, before a heartbeat", async () => {
-    states = { sound: false, leaving: true };
+    states = { ready: false, leaving: true };
     machine.apply({
       kind: "keepEngines",
-      added: ["sound", "leaving", "gone"].map(createEngine),
+      added: ["ready", "leaving", "gone"].map(createEngine),
       gone: [],
     });
     tracker?.start();
     await awaitProbes(3);
     const ready = servers.listReady("lm");
-    chai.expect(ready.map(({ id }) => id)).to.deep.equal(["sound"]);
+    chai.expect(ready.map(({ id }) => id)).to.deep.equal(["ready"]);
     chai.expect(ready[0]?.models).to.deep.equal([{ name: "m", version: 7 }]);
     chai.expect(discoveries).to.equal(1);
   });
 
   it("probes only unregistered engines, once a term", async () => {
-    states = { heard: false, kept: false };
-    const added = ["heard", "kept"].map(createEngine);
+    states = { registered: false, recorded: false };
+    const added = ["registered", "recorded"].map(createEngine);
     machine.apply({ kind: "keepEngines", added, gone: [] });
-    servers.merge(createEngine("heard"));
+    servers.merge(createEngine("registered"));
     tracker?.start();
     await awaitProbes(1);
     clock.extendBy(100);
     await awaitProbes(1);
-    chai.expect(probed).to.deep.equal(["kept"]);
+    chai.expect(probed).to.deep.equal(["recorded"]);
   });
 
   it("records the newer process of an engine and never an older one", async () => {
