--- a/src/duty/duty_client.ts
+++ b/src/duty/duty_client.ts
@@ -2,24 +2,24 @@
 import type * as fleetSettings from "../fleet_settings/mod.ts";
 import * as httpClient from "../http_client/mod.ts";
 
-/** Longest wait for the infrastructure's answer, in ms. */
+/** Timeout of a call to the infrastructure, in ms. */
 const CALL_TIMEOUT_MS = 1_000;
 const CONNECT_TIMEOUT_MS = 400;
 const FIRST_NON_SUCCESS_STATUS = 300;
 
-/** What the infrastructure said to a call. */
+/** Outcome of a call to the infrastructure. */
 export type DutyCallOutcome =
   | { readonly kind: "taken" }
   | { readonly kind: "refused"; readonly status: number }
-  /** It may be taken now or later. */
+  /** No response; the call may still take effect. */
   | { readonly kind: "unanswered"; readonly reason: string };
 
 /**
- * Calls the infrastructure once, on a connection of its own.
+ * Calls the infrastructure once, on a new connection, without retries.
  *
- * @param endpoint Where it listens.
- * @param request The call.
- * @returns What became of it; it never throws.
+ * @param endpoint Address and port of the infrastructure's API.
+ * @param request The request.
+ * @returns The outcome; failures of the connection are outcomes, too.
  */
 export async function sendDutyCall(
   endpoint: fleetSettings.Endpoint,
--- a/src/weight_orders/assign_engines.ts
+++ b/src/weight_orders/assign_engines.ts
@@ -1,27 +1,27 @@
-/** Which models each engine loads new versions of, by engine id. */
+/** Models whose new versions each engine loads, by engine id. */
 export type EngineModels = ReadonlyMap<string, ReadonlySet<string>>;
 
-/** What an assignment goes by. */
+/** Input of an assignment of models to engines. */
 export interface AssignmentInput {
-  /** Ids of the engines that run. */
+  /** Ids of the running engines. */
   readonly engines: readonly string[];
-  /** Engines that each trained model should have, by model. */
+  /** Number of engines that each trained model should have, by model. */
   readonly engineCounts: ReadonlyMap<string, number>;
+  /** Current assignment, kept as far as possible. */
   readonly previous: EngineModels;
 }
 
 type MutableEngineModels = Map<string, Set<string>>;
 
 /**
- * Tells how many engines should load a model. Each engine has time for one
- * load a version period. Where steps may lag by a version, an engine loads
- * every other version only, so it can serve two models in the same time, and
- * each step finds twice the places.
+ * Computes how many engines should load a model. An engine has time for one
+ * load per published version. Where steps may lag by one version, it loads only
+ * every other version of a model and can therefore serve two models.
  *
- * @param engines How many engines run.
- * @param models How many models share them.
+ * @param engines Number of running engines.
+ * @param models Number of models that share the engines.
  * @param lag Versions that a step of the model may lag behind the newest.
- * @returns Engines for the model, one at least.
+ * @returns Number of engines for the model; at least one if any engine runs.
  */
 export function countDesiredEngines(
   engines: number,
@@ -34,15 +34,15 @@
 }
 
 /**
- * Assigns engines to the trained models, so that each model has as many as it
- * wants and no engine has two models more than another. Engines keep their
- * models as far as that allows.
+ * Assigns the trained models to engines, so that each model has its number of
+ * engines and the numbers of models of any two engines differ by at most one.
+ * Engines keep their models as far as that allows.
  *
- * @param input Engines, models and the assignment so far.
+ * @param input Engines, models and the previous assignment.
  * @returns The new assignment.
  */
 export function assignEngines(input: AssignmentInput): EngineModels {
-  const { engines, engineCounts: engineCounts, previous: previous } = input;
+  const { engines, engineCounts, previous } = input;
   const assignment: MutableEngineModels = new Map(
     engines.toSorted().map((engine) => [
       engine,
@@ -82,7 +82,10 @@
   }
 }
 
-/** Moves a model from the engine with most to the one with fewest models. */
+/**
+ * Moves one model from the engine with the most models to the one with the
+ * fewest; false if the assignment is balanced already.
+ */
 function moveOneModel(assignment: MutableEngineModels): boolean {
   const sorted = sortByModelCount(assignment);
   const least = sorted.at(0)?.[1];
