--- a/src/consensus/_catch_up_monitor.ts
+++ b/src/consensus/_catch_up_monitor.ts
@@ -194,9 +194,7 @@
   follower: FollowerState,
   reportedIndex: number,
 ): FollowerState {
-  return follower.kind === "fed"
-    ? { ...follower, reportedIndex: reportedIndex }
-    : follower;
+  return follower.kind === "fed" ? { ...follower, reportedIndex } : follower;
 }
 
 function getMatchIndex(
--- a/src/consensus/_log_compactor.ts
+++ b/src/consensus/_log_compactor.ts
@@ -43,12 +43,12 @@
 
   /** Starts writing a snapshot if one is due and none is being written. */
   startSnapshot(
-    applied: logAppliers.LogApplier,
+    applier: logAppliers.LogApplier,
     log: replicaLogs.ReplicaLog,
   ): void {
-    const count = applied.getAppliedIndex() - this.#snapshotIndex;
+    const count = applier.getAppliedIndex() - this.#snapshotIndex;
     if (this.#snapshots.isBusy() || !this.#policy.claimSnapshot(count)) return;
-    this.#snapshots.start(applied.createSnapshot(log));
+    this.#snapshots.start(applier.createSnapshot(log));
   }
 
   /**
