--- a/src/fleet_daemon/box_parts.ts
+++ b/src/fleet_daemon/box_parts.ts
@@ -39,11 +39,11 @@
   readonly peers: fleet.PeerPool;
   readonly directory: fleet.BoxDirectory;
   readonly servers: registry.ServerRegistry;
-  readonly refusedReports: registry.RefusedReports;
+  readonly refusedReports: registry.RefusalRecorder;
   /** Tells whether a configuration names a service; true while there is none. */
   readonly isService: (name: string) => boolean;
   readonly configuration: trafficConfig.ConfigurationHolder;
-  readonly link: fleet.FleetLink;
+  readonly link: fleet.FleetGossip;
   /** Work under which servers ended, as this box knows it. */
   readonly crashTable: crashRecords.CrashTable;
   readonly crashGuard: crashGuards.CrashGuard;
@@ -71,7 +71,7 @@
     clock,
     log,
     metrics: boxMetrics,
-    refusedReports: new registry.RefusedReports({
+    refusedReports: new registry.RefusalRecorder({
       clock,
       log,
       metrics: boxMetrics,
@@ -91,9 +91,9 @@
     phase: { isReady: false, isLeaving: false, ledTerm: 0 },
     draw: Math.random,
   };
-  const link: fleet.FleetLink = createLink(
+  const link: fleet.FleetGossip = createLink(
     shared,
-    (record) => crashGuard.learn(record),
+    (record) => crashGuard.mergeRemoteRecord(record),
   );
   const crashGuard = createCrashGuard(shared, link);
   const forwarder = new forwarding.Forwarder({
@@ -101,7 +101,7 @@
     crashGuard,
     loads: new forwarding.ServerLoads(clock),
     failureDomain: settings.box.failureDomain,
-    weighsLoad: true,
+    isLoadAware: true,
   });
   return { ...shared, crashGuard, forwarder, link };
 }
@@ -111,7 +111,7 @@
 
 function createCrashGuard(
   parts: LocalParts,
-  link: fleet.FleetLink,
+  link: fleet.FleetGossip,
 ): crashGuards.CrashGuard {
   const stores = createLeaderCaller(parts, isStoreBox);
   return new crashGuards.CrashGuard({
@@ -119,18 +119,18 @@
     table: parts.crashTable,
     findPortState: httpClient.findPortState,
     publish: (record) => link.publishCrash(record),
-    ...crashGuards.createGrantCalls(stores),
+    ...crashGuards.createGrantClient(stores),
   });
 }
 
 function createLink(
   parts: LocalParts,
   learnCrash: (record: crashRecords.CrashRecord) => boolean,
-): fleet.FleetLink {
+): fleet.FleetGossip {
   const { settings, phase, clock } = parts;
   const { box, roles, listen, seeds, dataFolder } = settings;
   const startedAtMs = clock.getWallMs();
-  return new fleet.FleetLink({
+  return new fleet.FleetGossip({
     ...parts,
     learnCrash,
     seeds: seeds.map((seed) => seed.address),
--- a/src/fleet_daemon/caller_calls.ts
+++ b/src/fleet_daemon/caller_calls.ts
@@ -37,7 +37,7 @@
   readonly peers: fleet.Peers;
   readonly failureDomain: string;
   /** Counts usage where that is asked for. */
-  readonly usage: usages.UsageTeller | undefined;
+  readonly usage: usages.UsageRecorder | undefined;
   readonly draw: () => number;
 }
 
@@ -116,7 +116,7 @@
   #checkKey(
     { raw, head, configuration, host }: AskedRequest,
     allowsAnonymous: boolean,
-  ): accounts.KeyVerdict {
+  ): accounts.KeyCheckResult {
     const { log, metrics } = this.#options;
     const { key, requestId } = head;
     const verdict = accounts.checkKey(
@@ -217,11 +217,11 @@
       priority: getPriority(sender, route),
       targetAtMs: routed.arrivedAtMs + route.targetLatencyMs,
       deadlineAtMs: routed.deadlineAtMs,
-      attempts: route.attempts,
+      maxAttempts: route.attempts,
       isRepeatable: route.kind === "repeatable",
       retriesErrors: true,
       hedgeMs: Math.max(MIN_HEDGE_MS, route.targetLatencyMs * HEDGE_SHARE),
-      onBegun: (begunAtMs) => this.#countUsage(sender, begunAtMs),
+      onStarted: (begunAtMs) => this.#countUsage(sender, begunAtMs),
       cancellation,
     });
     this.#note(routed, outcome);
--- a/src/fleet_daemon/entry_box.ts
+++ b/src/fleet_daemon/entry_box.ts
@@ -36,7 +36,7 @@
   readonly #directory: httpServer.HttpListener;
   readonly #controlCalls: controlCalls.ControlCalls;
   readonly #core: replicaGroups.ReplicaGroup | undefined;
-  readonly #usage: usages.UsageTeller | undefined;
+  readonly #usage: usages.UsageRecorder | undefined;
 
   constructor(parts: boxParts.BoxParts) {
     this.#parts = parts;
@@ -159,7 +159,7 @@
       delayMs: 0,
       action: () => {
         const stored = machine.getStored();
-        if (stored === undefined || !configuration.offer(stored)) return;
+        if (stored === undefined || !configuration.update(stored)) return;
         link.publishConfiguration();
       },
     });
@@ -234,11 +234,11 @@
 function createUsageTeller(
   parts: boxParts.BoxParts,
   stores: replicaGroups.LeaderCaller,
-): usages.UsageTeller | undefined {
+): usages.UsageRecorder | undefined {
   const { clock, settings, directory } = parts;
   const times = duties.getUsageTimes(settings);
   if (times === undefined) return undefined;
-  return new usages.UsageTeller({
+  return new usages.UsageRecorder({
     clock,
     stores,
     times,
