--- a/src/fleet_daemon/_duty_settings.ts
+++ b/src/fleet_daemon/_duty_settings.ts
@@ -16,7 +16,7 @@
  */
 export function getUsageTimes(
   settings: fleetSettings.FleetSettings,
-): usages.WindowTimes | undefined {
+): usages.WindowTimings | undefined {
   const { usageWindowS, usageLateS } = settings.bounds;
   const isAsked = settings.infrastructure?.duties.includes(USAGE_DUTY);
   if (!isAsked || usageWindowS === undefined || usageLateS === undefined) {
@@ -24,7 +24,7 @@
   }
   return {
     windowMs: usageWindowS * MS_PER_SECOND,
-    lateMs: usageLateS * MS_PER_SECOND,
+    reportDelayMs: usageLateS * MS_PER_SECOND,
   };
 }
 
--- a/src/fleet_daemon/box_parts.ts
+++ b/src/fleet_daemon/box_parts.ts
@@ -43,7 +43,7 @@
   /** Tells whether a configuration names a service; true while there is none. */
   readonly isService: (name: string) => boolean;
   readonly configuration: trafficConfig.ConfigurationHolder;
-  readonly link: fleet.FleetLink;
+  readonly link: fleet.FleetGossip;
   /** Work under which servers ended, as this box knows it. */
   readonly crashTable: crashRecords.CrashTable;
   readonly crashGuard: crashGuards.CrashGuard;
@@ -91,7 +91,7 @@
     phase: { isReady: false, isLeaving: false, ledTerm: 0 },
     draw: Math.random,
   };
-  const link: fleet.FleetLink = createLink(
+  const link: fleet.FleetGossip = createLink(
     shared,
     (record) => crashGuard.learn(record),
   );
@@ -111,7 +111,7 @@
 
 function createCrashGuard(
   parts: LocalParts,
-  link: fleet.FleetLink,
+  link: fleet.FleetGossip,
 ): crashGuards.CrashGuard {
   const stores = createLeaderCaller(parts, isStoreBox);
   return new crashGuards.CrashGuard({
@@ -126,11 +126,11 @@
 function createLink(
   parts: LocalParts,
   learnCrash: (record: crashRecords.CrashRecord) => boolean,
-): fleet.FleetLink {
+): fleet.FleetGossip {
   const { settings, phase, clock } = parts;
   const { box, roles, listen, seeds, dataFolder } = settings;
   const startedAtMs = clock.getWallMs();
-  return new fleet.FleetLink({
+  return new fleet.FleetGossip({
     ...parts,
     learnCrash,
     seeds: seeds.map((seed) => seed.address),
--- a/src/fleet_daemon/caller_calls.ts
+++ b/src/fleet_daemon/caller_calls.ts
@@ -37,7 +37,7 @@
   readonly peers: fleet.Peers;
   readonly failureDomain: string;
   /** Counts usage where that is asked for. */
-  readonly usage: usages.UsageTeller | undefined;
+  readonly usage: usages.UsageRecorder | undefined;
   readonly draw: () => number;
 }
 
@@ -116,7 +116,7 @@
   #checkKey(
     { raw, head, configuration, host }: AskedRequest,
     allowsAnonymous: boolean,
-  ): accounts.KeyVerdict {
+  ): accounts.KeyCheckResult {
     const { log, metrics } = this.#options;
     const { key, requestId } = head;
     const verdict = accounts.checkKey(
--- a/src/fleet_daemon/control_calls.ts
+++ b/src/fleet_daemon/control_calls.ts
@@ -21,7 +21,7 @@
   readonly refusedReports: Pick<registry.RefusedReports, "note">;
   /** Tells whether a configuration names a service; true while there is none. */
   readonly isService: (name: string) => boolean;
-  readonly link: fleet.FleetLink;
+  readonly link: fleet.FleetGossip;
   readonly core: replicaGroups.LeaderCaller;
   readonly stores: replicaGroups.LeaderCaller;
 }
--- a/src/fleet_daemon/entry_box.ts
+++ b/src/fleet_daemon/entry_box.ts
@@ -36,7 +36,7 @@
   readonly #directory: httpServer.HttpListener;
   readonly #controlCalls: controlCalls.ControlCalls;
   readonly #core: replicaGroups.ReplicaGroup | undefined;
-  readonly #usage: usages.UsageTeller | undefined;
+  readonly #usage: usages.UsageRecorder | undefined;
 
   constructor(parts: boxParts.BoxParts) {
     this.#parts = parts;
@@ -234,11 +234,11 @@
 function createUsageTeller(
   parts: boxParts.BoxParts,
   stores: replicaGroups.LeaderCaller,
-): usages.UsageTeller | undefined {
+): usages.UsageRecorder | undefined {
   const { clock, settings, directory } = parts;
   const times = duties.getUsageTimes(settings);
   if (times === undefined) return undefined;
-  return new usages.UsageTeller({
+  return new usages.UsageRecorder({
     clock,
     stores,
     times,
--- a/src/fleet_daemon/store_box.ts
+++ b/src/fleet_daemon/store_box.ts
@@ -138,7 +138,7 @@
       ...this.#parts,
       group: this.#group,
       duty: this.#duty,
-      book: this.#machine.getUsage(),
+      state: this.#machine.getUsage(),
       times,
       endpoint,
     });
--- a/src/submission/saved_parts.ts
+++ b/src/submission/saved_parts.ts
@@ -1,7 +1,7 @@
 import type * as capacityBooks from "../capacity/capacity_book.ts";
 import type * as crashRecords from "../crash_record/mod.ts";
 import type * as registry from "../registry/mod.ts";
-import type * as usageBooks from "../usage/usage_book.ts";
+import type * as usageBooks from "../usage/usage_state.ts";
 import type * as submissions from "./submission.ts";
 
 /** Characters of text that one part holds, unless one value is longer. */
--- a/src/submission/submission_machine.ts
+++ b/src/submission/submission_machine.ts
@@ -3,7 +3,7 @@
 import type * as accounts from "../client_account/mod.ts";
 import * as crashRecords from "../crash_record/mod.ts";
 import * as registry from "../registry/mod.ts";
-import * as usageBooks from "../usage/usage_book.ts";
+import * as usageBooks from "../usage/usage_state.ts";
 import * as canSee from "./can_see.ts";
 import * as savedParts from "./saved_parts.ts";
 import type * as submissions from "./submission.ts";
@@ -42,7 +42,7 @@
 /** Submissions, their results and the named versions, under the stores' log. */
 export class SubmissionMachine implements consensus.Machine {
   readonly #onChange: () => void;
-  readonly #usage = new usageBooks.UsageBook();
+  readonly #usage = new usageBooks.UsageState();
   readonly #capacity = new capacityBooks.CapacityBook();
   readonly #crashes = new crashRecords.CrashTable();
   #records = new Map<string, MutableRecord>();
@@ -79,7 +79,7 @@
   }
 
   /** What is agreed on about usage. */
-  getUsage(): usageBooks.UsageBook {
+  getUsage(): usageBooks.UsageState {
     return this.#usage;
   }
 
