--- a/src/fleet/_configuration_sync.ts
+++ b/src/fleet/_configuration_sync.ts
@@ -3,19 +3,19 @@
 import * as protocol from "./protocol.ts";
 import type * as peerPools from "./peer_pool.ts";
 
-/** Longest wait for a configuration that another box holds, in ms. */
+/** Timeout for fetching a configuration from another box, in ms. */
 const CALL_TIMEOUT_MS = 1_000;
 
-/** What the news of configurations need. */
+/** Dependencies of a configuration sync. */
 export interface ConfigurationSyncOptions {
   readonly log: logs.Log;
   readonly configuration: trafficConfig.ConfigurationHolder;
   readonly peers: peerPools.Peers;
-  /** Told when a newer one was taken. */
+  /** Called after a newer configuration was put in force. */
   readonly onUpdated: () => void;
 }
 
-/** Takes newer configurations from other boxes. */
+/** Adopts newer configurations received or fetched from other boxes. */
 export class ConfigurationSync {
   readonly #options: ConfigurationSyncOptions;
   #isFetching = false;
@@ -24,14 +24,18 @@
     this.#options = options;
   }
 
-  /** Takes a configuration if it is newer than the one that is held. */
+  /** Puts a received configuration in force if it is newer than the current one. */
   offer(stored: trafficConfig.StoredConfiguration | undefined): void {
     if (stored === undefined) return;
     const { configuration, onUpdated } = this.#options;
     if (configuration.offer(stored)) onUpdated();
   }
 
-  /** Asks the sender for the configuration when it holds a newer one. */
+  /**
+   * Fetches the configuration from the sender of a message if that message
+   * announces a newer version. At most one fetch runs at a time; a failed one is
+   * logged, and the next message with a newer version starts another.
+   */
   fetchIfOutdated(
     message: Pick<protocol.GossipMessage, "from" | "configurationVersion">,
   ): void {
--- a/src/fleet/_crash_sync.ts
+++ b/src/fleet/_crash_sync.ts
@@ -1,17 +1,20 @@
 import * as crashRecords from "../crash_record/mod.ts";
 
-/** What the news of crashes need. */
+/** Dependencies of a crash sync. */
 export interface CrashSyncOptions {
   readonly crashTable: crashRecords.CrashTable;
-  /** Takes what others know; true where it was not known here. */
+  /** Merges a record from another box; returns whether it added anything. */
   readonly learnCrash: (record: crashRecords.CrashRecord) => boolean;
-  /** Told of each record that was not known here. */
+  /** Called for each record that added something. */
   readonly onLearned: (record: crashRecords.CrashRecord) => void;
 }
 
 const NO_RECORDS: readonly crashRecords.CrashRecord[] = [];
 
-/** Takes from other boxes which work servers ended under. */
+/**
+ * Exchanges crash records with other boxes: the pieces of work during which
+ * backend servers crashed.
+ */
 export class CrashSync {
   readonly #options: CrashSyncOptions;
 
@@ -19,7 +22,7 @@
     this.#options = options;
   }
 
-  /** Takes records; undefined from a box of a version before. */
+  /** Merges records; undefined if the sender runs a version without them. */
   merge(records: readonly crashRecords.CrashRecord[] = NO_RECORDS): void {
     const { learnCrash, onLearned } = this.#options;
     for (const record of records) {
@@ -28,10 +31,10 @@
   }
 
   /**
-   * Takes all that another box knows.
+   * Merges all records of another box.
    *
-   * @param peerRecords Its records; undefined where both knew the same.
-   * @returns What it does not know.
+   * @param peerRecords Its records; undefined if both boxes had the same.
+   * @returns The records that the other box lacks or holds in another version.
    */
   reconcile(
     peerRecords: readonly crashRecords.CrashRecord[] | undefined,
--- a/src/fleet/_relay.ts
+++ b/src/fleet/_relay.ts
@@ -4,44 +4,42 @@
 import type * as boxRecords from "./box_record.ts";
 import type * as protocol from "./protocol.ts";
 
-/** Between two relays of refreshes to subscribers, in ms. */
+/** Interval of refreshes relayed to subscribers, in ms. */
 const REFRESH_INTERVAL_MS = 250;
 /**
- * Relays of refreshes to subscribers for each one to the other core boxes.
- * Plain boxes tell every core box of themselves, so another core box needs the
- * relayed refreshes only where a plain box can't reach it; once a second is
- * then often enough, as a box is taken for gone after 1.8 s. With 28 boxes the
- * relays between core boxes carried 5 of the 10 MB of refreshes that crossed
- * failure domains in 50 s.
+ * Refreshes go to the other core boxes once in this many intervals. Non-core
+ * boxes send their refreshes to every core box themselves, so the relayed ones
+ * matter only where a link is cut. The resulting 1 s is below BOX_TIMEOUT_MS.
  */
 const CORE_RELAY_INTERVALS = 4;
 /**
- * Time for which changes are gathered, in ms. When many boxes start at once
- * each tells of itself; one message then carries tens of records.
+ * Time for which changes are collected into one message, in ms. Keeps the number
+ * of messages low when many boxes start at once.
  */
 const BATCH_DELAY_MS = 30;
-/** How long a subscription lasts, in ms; renewed by each refresh of a box. */
+/** Lifetime of a subscription, in ms; each refresh of the subscriber renews it. */
 const SUBSCRIPTION_MS = 2_000;
 
-/** What a relay needs. */
+/** Dependencies of a relay. */
 export interface RelayOptions {
   readonly clock: clocks.Clock;
-  /** Makes news of this box that say nothing yet. */
+  /** Creates an empty message from this box. */
   readonly createMessage: () => protocol.GossipMessage;
-  /** Refresh of this box's own record. */
+  /** Returns the refresh of this box's own record. */
   readonly getOwnRefresh: () => protocol.BoxRefresh;
-  /** Ids of the other core boxes. */
+  /** Lists the ids of the other core boxes. */
   readonly listCoreIds: () => readonly string[];
   readonly send: (id: string, message: protocol.GossipMessage) => void;
 }
 
 /**
- * Passes on what a core box heard: to the boxes that chose it, and to the other
- * core boxes. Each change so reaches a box once, whatever the number of core
- * boxes, and changes that come together go together.
+ * Forwards the changes and refreshes that a core box receives to its
+ * subscribers and to the other core boxes. A box subscribes to one core box, so
+ * a change reaches it about once, however many core boxes there are.
  */
 export class Relay {
   readonly #options: RelayOptions;
+  /** Expiry of each subscription in monotonic ms, by box id. */
   readonly #subscribers = new Map<string, number>();
   readonly #subscriberRefreshes = new RefreshBatch();
   readonly #coreRefreshes = new RefreshBatch();
@@ -60,7 +58,7 @@
     });
   }
 
-  /** Begins to pass refreshes on. */
+  /** Sends the collected refreshes, now and at each interval. */
   start(): void {
     if (this.#isStopped) return;
     const { clock, listCoreIds } = this.#options;
@@ -91,13 +89,13 @@
     this.#isStopped = true;
   }
 
-  /** Notes that a box wants to hear from this one for a while. */
+  /** Adds or renews the subscription of a box. */
   subscribe(id: string): void {
     const expiresAtMs = this.#options.clock.getMonotonicMs() + SUBSCRIPTION_MS;
     this.#subscribers.set(id, expiresAtMs);
   }
 
-  /** Ids of the boxes that chose this one. */
+  /** Ids of the boxes whose subscription has not expired. */
   listSubscribers(): readonly string[] {
     const nowMs = this.#options.clock.getMonotonicMs();
     for (const [id, expiresAtMs] of this.#subscribers) {
@@ -116,20 +114,23 @@
     this.#coreRefreshes.addServer(refresh);
   }
 
-  /** Passes a changed record on, soon. */
+  /** Queues a changed record; it is sent within BATCH_DELAY_MS. */
   addBox(box: boxRecords.BoxRecord): void {
     this.#changedBoxes.set(box.id, box);
     this.#delayedFlush.schedule();
   }
 
-  /** Passes a changed report on; at once where the server takes no more. */
+  /**
+   * Queues a changed report. One of a server that accepts no more requests is
+   * sent at once, with all that is queued.
+   */
   addServer(server: registry.ServerReport): void {
     this.#changedServers.set(server.id, server);
     if (server.phase === "ready") this.#delayedFlush.schedule();
     else this.#flush();
   }
 
-  /** Passes on at once that servers ended under a piece of work. */
+  /** Sends a crash record at once. */
   addCrash(record: crashRecords.CrashRecord): void {
     if (this.#isStopped) return;
     this.#broadcast({ ...this.#options.createMessage(), crashes: [record] });
@@ -156,7 +157,7 @@
   }
 }
 
-/** The newest refresh of each box and server since the last relay. */
+/** The latest refresh of each box and server since the last drain. */
 class RefreshBatch {
   readonly #boxes = new Map<string, protocol.BoxRefresh>();
   readonly #servers = new Map<string, protocol.ServerRefresh>();
@@ -169,7 +170,7 @@
     this.#servers.set(refresh.id, refresh);
   }
 
-  /** Gives what was gathered and begins anew. */
+  /** Returns the collected refreshes and clears the batch. */
   drain(): Pick<protocol.GossipMessage, "boxRefreshes" | "serverRefreshes"> {
     const boxRefreshes = [...this.#boxes.values()];
     const serverRefreshes = [...this.#servers.values()];
--- a/src/fleet/_state_digest.ts
+++ b/src/fleet/_state_digest.ts
@@ -3,19 +3,19 @@
 import * as boxRecords from "./box_record.ts";
 
 /**
- * Computes a digest of what a box knows of boxes and servers, but for how
- * lately it heard of them. Two boxes with the same digest need not exchange
- * their records.
+ * Computes a digest of the box records and server reports that a box holds,
+ * without their sequence numbers. Two boxes with the same digest need not
+ * exchange their records.
  *
- * @param boxes Boxes that were heard lately.
- * @param servers All remembered servers.
- * @returns The digest.
+ * @param boxes Records of the boxes that are alive.
+ * @param servers Reports of all remembered servers.
+ * @returns SHA-1 in Base64; it does not depend on the order of the records.
  */
 export function computeStateDigest(
   boxes: readonly boxRecords.BoxRecord[],
   servers: readonly registry.ServerReport[],
 ): string {
-  // A server that has gone is forgotten at another time by each box.
+  // Boxes drop a server that has gone at different times, so these are left out.
   const present = servers.filter((server) => server.phase !== "gone");
   const lines = [
     ...boxes.map((box) => `${box.id} ${boxRecords.describeContent(box)}`),
--- a/src/fleet/_sync_loop.ts
+++ b/src/fleet/_sync_loop.ts
@@ -3,34 +3,35 @@
 import * as protocol from "./protocol.ts";
 import type * as peerPools from "./peer_pool.ts";
 
-/** Between two exchanges, which repair whatever was lost, in ms. */
+/** Interval of the exchanges that repair lost messages, in ms. */
 const SYNC_INTERVAL_MS = 2_000;
-/** The same in the first while of a process, when boxes find each other. */
+/** The same while the process starts, when boxes discover each other, in ms. */
 const STARTUP_SYNC_INTERVAL_MS = 500;
+/** Time after the start in which the shorter interval applies, in ms. */
 const STARTUP_MS = 10_000;
-/** Between two tries to reach a seed, in ms. */
+/** Delay after a failed exchange, in ms. */
 const RETRY_DELAY_MS = 200;
-/** Longest wait for the answer to one exchange, in ms. */
+/** Timeout of one exchange, in ms. */
 const CALL_TIMEOUT_MS = 1_000;
 
-/** What a sync loop needs. */
+/** Dependencies of a sync loop. */
 export interface SyncLoopOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly peers: peerPools.Peers;
-  /** Core box that tells this one of the others; undefined while none does. */
+  /** Returns the core box that relays to this one; undefined if there is none. */
   readonly chooseRelay: () => string | undefined;
-  /** Ids of all seeds and core boxes, silent ones too. */
-  readonly listSources: () => readonly string[];
-  /** Makes the request for the named records, or for all that differs. */
+  /** Lists the ids of all seeds and core boxes, silent ones included. */
+  readonly listSourceIds: () => readonly string[];
+  /** Creates a request for the given records; for all if the digests differ. */
   readonly createRequest: (ids?: readonly string[]) => protocol.SyncRequest;
   readonly onReply: (reply: protocol.SyncReply, from: string) => void;
 }
 
 /**
- * Exchanges what differs, again and again: with the relay in turn with each of
- * the seeds and core boxes. Boxes that only asked their relay could stay two
- * groups that know nothing of each other.
+ * Periodically synchronizes with other boxes, alternating between the relay and
+ * the next of all seeds and core boxes. Syncing with the relay alone could leave
+ * the fleet split into groups that never discover each other.
  */
 export class SyncLoop {
   readonly #options: SyncLoopOptions;
@@ -42,6 +43,7 @@
     this.#options = options;
   }
 
+  /** Runs until stopped; failed exchanges are logged and retried. */
   async run(): Promise<void> {
     const { clock } = this.#options;
     const startupEndMs = clock.getMonotonicMs() + STARTUP_MS;
@@ -60,7 +62,10 @@
     this.#isStopped = true;
   }
 
-  /** Asks a box for some records; one question to it at a time. */
+  /**
+   * Fetches records from a box. Ignored while another fetch from it is running,
+   * as a later refresh requests the records again.
+   */
   fetch(id: string, recordIds: readonly string[]): void {
     if (this.#fetchingFrom.has(id) || this.#isStopped) return;
     this.#fetchingFrom.add(id);
@@ -69,14 +74,14 @@
     );
   }
 
-  /** The relay every other time, else the next of all sources. */
+  /** The relay in every other round, otherwise the next of all sources. */
   #pickTarget(): string | undefined {
-    const { chooseRelay, listSources } = this.#options;
+    const { chooseRelay, listSourceIds } = this.#options;
     this.#round += 1;
     const relay = this.#round % 2 === 0 ? chooseRelay() : undefined;
     if (relay !== undefined) return relay;
-    const sources = listSources();
-    return sources[(this.#round >> 1) % Math.max(1, sources.length)];
+    const sourceIds = listSourceIds();
+    return sourceIds[(this.#round >> 1) % Math.max(1, sourceIds.length)];
   }
 
   async #syncWith(id: string, recordIds?: readonly string[]): Promise<boolean> {
--- a/src/fleet/_sync_service.ts
+++ b/src/fleet/_sync_service.ts
@@ -6,7 +6,7 @@
 import * as stateDigest from "./_state_digest.ts";
 import type * as protocol from "./protocol.ts";
 
-/** What a sync desk tells of. */
+/** Dependencies of a sync service. */
 export interface SyncServiceOptions {
   readonly directory: boxDirectories.BoxDirectory;
   readonly servers: registry.ServerRegistry;
@@ -15,7 +15,7 @@
   readonly getOwnRecord: () => boxRecords.BoxRecord;
 }
 
-/** Asks and answers what two boxes know differently. */
+/** Creates and answers the requests by which two boxes exchange their records. */
 export class SyncService {
   readonly #options: SyncServiceOptions;
 
@@ -23,7 +23,7 @@
     this.#options = options;
   }
 
-  /** Creates the request for the named records, or for all that differs. */
+  /** Creates a request for the given records; for all if the digests differ. */
   createRequest(ids?: readonly string[]): protocol.SyncRequest {
     const { configuration, getOwnRecord, crashTable } = this.#options;
     return {
@@ -36,7 +36,10 @@
     };
   }
 
-  /** Answers with what the asker lacks; nothing where it knows the same. */
+  /**
+   * Answers a sync request. Parts in which both boxes agree, by the digest,
+   * version or key in the request, are left empty.
+   */
   handleRequest(request: protocol.SyncRequest): protocol.SyncReply {
     const { configuration, crashTable } = this.#options;
     const isNewer = configuration.getVersion() > request.configurationVersion;
--- a/src/fleet/box_directory.ts
+++ b/src/fleet/box_directory.ts
@@ -1,26 +1,27 @@
 import type * as clocks from "../clock/mod.ts";
 import * as boxRecords from "./box_record.ts";
 
-/** A box silent for this long is taken for gone; three lost refreshes. */
+/** A box is considered dead after this silence, in ms; spans three refreshes. */
 export const BOX_TIMEOUT_MS = 1_800;
-/** A box silent for this long is forgotten; a late record brings it back. */
+/** A dead box is removed after this silence, in ms; a new record restores it. */
 const RETENTION_MS = 60_000;
 
-/** Former processes of a box that are remembered. */
+/** Start times of former processes that are remembered for each box. */
 const MAX_FORMER_STARTS = 4;
 
-/** A known box, and when news of it came. */
+/** The latest record of a box and when it arrived. */
 interface KnownBox {
   readonly record: boxRecords.BoxRecord;
+  /** Monotonic time of the last record or refresh, in ms. */
   readonly lastSeenMs: number;
-  /** Starts of its former processes, oldest first; they count no more. */
+  /** Start times of its former processes, oldest first; their records are refused. */
   readonly formerStarts: readonly number[];
 }
 
-/** What a merged record changed. */
+/** Effect of merging a record: ignored, same content, or new content. */
 export type MergeOutcome = "old" | "refreshed" | "changed";
 
-/** The boxes that this box knows, with the time of the last news of each. */
+/** The known boxes, with the latest record of each and its time of arrival. */
 export class BoxDirectory {
   readonly #clock: clocks.Clock;
   readonly #boxes = new Map<string, KnownBox>();
@@ -30,9 +31,10 @@
   }
 
   /**
-   * Takes a record if it is newer than the known one, or if that one's process is
-   * silent and this is of another: with a clock stepped back before its start it
-   * has the earlier time, and would be taken for gone for up to a minute.
+   * Stores a record if it is newer than the known one, or if the known process
+   * is silent and the record is from another process. The latter covers a
+   * process restarted after its clock was stepped back, whose start time is
+   * earlier than that of its predecessor.
    */
   merge(record: boxRecords.BoxRecord): MergeOutcome {
     const known = this.#boxes.get(record.id);
@@ -64,6 +66,7 @@
     return this.#boxes.get(id)?.record;
   }
 
+  /** Finds the box of a name; the last one seen if several had that name. */
   findByName(name: string): boxRecords.BoxRecord | undefined {
     const named = [...this.#boxes.values()].filter((box) =>
       box.record.name === name
@@ -71,19 +74,19 @@
     return named.sort((a, b) => b.lastSeenMs - a.lastSeenMs)[0]?.record;
   }
 
-  /** All known boxes, silent ones among them. */
+  /** All known boxes, silent ones included. */
   listAll(): readonly boxRecords.BoxRecord[] {
     this.#removeExpired();
     return [...this.#boxes.values()].map((box) => box.record);
   }
 
-  /** Boxes that were heard lately. */
+  /** Boxes seen within BOX_TIMEOUT_MS. */
   listAlive(): readonly boxRecords.BoxRecord[] {
     return [...this.#boxes.values()].filter((box) => !this.#isSilent(box))
       .map((box) => box.record);
   }
 
-  /** Time since the last news of a box, in ms. */
+  /** Time since a box was last seen, in ms; infinite for an unknown box. */
   getSilenceMs(id: string): number {
     const known = this.#boxes.get(id);
     if (known === undefined) return Number.POSITIVE_INFINITY;
--- a/src/fleet/box_directory_test.ts
+++ b/src/fleet/box_directory_test.ts
@@ -5,11 +5,8 @@
 import * as recordFixtures from "./box_record_fixture_test.ts";
 
 /*
- * A box's record names the time of day at which its process started. Where that
- * clock was stepped back before the box was started again, the new process has the
- * earlier start, and boxes that had heard the former one took all that it said for
- * old, for up to a minute: no entry box asked it as a leader, and it was no
- * candidate when a voter had to be replaced.
+ * A process that starts after its clock was stepped back has an earlier start time
+ * than its predecessor. The others must not ignore its records as outdated.
  */
 
 const FORMER = recordFixtures.FORMER_RECORD;
@@ -29,19 +26,19 @@
     directory.merge(FORMER);
   });
 
-  it("takes the record of a process whose clock was stepped back, once the former one is silent", () => {
+  it("accepts a record with an earlier start time once the former process is silent", () => {
     clock.extendBy(boxDirectories.BOX_TIMEOUT_MS + 1);
     chai.expect(directory.merge(LATER)).to.equal("changed");
     chai.expect(directory.listAlive()).to.deep.equal([LATER]);
   });
 
-  it("takes no record of an earlier start while the box is heard", () => {
+  it("rejects a record with an earlier start time while the box is alive", () => {
     clock.extendBy(boxDirectories.BOX_TIMEOUT_MS - 1);
     chai.expect(directory.merge(LATER)).to.equal("old");
     chai.expect(directory.listAlive()).to.deep.equal([FORMER]);
   });
 
-  it("takes no older record of the same start, however long the box is silent", () => {
+  it("rejects an older record of the same process even after the timeout", () => {
     clock.extendBy(boxDirectories.BOX_TIMEOUT_MS + 1);
     chai.expect(directory.merge({ ...FORMER, sequence: 39 })).to.equal("old");
     chai.expect(directory.listAlive()).to.deep.equal([]);
--- a/src/fleet/box_record.ts
+++ b/src/fleet/box_record.ts
@@ -1,46 +1,47 @@
-/** What one box tells the others of itself. */
+/** Address, roles and state that a box publishes to the others. */
 export interface BoxRecord {
-  /** IP address; it tells one box from another. */
+  /** Unique id: the IP address of the box. */
   readonly id: string;
   /** Name that operators use. */
   readonly name: string;
   readonly failureDomain: string;
   readonly region: string;
-  /** Port for other boxes. */
+  /** Port for connections from other boxes. */
   readonly peerPort: number;
-  /** Where callers connect, as IP:PORT; undefined on boxes that serve none. */
+  /** Address for callers, as IP:PORT; undefined on boxes that serve none. */
   readonly callerAddress: string | undefined;
-  /** Whether it keeps a replica of the configuration, and passes news on. */
+  /** Whether it holds a replica of the configuration and relays messages. */
   readonly isCore: boolean;
-  /** Whether it keeps a replica of the submissions. */
+  /** Whether it holds a replica of the submissions. */
   readonly isStore: boolean;
-  /** Whether callers may be sent here. */
+  /** Whether callers may be directed to it. */
   readonly isReady: boolean;
-  /** Whether it is being stopped or emptied. */
+  /** Whether it is being stopped or drained. */
   readonly isLeaving: boolean;
   /**
-   * Newest term in which it has led its replica group since its start; 0 for
-   * none. The box with the highest leads, or led last.
+   * Latest term in which it has been leader of its replica group since its
+   * start; 0 for none. The box with the highest value is the current or last
+   * leader.
    */
   readonly ledTerm: number;
-  /** Wall time in ms when its process started; a restart raises it. */
+  /** Wall-clock time at which its process started, in Unix ms. */
   readonly startedAtMs: number;
-  /** Rises with each refresh of one process. */
+  /** Incremented with each refresh; starts anew with each process. */
   readonly sequence: number;
 }
 
-/** How new a record is. */
+/** Version of a record, ordered by start time, then by sequence. */
 export interface RecordVersion {
   readonly startedAtMs: number;
   readonly sequence: number;
 }
 
 /**
- * Tells whether a record is newer than a known version.
+ * Checks whether a record is newer than a known version.
  *
  * @param record The record.
- * @param known The known version, if any.
- * @returns Whether it is newer.
+ * @param known The known version; undefined if there is none.
+ * @returns Whether the record is newer.
  */
 export function isNewer(
   record: RecordVersion,
@@ -54,11 +55,11 @@
 }
 
 /**
- * Describes what a record says but for its sequence. Records with the same
- * description need not be told to others at once.
+ * Describes the variable fields of a record, without its sequence. A refresh
+ * can stand in for a record with the same description.
  *
  * @param record The record.
- * @returns A short text.
+ * @returns The fields, separated by spaces.
  */
 export function describeContent(record: BoxRecord): string {
   return [
--- a/src/fleet/box_record_fixture_test.ts
+++ b/src/fleet/box_record_fixture_test.ts
@@ -1,6 +1,6 @@
 import type * as boxRecords from "./box_record.ts";
 
-/** Record of a store's process that is followed by one with an earlier start. */
+/** Record of a store process; its successor has an earlier start time. */
 export const FORMER_RECORD: boxRecords.BoxRecord = {
   id: "10.0.0.1",
   name: "store-1",
--- a/src/fleet/fleet_fixture_test.ts
+++ b/src/fleet/fleet_fixture_test.ts
@@ -10,24 +10,25 @@
 import type * as boxRecords from "./box_record.ts";
 import * as fleetGossips from "./fleet_gossip.ts";
 
-/** Between two heartbeats of a server, in ms. */
+/** Interval of a server's heartbeats, in ms. */
 export const HEARTBEAT_MS = 1_200;
 const STEP_MS = 20;
 
 type Handler = (params: unknown) => unknown;
 
-/** Boxes in one process, whose links can be cut. */
+/** Simulated fleet in one process, with network partitions and cut links. */
 export class FakeFleet {
   readonly clock = new clocks.FakeClock(1_000);
   readonly #methods = new Map<string, Map<string, Handler>>();
   readonly #stopped = new Set<string>();
-  /** Groups that hear nothing of each other; empty for no cut. */
+  /** Groups of ids that can't reach each other; empty for no partition. */
   partitions: readonly (readonly string[])[] = [];
-  /** Single links that bring nothing, as `FROM>TO`. */
+  /** Directed links that deliver nothing, as `FROM>TO`. */
   cutLinks: ReadonlySet<string> = new Set();
   readonly boxes = new Map<string, FakeBox>();
   #deliveredCount = 0;
 
+  /** Starts a box with empty state. */
   start(id: string, isCore: boolean): FakeBox {
     this.#stopped.delete(id);
     const methods = new Map<string, Handler>();
@@ -38,11 +39,12 @@
     return box;
   }
 
-  /** Messages and calls delivered so far. */
+  /** Number of messages and calls delivered so far. */
   countDelivered(): number {
     return this.#deliveredCount;
   }
 
+  /** Stops a box without notice to the others. */
   kill(id: string): void {
     this.boxes.get(id)?.gossip.stop();
     this.boxes.delete(id);
@@ -78,7 +80,7 @@
     return JSON.parse(JSON.stringify(handler(copy) ?? null));
   }
 
-  /** Lets time pass, with all that is waited for in between. */
+  /** Advances the clock in small steps and runs pending callbacks after each. */
   async advanceBy(ms: number): Promise<void> {
     for (let passed = 0; passed < ms; passed += STEP_MS) {
       this.clock.extendBy(STEP_MS);
@@ -87,7 +89,7 @@
   }
 }
 
-/** What one box knows, and its link to the others. */
+/** State of one simulated box, and its gossip with the others. */
 export class FakeBox {
   readonly servers: registry.ServerRegistry;
   readonly directory: boxDirectories.BoxDirectory;
@@ -141,7 +143,7 @@
     });
   }
 
-  /** Takes a heartbeat as an entry box does. */
+  /** Merges and propagates a heartbeat as an entry box does. */
   handleHeartbeat(report: registry.RegisteredServer): void {
     const outcome = this.servers.merge(report);
     const merged = this.servers.get(report.id) ?? report;
@@ -149,12 +151,13 @@
     if (outcome === "refreshed") this.gossip.refreshServer(merged);
   }
 
+  /** Ids of the ready servers that this box knows, sorted. */
   listReadyServers(): readonly string[] {
     return this.servers.listReady("s").map((server) => server.id).toSorted();
   }
 }
 
-/** Makes a report of a ready server. */
+/** Creates the report of a ready server. */
 export function createReport(
   id: string,
   sequence: number,
--- a/src/fleet/fleet_gossip.ts
+++ b/src/fleet/fleet_gossip.ts
@@ -14,17 +14,17 @@
 import * as syncLoops from "./_sync_loop.ts";
 import type * as peerPools from "./peer_pool.ts";
 
-/** Between two refreshes of a box's own record, in ms; see BOX_SILENCE_MS. */
+/** Interval of own-record refreshes, in ms; several fit in BOX_TIMEOUT_MS. */
 const REFRESH_INTERVAL_MS = 500;
 /**
- * Pause before all boxes are told which configuration is newest, in ms. Those
- * that chose this box have it by then, and only the others fetch it.
+ * Delay before a new configuration version is announced to all boxes, in ms.
+ * Subscribers have received the configuration by then and do not fetch it.
  */
 const VERSION_DELAY_MS = 150;
-/** Silence after which another core box is chosen to relay, in ms. */
+/** Silence after which another core box is chosen as the relay, in ms. */
 const RELAY_TIMEOUT_MS = 1_200;
 
-/** What a fleet link needs. */
+/** Dependencies of a fleet gossip instance. */
 export interface FleetGossipOptions
   extends Omit<crashSyncs.CrashSyncOptions, "onLearned"> {
   readonly clock: clocks.Clock;
@@ -34,24 +34,25 @@
   readonly configuration: trafficConfig.ConfigurationHolder;
   readonly peers: peerPools.Peers;
   readonly server: rpc.MethodTable;
-  /** Ids of the boxes to ask first. */
+  /** Ids of the boxes to contact at startup. */
   readonly seeds: readonly string[];
-  /** Record of this box; the link numbers it. */
+  /** Returns the current record of this box, without its sequence number. */
   readonly describeSelf: () => Omit<boxRecords.BoxRecord, "sequence">;
 }
 
 /**
- * Spreads what boxes know of boxes, servers and the configuration. Every box
- * tells the core boxes; each of these passes it on to the boxes that chose it.
+ * Propagates the state of boxes, backend servers, crash records and the
+ * configuration between boxes. Every box sends its changes to the core boxes;
+ * each core box relays them to the boxes that subscribed to it.
  */
 export class FleetGossip {
   readonly #options: FleetGossipOptions;
   readonly #id: string;
   readonly #relay: relays.Relay;
   readonly #versionAnnouncement: clocks.GatheredCall;
-  /** Refreshes that a box without a relay of its own has to tell. */
+  /** On non-core boxes: refreshes to send with the next round, by server id. */
   readonly #serverRefreshes = new Map<string, protocol.ServerRefresh>();
-  #ownRecord: boxRecords.BoxRecord;
+  #self: boxRecords.BoxRecord;
   readonly #syncLoop: syncLoops.SyncLoop;
   readonly #configurationSync: configurationSyncs.ConfigurationSync;
   readonly #crashSync: crashSyncs.CrashSync;
@@ -59,9 +60,9 @@
 
   constructor(options: FleetGossipOptions) {
     this.#options = options;
-    this.#ownRecord = { ...options.describeSelf(), sequence: 0 };
-    this.#id = this.#ownRecord.id;
-    options.directory.merge(this.#ownRecord);
+    this.#self = { ...options.describeSelf(), sequence: 0 };
+    this.#id = this.#self.id;
+    options.directory.merge(this.#self);
     this.#versionAnnouncement = new clocks.GatheredCall({
       clock: options.clock,
       delayMs: VERSION_DELAY_MS,
@@ -72,7 +73,7 @@
     this.#relay = new relays.Relay({
       clock: options.clock,
       createMessage: () => this.#createMessage(),
-      getOwnRefresh: () => protocol.createBoxRefresh(this.#ownRecord),
+      getOwnRefresh: () => protocol.createBoxRefresh(this.#self),
       listCoreIds: () => this.#listCoreIds(),
       send: (id, message) => this.#send(id, message),
     });
@@ -83,17 +84,17 @@
     this.#crashSync = new crashSyncs.CrashSync({
       ...options,
       onLearned: (record) => {
-        if (this.#ownRecord.isCore) this.#relay.addCrash(record);
+        if (this.#self.isCore) this.#relay.addCrash(record);
       },
     });
     const syncService = new syncServices.SyncService({
       ...options,
-      getOwnRecord: () => this.#ownRecord,
+      getOwnRecord: () => this.#self,
     });
     this.#syncLoop = new syncLoops.SyncLoop({
       ...options,
       chooseRelay: () => this.#chooseRelay(),
-      listSources: () => this.#listSourceIds(),
+      listSourceIds: () => this.#listSourceIds(),
       createRequest: (ids) => syncService.createRequest(ids),
       onReply: (reply, from) => this.#handleReply(reply, from),
     });
@@ -114,11 +115,11 @@
     );
   }
 
-  /** Begins to exchange news. */
+  /** Starts the periodic refreshes, the sync loop and, on core boxes, the relay. */
   start(): void {
     this.#sendRefreshes();
     void this.#syncLoop.run();
-    if (this.#ownRecord.isCore) this.#relay.start();
+    if (this.#self.isCore) this.#relay.start();
   }
 
   stop(): void {
@@ -127,32 +128,32 @@
     this.#relay.stop();
   }
 
-  /** Tells the others at once what this box now says of itself. */
+  /** Sends this box's current record to the others at once. */
   publishSelf(): void {
     this.#updateOwnRecord();
-    this.#broadcast({ ...this.#createMessage(), boxes: [this.#ownRecord] });
+    this.#broadcast({ ...this.#createMessage(), boxes: [this.#self] });
   }
 
-  /** Tells the others at once what a server reports. */
+  /** Sends a changed server report to the others at once. */
   publishServer(server: registry.ServerReport): void {
     this.#broadcast({ ...this.#createMessage(), servers: [server] });
   }
 
-  /** Tells the others at once that servers ended under a piece of work. */
+  /** Sends a crash record to the others at once. */
   publishCrash(record: crashRecords.CrashRecord): void {
     this.#broadcast({ ...this.#createMessage(), crashes: [record] });
   }
 
-  /** Passes on that a server still runs as it did. */
+  /** Queues a refresh for a server whose report has not changed. */
   refreshServer(server: registry.ServerReport): void {
     const refresh = protocol.createServerRefresh(server);
-    if (this.#ownRecord.isCore) this.#relay.refreshServer(refresh);
+    if (this.#self.isCore) this.#relay.refreshServer(refresh);
     else this.#serverRefreshes.set(server.id, refresh);
   }
 
-  /** Tells the others of a newer configuration. */
+  /** Sends the configuration to subscribers, and soon its version to all boxes. */
   publishConfiguration(): void {
-    if (!this.#ownRecord.isCore) return;
+    if (!this.#self.isCore) return;
     const message = {
       ...this.#createMessage(),
       configuration: this.#options.configuration.getStored(),
@@ -174,11 +175,8 @@
 
   #updateOwnRecord(): void {
     const { directory, describeSelf } = this.#options;
-    this.#ownRecord = {
-      ...describeSelf(),
-      sequence: this.#ownRecord.sequence + 1,
-    };
-    directory.merge(this.#ownRecord);
+    this.#self = { ...describeSelf(), sequence: this.#self.sequence + 1 };
+    directory.merge(this.#self);
   }
 
   #listOtherIds(): readonly string[] {
@@ -186,26 +184,24 @@
       .filter((id) => id !== this.#id);
   }
 
-  /** Core boxes, silent ones too; the seeds where none is known. */
+  /** Ids of the core boxes, silent ones included; the seeds if none is known. */
   #listCoreIds(): readonly string[] {
-    const coreIds = this.#options.directory.listAll().filter((box) =>
-      box.isCore
-    )
+    const core = this.#options.directory.listAll().filter((box) => box.isCore)
       .map((box) => box.id);
-    const ids = coreIds.length > 0 ? coreIds : this.#options.seeds;
+    const ids = core.length > 0 ? core : this.#options.seeds;
     return ids.filter((id) => id !== this.#id);
   }
 
-  /** Boxes that may know what this one does not. */
+  /** Ids of the seeds and core boxes, sorted, without this box. */
   #listSourceIds(): readonly string[] {
     const ids = new Set([...this.#options.seeds, ...this.#listCoreIds()]);
     ids.delete(this.#id);
     return [...ids].toSorted();
   }
 
-  /** Sends a change to all boxes from a core box, else to the core boxes. */
+  /** Sends a change to all boxes if this is a core box, else to the core boxes. */
   #broadcast(message: protocol.GossipMessage): void {
-    if (this.#ownRecord.isCore) return this.#sendToAll(message);
+    if (this.#self.isCore) return this.#sendToAll(message);
     for (const id of this.#listCoreIds()) this.#send(id, message);
   }
 
@@ -220,7 +216,7 @@
       directory.getSilenceMs(box.id) < RELAY_TIMEOUT_MS
     );
     const sameDomain = candidates.find((box) =>
-      box.failureDomain === this.#ownRecord.failureDomain
+      box.failureDomain === this.#self.failureDomain
     );
     return (sameDomain ?? candidates[0])?.id;
   }
@@ -230,16 +226,13 @@
     this.#updateOwnRecord();
     const message: protocol.GossipMessage = {
       ...this.#createMessage(),
-      boxRefreshes: [protocol.createBoxRefresh(this.#ownRecord)],
+      boxRefreshes: [protocol.createBoxRefresh(this.#self)],
       serverRefreshes: this.#drainServerRefreshes(),
     };
     const relay = this.#chooseRelay();
-    const subscribing: protocol.GossipMessage = {
-      ...message,
-      wantsRelay: true,
-    };
+    const toRelay: protocol.GossipMessage = { ...message, wantsRelay: true };
     for (const coreId of this.#listCoreIds()) {
-      this.#send(coreId, coreId === relay ? subscribing : message);
+      this.#send(coreId, coreId === relay ? toRelay : message);
     }
     this.#options.clock.startTimer(
       REFRESH_INTERVAL_MS,
@@ -292,7 +285,7 @@
       leaving: box.isLeaving,
       sequence: box.sequence,
     });
-    if (this.#ownRecord.isCore) this.#relay.addBox(box);
+    if (this.#self.isCore) this.#relay.addBox(box);
   }
 
   #mergeServer(server: registry.ServerReport, source: string): void {
@@ -306,10 +299,10 @@
       sequence: server.sequence,
       source,
     });
-    if (this.#ownRecord.isCore) this.#relay.addServer(server);
+    if (this.#self.isCore) this.#relay.addServer(server);
   }
 
-  /** Takes a refresh of a box; false when its record must be fetched. */
+  /** Applies a box refresh; returns false if the record must be fetched. */
   #applyBoxRefresh(refresh: protocol.BoxRefresh): boolean {
     if (refresh.id === this.#id) return true;
     const { directory } = this.#options;
@@ -317,13 +310,11 @@
     if (known === undefined) return false;
     if (boxRecords.describeContent(known) !== refresh.content) return false;
     const outcome = directory.merge({ ...known, sequence: refresh.sequence });
-    if (outcome !== "old" && this.#ownRecord.isCore) {
-      this.#relay.refreshBox(refresh);
-    }
+    if (outcome !== "old" && this.#self.isCore) this.#relay.refreshBox(refresh);
     return true;
   }
 
-  /** Takes a refresh of a server; false when its report must be fetched. */
+  /** Applies a server refresh; returns false if the report must be fetched. */
   #applyServerRefresh(refresh: protocol.ServerRefresh): boolean {
     const { servers } = this.#options;
     const known = servers.get(refresh.id);
@@ -339,7 +330,7 @@
     if (refresh.sequence <= known.sequence) return true;
     if (registry.describeContent(known) !== refresh.content) return false;
     const outcome = servers.merge({ ...known, sequence: refresh.sequence });
-    if (outcome !== "old" && this.#ownRecord.isCore) {
+    if (outcome !== "old" && this.#self.isCore) {
       this.#relay.refreshServer(refresh);
     }
     return true;
--- a/src/fleet/fleet_gossip_test.ts
+++ b/src/fleet/fleet_gossip_test.ts
@@ -7,7 +7,7 @@
 const CORE = ["c1", "c2", "c3"];
 const ALL = [...CORE, "p1", "p2"];
 
-describe("fleet link", () => {
+describe("fleet gossip", () => {
   let fleet = new fixtures.FakeFleet();
 
   beforeEach(async () => {
@@ -16,14 +16,14 @@
     await fleet.advanceBy(2_000);
   });
 
-  it("finds every box from the seeds", () => {
+  it("discovers every box from the seeds", () => {
     for (const box of fleet.boxes.values()) {
       const found = box.directory.listAlive().map((record) => record.id);
       chai.expect(found.toSorted()).to.deep.equal(ALL);
     }
   });
 
-  it("keeps every server known everywhere, whichever box takes its heartbeats", async () => {
+  it("keeps every server known to all boxes, whichever box receives its heartbeats", async () => {
     for (let round = 1; round <= 10; round += 1) {
       for (const id of ALL) {
         fleet.boxes.get(id)?.handleHeartbeat(
@@ -39,7 +39,7 @@
     }
   });
 
-  it("tells all that a server leaves before the call of the server returns", () => {
+  it("propagates a draining server to all boxes before the server's call returns", () => {
     const report = fixtures.createReport("s-1", 1);
     fleet.boxes.get("p1")?.handleHeartbeat(report);
     fleet.boxes.get("p2")?.handleHeartbeat({
@@ -52,7 +52,7 @@
     }
   });
 
-  it("brings core boxes that lost everything up to date from plain boxes", async () => {
+  it("restores the state of restarted core boxes from the other boxes", async () => {
     for (let round = 1; round <= 6; round += 1) {
       if (round === 3) {
         for (const id of CORE) fleet.kill(id);
@@ -68,7 +68,7 @@
     }
   });
 
-  it("does not let a refresh hide that a server leaves", async () => {
+  it("does not let a refresh hide that a server is draining", async () => {
     const report = fixtures.createReport("s-1", 1);
     fleet.boxes.get("p1")?.handleHeartbeat(report);
     await fleet.advanceBy(fixtures.HEARTBEAT_MS);
@@ -76,7 +76,7 @@
     const draining = { ...report, phase: "draining" } as const;
     fleet.boxes.get("p1")?.handleHeartbeat({ ...draining, sequence: 2 });
     for (const id of CORE) fleet.start(id, true);
-    // A box that still takes the server for ready syncs with the core first.
+    // A box with the outdated ready report syncs with the core first.
     await fleet.advanceBy(100);
     fleet.boxes.get("p1")?.handleHeartbeat({ ...draining, sequence: 3 });
     await fleet.advanceBy(fixtures.HEARTBEAT_MS);
@@ -85,10 +85,9 @@
     }
   });
 
-  it("lets a later start of a server win at every box, and a former one at none", async () => {
-    // A server crashed after heartbeat 500 and started again under its id. Its
-    // heartbeats 1, 2 and 3 were held for old at each box that knew the 500,
-    // and refreshes of the former start raised the later one's sequence.
+  it("prefers a restarted server process over its predecessor at every box", async () => {
+    // The restarted process begins with sequence 1, below that of its
+    // predecessor, and refreshes of the predecessor still arrive.
     const former = { ...fixtures.createReport("s-1", 500), born: 1_000 };
     const later = { ...fixtures.createReport("s-1", 1), born: 2_000 };
     fleet.boxes.get("p1")?.handleHeartbeat(former);
@@ -111,7 +110,7 @@
     }
   });
 
-  it("takes no refresh of a former start from a box that missed the later one", async () => {
+  it("ignores refreshes of a former process from a box that missed its restart", async () => {
     const former = { ...fixtures.createReport("s-1", 500), born: 1_000 };
     const later = { ...fixtures.createReport("s-1", 1), born: 2_000 };
     fleet.boxes.get("p1")?.handleHeartbeat(former);
@@ -128,7 +127,7 @@
     }
   });
 
-  it("tells each box of a change about once, however many core boxes there are", async () => {
+  it("sends each change to a box about once, however many core boxes there are", async () => {
     const largeFleet = new fixtures.FakeFleet();
     const core = ["c1", "c2", "c3", "c4", "c5", "c6", "c7", "c8"];
     const plain = Array.from({ length: 32 }, (_, index) => `p${index + 1}`);
@@ -149,12 +148,12 @@
     for (const box of largeFleet.boxes.values()) {
       chai.expect(box.listReadyServers().length).to.equal(plain.length);
     }
-    // 32 changes told to 8 core boxes each, then gathered: some messages to
-    // each of 40 boxes. Each core box telling all boxes would be 10,240.
+    // 32 changes are sent to 8 core boxes each and then relayed in batches to
+    // 40 boxes. Without batches, 8 core boxes would send 10,240 messages.
     chai.expect(changeMessages).to.be.lessThan(32 * 8 + 40 * 8);
   });
 
-  it("joins two groups that found each other late, each with core boxes of its own", async () => {
+  it("merges two partitions, each with its own core boxes, once they can connect", async () => {
     const splitFleet = new fixtures.FakeFleet();
     const ids = ["c1", "c2", "p1", "c3", "c4", "p2"];
     splitFleet.partitions = [["c1", "c2", "p1"], ["c3", "c4", "p2"]];
@@ -168,19 +167,19 @@
     }
   });
 
-  it("repeats nothing to a box that knows the same", async () => {
+  it("answers a sync request with nothing when both boxes hold the same state", async () => {
     const first = fleet.boxes.get("c1");
     first?.handleHeartbeat(fixtures.createReport("s-1", 1));
     first?.configuration.offer({ version: 7, text: "seven" });
     first?.gossip.publishConfiguration();
     await fleet.advanceBy(1_000);
-    const asker = fleet.boxes.get("p1");
-    const record = asker?.directory.get("p1");
-    if (asker === undefined || record === undefined) {
+    const requester = fleet.boxes.get("p1");
+    const record = requester?.directory.get("p1");
+    if (requester === undefined || record === undefined) {
       throw new Error("there is no box p1");
     }
     const syncService = new syncServices.SyncService({
-      ...asker,
+      ...requester,
       getOwnRecord: () => record,
     });
     const reply = await fleet.getPeer("c1").call<protocol.SyncReply>(
@@ -193,7 +192,7 @@
     chai.expect(reply.configuration).to.equal(undefined);
   });
 
-  it("brings a configuration to every box, also to one that starts late", async () => {
+  it("distributes a configuration to every box, including one that starts later", async () => {
     const first = fleet.boxes.get("c1");
     first?.configuration.offer({ version: 7, text: "seven" });
     first?.gossip.publishConfiguration();
@@ -205,7 +204,7 @@
     }
   });
 
-  it("keeps a box known to a core box that it can't reach, through the others", async () => {
+  it("keeps a box alive at a core box that it can't reach, through the other core boxes", async () => {
     const plain = fleet.boxes.get("p1");
     const core = fleet.boxes.get("c2");
     fleet.cutLinks = new Set(["p1>c2", "c2>p1"]);
@@ -220,7 +219,7 @@
     }
   });
 
-  it("tells of a leaving box at once, and of a dead one within two seconds", async () => {
+  it("reports a leaving box as leaving and a dead one as gone within two seconds", async () => {
     const leaving = fleet.boxes.get("p1");
     if (leaving === undefined) throw new Error("there is no box p1");
     leaving.isLeaving = true;
--- a/src/fleet/former_record_test.ts
+++ b/src/fleet/former_record_test.ts
@@ -5,13 +5,9 @@
 import * as recordFixtures from "./box_record_fixture_test.ts";
 
 /*
- * Where a box's clock was stepped back before its process was started again, other
- * boxes take the new record once they have not heard the former process for 1.8 s,
- * each at its own time. One that has taken it still takes the former record from
- * one that has not, as that names the later start, and refuses the living process
- * for 1.8 s more. Nine boxes that exchange their records each 2 s so pass the record
- * of a process that is no more to and fro, and take it for alive and ready: for
- * 5 s and more in one of ten runs, for 23 s at the longest of a hundred.
+ * After a restart with a clock that was stepped back, boxes accept the new record at
+ * different times. A box that has accepted it must not go back to the former record
+ * that another box still sends, or the dead process would seem alive.
  */
 
 const FORMER = recordFixtures.FORMER_RECORD;
@@ -22,8 +18,8 @@
   sequence: 1,
 };
 
-describe("box directory of a box whose clock was stepped back", () => {
-  it("takes no record of its former process after one of the later", () => {
+describe("box directory after a restart with a clock that was stepped back", () => {
+  it("rejects records of the former process after one of its successor", () => {
     const clock = new clocks.FakeClock();
     const directory = new boxDirectories.BoxDirectory(clock);
     directory.merge(FORMER);
--- a/src/fleet/mod.ts
+++ b/src/fleet/mod.ts
@@ -1,12 +1,13 @@
 /**
- * The boxes of a deployment, found from seeds, and the news they spread.
+ * Discovery of the boxes of a deployment from seeds, and the gossip protocol by
+ * which they exchange box records, server reports and the configuration.
  *
  * @example
  * ```ts
  * import * as fleet from "../fleet/mod.ts";
  * const directory = new fleet.BoxDirectory(clock);
- * const link = new fleet.FleetLink({ directory, ...options });
- * link.start();
+ * const gossip = new fleet.FleetGossip({ directory, ...options });
+ * gossip.start();
  * ```
  * @module
  */
--- a/src/fleet/peer_pool.ts
+++ b/src/fleet/peer_pool.ts
@@ -1,21 +1,21 @@
 import * as rpc from "../rpc/mod.ts";
 
-/** Other boxes by their ids. */
+/** Gives access to other boxes by id. */
 export interface Peers {
   get(id: string): rpc.Peer;
 }
 
-/** Connections to other boxes, one a box, made on demand. */
+/** Pool of connections to other boxes: one for each box, created on demand. */
 export class PeerPool implements Peers {
   readonly #port: number;
   readonly #clients = new Map<string, rpc.RpcClient>();
 
-  /** @param port Peer port, the same on every box. */
+  /** @param port Port for connections between boxes, the same on every box. */
   constructor(port: number) {
     this.#port = port;
   }
 
-  /** Gives the client of a box by its id, which is its address. */
+  /** Returns the client for a box; its id is the IP address to connect to. */
   get(id: string): rpc.RpcClient {
     const known = this.#clients.get(id);
     if (known !== undefined) return known;
@@ -24,6 +24,7 @@
     return client;
   }
 
+  /** Closes all connections. */
   close(): void {
     for (const client of this.#clients.values()) client.close();
   }
--- a/src/fleet/protocol.ts
+++ b/src/fleet/protocol.ts
@@ -3,78 +3,87 @@
 import type * as trafficConfig from "../traffic_config/mod.ts";
 import * as boxRecords from "./box_record.ts";
 
-/** Names of the calls between boxes. */
+/** Names of the RPC methods between boxes. */
 export const METHODS = {
   news: "fleet.news",
   sync: "fleet.sync",
   readConfiguration: "fleet.readConfiguration",
 } as const;
 
-/** Says that a box still runs, without repeating its record. */
+/** States that a box is still alive, without repeating its record. */
 export interface BoxRefresh {
   readonly id: string;
   readonly sequence: number;
-  /** Description of the record; another one must be fetched. */
+  /** Description of the record; a receiver with another one fetches the record. */
   readonly content: string;
 }
 
-/** Says that a start of a server still runs, without repeating its report. */
+/** States that a server process is still alive, without repeating its report. */
 export interface ServerRefresh extends registry.Lifetime {
   readonly sequence: number;
-  /** Description of the report; another one must be fetched. */
+  /** Description of the report; a receiver with another one fetches the report. */
   readonly content: string;
 }
 
-/** What one box tells another; every part may be lost and repeated. */
+/**
+ * State that one box sends to another. Messages may be lost or repeated;
+ * merging them is idempotent.
+ */
 export interface GossipMessage {
+  /** Id of the sender. */
   readonly from: string;
-  /** Whether the sender wants to be told of refreshes from now on. */
+  /** Whether the sender subscribes to the receiver's relay, or renews this. */
   readonly wantsRelay: boolean;
   readonly boxes: readonly boxRecords.BoxRecord[];
   readonly servers: readonly registry.ServerReport[];
   readonly boxRefreshes: readonly BoxRefresh[];
   readonly serverRefreshes: readonly ServerRefresh[];
-  /** Version of the configuration that the sender holds; 0 for none. */
+  /** Version of the sender's configuration; 0 for none. */
   readonly configurationVersion: number;
-  /** The configuration itself, where it is new. */
+  /** The configuration itself, when it was just adopted; otherwise undefined. */
   readonly configuration: trafficConfig.StoredConfiguration | undefined;
-  /** Work under which servers ended; undefined from a version before. */
+  /** Work during which servers crashed; undefined from older versions. */
   readonly crashes?: readonly crashRecords.CrashRecord[];
 }
 
-/** Records that one box asks another for. */
+/** Selects the records of a sync request. */
 export type WantedRecords =
-  /** Everything, unless the asker's digest of what it knows is the same. */
+  /** All records, unless the digest equals that of the answering box. */
   | { readonly kind: "differing"; readonly digest: string }
+  /** The boxes and servers with these ids. */
   | { readonly kind: "named"; readonly ids: readonly string[] };
 
-/** Asks for what a box knows and the asker does not. */
+/** Requests the records that the requester lacks. */
 export interface SyncRequest {
+  /** Record of the requester. */
   readonly record: boxRecords.BoxRecord;
-  /** What to tell of. */
+  /** Boxes and servers whose records are requested. */
   readonly wanted: WantedRecords;
-  /** Version of the configuration that the asker holds; 0 for none. */
+  /** Version of the requester's configuration; 0 for none. */
   readonly configurationVersion: number;
-  /** Description of the work under which servers ended, as the asker knows it. */
+  /**
+   * Description of the requester's crash records; undefined from older
+   * versions, which get none in reply.
+   */
   readonly crashes?: string;
 }
 
-/** What a box knows and the asker does not. */
+/** Answer to a sync request. */
 export interface SyncReply {
   readonly boxes: readonly boxRecords.BoxRecord[];
   readonly servers: readonly registry.ServerReport[];
-  /** Undefined where the asker's is as new. */
+  /** Undefined if the requester's is as new. */
   readonly configuration: trafficConfig.StoredConfiguration | undefined;
-  /** Undefined where the asker knows the same. */
+  /** All crash records; undefined if the requester holds the same. */
   readonly crashes?: readonly crashRecords.CrashRecord[];
 }
 
 /**
- * Makes news that say nothing yet.
+ * Creates a message without records or refreshes.
  *
  * @param from Id of the sender.
- * @param configurationVersion Version that it holds.
- * @returns Empty news.
+ * @param configurationVersion Version of its configuration; 0 for none.
+ * @returns The message.
  */
 export function createGossipMessage(
   from: string,
@@ -93,7 +102,7 @@
 }
 
 /**
- * Shortens a record that says nothing new.
+ * Creates the refresh that stands in for an unchanged record.
  *
  * @param record The record.
  * @returns Its refresh.
@@ -104,7 +113,7 @@
 }
 
 /**
- * Shortens a report that says nothing new.
+ * Creates the refresh that stands in for an unchanged report.
  *
  * @param server The report.
  * @returns Its refresh.
