--- a/src/fleet/fleet_gossip_test.ts
+++ b/src/fleet/fleet_gossip_test.ts
@@ -149,7 +149,8 @@
       chai.expect(box.listReadyServers().length).to.equal(plain.length);
     }
     // 32 changes are sent to 8 core boxes each and then relayed in batches to
-    // 40 boxes. Without batches, 8 core boxes would send 10,240 messages.
+    // 40 boxes. If each core box sent each change to all boxes, it would take
+    // 10,240 messages.
     chai.expect(changeMessages).to.be.lessThan(32 * 8 + 40 * 8);
   });
 
--- a/src/usage/_step_filtered_clock.ts
+++ b/src/usage/_step_filtered_clock.ts
@@ -1,19 +1,21 @@
 import type * as clocks from "../clock/mod.ts";
 
-/** Step of the time of day from which it is not followed at once, in ms. */
+/** Larger steps of the wall clock are not adopted at once, in ms. */
 const STEP_THRESHOLD_MS = 1_000;
-/** Time for which a stepped time of day must stay before it is followed, in ms. */
+/** Time for which a step must persist before it is adopted, in ms. */
 const STEP_CONFIRMATION_MS = 30_000;
 
 /**
- * The time of day, not following a step of the clock before it has stayed. A leader
- * whose clock was 300 s ahead for 8 s had 58 windows agreed on as empty, and what
- * was counted in them later was never reported.
+ * Wall clock that ignores steps until they have persisted for a while. Otherwise a
+ * leader whose clock is ahead for some seconds closes windows that have not begun,
+ * and what is counted in them later is never reported. Steps are noticed only when
+ * the clock is read, so it must be read regularly.
  */
 export class StepFilteredClock {
   readonly #clock: clocks.Clock;
-  /** Time of day less monotonic time that is followed, in ms. */
+  /** Adopted difference between wall and monotonic time, in ms. */
   #offsetMs: number | undefined;
+  /** Offset of a step that is not adopted yet, and when it was first seen. */
   #pendingStep:
     | { readonly offsetMs: number; readonly sinceMs: number }
     | undefined;
@@ -22,7 +24,7 @@
     this.#clock = clock;
   }
 
-  /** The time of day, in Unix ms. */
+  /** Returns the filtered wall-clock time, in Unix ms. */
   getWallMs(): number {
     const nowMs = this.#clock.getMonotonicMs();
     const offsetMs = this.#clock.getWallMs() - nowMs;
--- a/src/usage/clock_ahead_test.ts
+++ b/src/usage/clock_ahead_test.ts
@@ -9,10 +9,8 @@
 import type * as usageWindows from "./usage_window.ts";
 
 /*
- * A leader whose time of day is some minutes ahead for some seconds has all windows
- * agreed on that have ended by that time, without a request in them. Nothing is
- * taken back: once the clock is right again, all that the boxes count in those
- * windows comes late and is never reported, for as long as the clock was ahead.
+ * A leader whose wall clock is minutes ahead for some seconds must not close windows
+ * that have not begun: closed windows stay closed, so their usage would be lost.
  */
 
 const TIMES: usageWindows.WindowTimings = {
@@ -24,7 +22,7 @@
 const AHEAD_FOR_MS = 8_000;
 const SETTLED_MS = 30_000;
 
-describe("usage under a leader whose clock was ahead for a while", () => {
+describe("usage after the leader's clock was ahead for some seconds", () => {
   it("is reported once the clock is right again", async () => {
     const clock = new clocks.FakeClock(START_MS);
     const state = new usageStates.UsageState();
@@ -51,7 +49,7 @@
         },
       } as unknown as replicaGroups.ReplicaGroup,
       duty: {
-        // Nothing is sent here; what is agreed on tells enough.
+        // Suppresses the HTTP call; the test looks at the closed windows only.
         canAct: () => {
           const canAct = !isSending;
           isSending = false;
@@ -87,7 +85,7 @@
       item.window === window
     );
     const description =
-      `window ${window}, agreed on up to ${state.getLastClosed()}`;
+      `window ${window}, closed through ${state.getLastClosed()}`;
     chai.expect(closed?.counts, description).to.deep.equal({ north: 7 });
   });
 });
--- a/src/usage/mod.ts
+++ b/src/usage/mod.ts
@@ -1,12 +1,12 @@
 /**
- * Usage of client accounts: counted by every box, agreed on by window, reported
- * by one box at a time.
+ * Usage of client accounts: counted on every box, committed to the replicated log
+ * one time window at a time, and reported to the infrastructure by one box.
  *
  * @example
  * ```ts
  * import * as usages from "../usage/mod.ts";
- * const teller = new usages.UsageTeller(options);
- * teller.count("north", clock.getWallMs());
+ * const recorder = new usages.UsageRecorder(options);
+ * recorder.count("north", clock.getWallMs());
  * ```
  * @module
  */
--- a/src/usage/protocol.ts
+++ b/src/usage/protocol.ts
@@ -1,18 +1,18 @@
 import type * as replicaGroups from "../replica_group/mod.ts";
 import type * as usageTotals from "./usage_totals.ts";
 
-/** Names of the calls to the leader of the stores. */
+/** Names of the RPC methods that the leader of the stores serves. */
 export const METHODS = { tell: "usage.tell" } as const;
 
-/** Running totals of one box. */
+/** Sends the running totals of one box. */
 export interface TotalsRequest {
-  /** Id of the box and when it started. */
+  /** Id of the box and its start time; identifies the process that counted. */
   readonly source: string;
   readonly totals: readonly usageTotals.UsageTotal[];
 }
 
-/** The leader's answer. */
+/** Answer of the leader, or of a box that is not the leader. */
 export type TotalsReply =
   | replicaGroups.NotLeader
-  /** Newest window that is agreed on; nothing up to it is wanted again. */
+  /** Latest closed window; totals through it need not be sent again. */
   | { readonly kind: "done"; readonly lastClosed: number | undefined };
--- a/src/usage/usage_recorder.ts
+++ b/src/usage/usage_recorder.ts
@@ -5,27 +5,29 @@
 import * as usageWindows from "./usage_window.ts";
 
 /**
- * Between two looks whether there is something to tell, in ms. A box that dies
- * takes with it what it counted in this time.
+ * Interval at which totals are sent, in ms. If the box fails, what it counted
+ * since it last sent its totals is lost.
  */
 const SEND_INTERVAL_MS = 300;
+/** Timeouts of sending the totals: in all, and for each attempt, in ms. */
 const CALL_TIMES: replicaGroups.CallTimes = { totalMs: 1_500, tryMs: 600 };
 
-/** What a usage teller needs. */
+/** Dependencies of a usage recorder. */
 export interface UsageRecorderOptions {
   readonly clock: clocks.Clock;
   readonly stores: replicaGroups.LeaderCaller;
-  /** Id of this box and when it started. */
+  /** Id of this box and its start time; identifies this process. */
   readonly source: string;
   readonly times: usageWindows.WindowTimings;
-  /** Names the leader of the stores and its term, as boxes tell it. */
+  /** Describes the leader of the stores and its term, as known from gossip. */
   readonly describeLeader: () => string;
 }
 
-/** Counts the requests of accounts at this box, and tells the stores. */
+/** Counts the requests of accounts on this box and sends the totals to the leader. */
 export class UsageRecorder {
   readonly #options: UsageRecorderOptions;
   readonly #counter = new usageTotals.UsageCounter();
+  /** Description of the leader that last accepted the totals. */
   #sentToLeader = "";
   #isSending = false;
   #isStopped = false;
@@ -34,12 +36,18 @@
     this.#options = options;
   }
 
-  /** Counts a request that a server began at a moment of wall time, in ms. */
+  /**
+   * Counts a request.
+   *
+   * @param account Name of its client account.
+   * @param startedAtMs Wall-clock time at which a server began it, in Unix ms.
+   */
   count(account: string, startedAtMs: number): void {
     const window = usageWindows.getWindow(startedAtMs, this.#options.times);
     this.#counter.count(window, account);
   }
 
+  /** Sends new totals, now and at each interval, until stopped. */
   start(): void {
     if (this.#isStopped) return;
     this.#discardStale();
@@ -57,7 +65,10 @@
     this.#counter.discardThrough(oldest - 1);
   }
 
-  /** Tells a new leader everything: it knows only what it is told. */
+  /**
+   * Sends all totals if some are unsent or the leader is new, as a new leader
+   * has none. Discards the windows that the leader has closed.
+   */
   async #sendTotals(): Promise<void> {
     const { stores, source, describeLeader } = this.#options;
     const leader = describeLeader();
--- a/src/usage/usage_reporter.ts
+++ b/src/usage/usage_reporter.ts
@@ -12,25 +12,25 @@
 import * as usageTotals from "./usage_totals.ts";
 import * as usageWindows from "./usage_window.ts";
 
-/** Between two looks at what is to be agreed on and reported, in ms. */
+/** Interval of the checks for windows to close or report, in ms. */
 const CHECK_INTERVAL_MS = 200;
-/** Longest wait for a commit, in ms. */
+/** Timeout for committing a command, in ms. */
 const COMMIT_TIMEOUT_MS = 1_000;
 /**
- * Time for which a new leader awaits what boxes tell it, in ms. They learn of it
- * within some 500 ms and tell it within 300 more.
+ * Delay after an election before the new leader closes windows, in ms. The boxes
+ * discover it and send it their totals in this time.
  */
 const COLLECT_DELAY_MS = 1_500;
-/** Pause after a report that was not taken, in ms; it doubles up to the most. */
+/** Backoff after a report that failed, in ms; doubles up to the maximum. */
 const INITIAL_BACKOFF_MS = 250;
 const MAX_BACKOFF_MS = 2_000;
-/** Closed windows whose totals are kept, to tell late ones from repeated ones. */
+/** Closed windows whose totals are kept, to recognize repeated totals. */
 const RETAINED_WINDOWS = 4;
-/** Statuses after which the same report may still be taken. */
+/** HTTP statuses after which a report is sent again: 429 and from 500 on. */
 const TOO_MANY_REQUESTS_STATUS = 429;
 const FIRST_SERVER_ERROR_STATUS = 500;
 
-/** What a usage reporter needs. */
+/** Dependencies of a usage reporter. */
 export interface UsageReporterOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
@@ -41,13 +41,14 @@
   readonly duty: duties.DutyHolder;
   readonly state: usageStates.UsageState;
   readonly times: usageWindows.WindowTimings;
-  /** Address of the infrastructure. */
+  /** Address of the infrastructure, which receives the reports. */
   readonly endpoint: fleetSettings.Endpoint;
 }
 
 /**
- * Gathers what boxes counted, has the counts of each window agreed on once it
- * has settled, and reports them; one box at a time does.
+ * Collects the running totals of all boxes, closes each window through the
+ * replicated log, and reports the closed windows in order. Only the box that
+ * holds the duty closes and reports.
  */
 export class UsageReporter {
   readonly #options: UsageReporterOptions;
@@ -69,6 +70,7 @@
     );
   }
 
+  /** Runs a check, now and at each interval, until stopped. */
   start(): void {
     if (this.#isStopped) return;
     if (!this.#isBusy) void this.#runOnce();
@@ -79,6 +81,7 @@
     this.#isStopped = true;
   }
 
+  /** Merges the totals of a box; logs implausible ones and those that are late. */
   #handleTotals(
     { source, totals }: protocol.TotalsRequest,
   ): protocol.TotalsReply {
@@ -120,6 +123,7 @@
     }
   }
 
+  /** Sets the metric of the time since the oldest unreported window ended. */
   #updateAgeMetric(): void {
     const { state, metrics, clock, times } = this.#options;
     const [oldest] = state.listUnreported();
@@ -129,6 +133,7 @@
     metrics.setUnreportedMs(ageMs);
   }
 
+  /** Closes the windows that are due, oldest first, up to the first failure. */
   async #closeDueWindows(): Promise<void> {
     const { duty, state, times, log } = this.#options;
     const wallMs = this.#filteredClock.getWallMs();
@@ -155,7 +160,11 @@
     }
   }
 
-  /** Reports the oldest window; what is sent was agreed on before. */
+  /**
+   * Reports the oldest unreported window with its committed counts, and marks it
+   * as reported once the report was accepted or refused for good. A window that
+   * is too old is abandoned.
+   */
   async #reportOldest(): Promise<void> {
     const { clock, duty, state, dialect, endpoint, log, times } = this.#options;
     const [next] = state.listUnreported();
@@ -199,7 +208,7 @@
   }
 }
 
-/** Whether a report was taken, or refused so that repeating it is no use. */
+/** Whether a report was accepted, or refused with a status not worth a retry. */
 function isFinal(outcome: duties.DutyOutcome): boolean {
   switch (outcome.kind) {
     case "taken":
--- a/src/usage/usage_state.ts
+++ b/src/usage/usage_state.ts
@@ -1,35 +1,37 @@
 import type * as usageWindows from "./usage_window.ts";
 
-/** Changes what is agreed on about usage. */
+/** Commands that change the replicated usage state. */
 export type UsageCommand =
-  /** Fixes the counts of a window; whoever reports it repeats just these. */
+  /** Closes a window with its final counts, which every report of it contains. */
   | {
     readonly kind: "closeUsageWindow";
     readonly closed: usageWindows.ClosedWindow;
   }
+  /** Marks a window as reported, or as abandoned. */
   | { readonly kind: "noteUsageReported"; readonly window: number };
 
-/** Saved state of a usage book. */
+/** Usage state as stored in snapshots. */
 export interface SavedUsage {
   readonly lastClosed: number | undefined;
   readonly unreported: readonly usageWindows.ClosedWindow[];
 }
 
-/** The windows whose counts all replicas agree on. */
+/** Replicated state: the closed windows and which of them are unreported. */
 export class UsageState {
   #lastClosed: number | undefined;
   #unreported: readonly usageWindows.ClosedWindow[] = [];
 
-  /** Newest window with agreed counts; undefined for none. */
+  /** Latest closed window; undefined if none has been closed. */
   getLastClosed(): number | undefined {
     return this.#lastClosed;
   }
 
-  /** Windows that are not known to be reported, oldest first. */
+  /** Closed windows that are not marked as reported, oldest first. */
   listUnreported(): readonly usageWindows.ClosedWindow[] {
     return this.#unreported;
   }
 
+  /** Applies a committed command. */
   apply(command: UsageCommand): void {
     switch (command.kind) {
       case "closeUsageWindow":
@@ -45,12 +47,13 @@
     return { lastClosed: this.#lastClosed, unreported: this.#unreported };
   }
 
+  /** Replaces the state; `undefined`, from older snapshots, empties it. */
   restore(saved: SavedUsage | undefined): void {
     this.#lastClosed = saved?.lastClosed;
     this.#unreported = saved?.unreported ?? [];
   }
 
-  /** The counts that were fixed first hold. */
+  /** Closes a window; ignored if it or a later one is closed already. */
   #closeWindow(closed: usageWindows.ClosedWindow): void {
     if (closed.window <= (this.#lastClosed ?? -1)) return;
     this.#lastClosed = closed.window;
--- a/src/usage/usage_test.ts
+++ b/src/usage/usage_test.ts
@@ -10,12 +10,12 @@
 };
 
 describe("usage", () => {
-  it("counts by windows of wall time", () => {
+  it("maps wall-clock time to windows", () => {
     chai.expect(usageWindows.getWindow(4_999, TIMES)).to.equal(0);
     chai.expect(usageWindows.getWindow(5_000, TIMES)).to.equal(1);
   });
 
-  it("fixes a window 4 s after its end, long before its report is due", () => {
+  it("closes a window 4 s after its end, before its report is due", () => {
     chai.expect(usageWindows.listDueWindows(1, 18_999, TIMES)).to.deep.equal(
       [],
     );
@@ -24,7 +24,7 @@
     );
   });
 
-  it("fixes each window between, and leaves out what is long overdue", () => {
+  it("closes every missed window except those that are stale", () => {
     chai.expect(usageWindows.listDueWindows(1, 29_500, TIMES)).to.deep.equal(
       [2, 3, 4],
     );
@@ -33,12 +33,12 @@
     chai.expect(overdue.at(-1)).to.equal(718);
   });
 
-  it("begins with the newest ended window", () => {
+  it("starts with the latest due window", () => {
     chai.expect(usageWindows.listDueWindows(undefined, 99_000, TIMES)).to.deep
       .equal([18]);
   });
 
-  it("sums totals of boxes whatever order they come in and how often", () => {
+  it("sums the totals of boxes regardless of order and repetition", () => {
     const totals = [
       { source: "a 1", count: 1 },
       { source: "a 1", count: 3 },
@@ -62,7 +62,7 @@
     );
   });
 
-  it("takes no nonsense for a total", () => {
+  it("rejects implausible totals", () => {
     const valid = { window: 100, account: "north", count: 1 };
     function isAccepted(changes: object): boolean {
       const total = { ...valid, ...changes };
@@ -83,7 +83,7 @@
     chai.expect(invalid.filter(isAccepted)).to.deep.equal([]);
   });
 
-  it("keeps the totals of a box until they are agreed on", () => {
+  it("keeps the totals of a box until their window is closed", () => {
     const counter = new usageTotals.UsageCounter();
     counter.count(7, "north");
     counter.count(7, "north");
@@ -101,7 +101,7 @@
     chai.expect(counter.isEmpty()).to.equal(true);
   });
 
-  it("holds to the counts that were agreed on first, over a restart too", () => {
+  it("keeps the counts with which a window was first closed, also after a restore", () => {
     const state = new usageStates.UsageState();
     function close(window: number, count: number): void {
       const counts = { north: count };
--- a/src/usage/usage_totals.ts
+++ b/src/usage/usage_totals.ts
@@ -1,6 +1,6 @@
 import * as usageWindows from "./usage_window.ts";
 
-/** Running total of an account in a window at one box. */
+/** Requests of an account in a window that one box has counted so far. */
 export interface UsageTotal {
   readonly window: number;
   readonly account: string;
@@ -8,13 +8,13 @@
 }
 
 /**
- * Tells whether a total can be what a box counted: its clock may be off by a
- * window, no more.
+ * Validates a total from another box: its fields, and that its window is neither
+ * stale nor more than one window ahead, as a clock may differ by that much.
  *
- * @param total The total, from another box.
- * @param wallMs Wall time, in ms.
- * @param times Windows.
- * @returns Whether to take it.
+ * @param total The total.
+ * @param wallMs Wall-clock time, in Unix ms.
+ * @param times Window length and report delay.
+ * @returns Whether the total is plausible.
  */
 export function isPlausible(
   { window, account, count }: UsageTotal,
@@ -27,12 +27,12 @@
     window <= usageWindows.getWindow(wallMs, times) + 1;
 }
 
-/** What one box counted since its start. */
+/** Counts the requests of accounts on one box, by window. */
 export class UsageCounter {
   readonly #windows = new Map<number, Map<string, number>>();
   #hasUnsent = false;
 
-  /** Counts a request of an account in a window. */
+  /** Adds a request of an account to a window. */
   count(window: number, account: string): void {
     const counts = this.#windows.get(window) ?? new Map<string, number>();
     counts.set(account, (counts.get(account) ?? 0) + 1);
@@ -40,7 +40,7 @@
     this.#hasUnsent = true;
   }
 
-  /** Whether something was counted since the totals were taken. */
+  /** Whether there are totals to send, new ones or ones marked as unsent. */
   hasUnsent(): boolean {
     return this.#hasUnsent;
   }
@@ -49,7 +49,7 @@
     return this.#windows.size === 0;
   }
 
-  /** Running totals of all windows that are not forgotten. */
+  /** Returns the totals of all kept windows and marks them as sent. */
   takeTotals(): readonly UsageTotal[] {
     this.#hasUnsent = false;
     return [...this.#windows].flatMap(([window, counts]) =>
@@ -57,27 +57,31 @@
     );
   }
 
-  /** Has the totals told again, as none of them may have arrived. */
+  /** Marks the totals as unsent, after sending them failed. */
   markUnsent(): void {
     this.#hasUnsent = true;
   }
 
-  /** Forgets windows up to one that is agreed on. */
+  /** Discards the windows up to and including one. */
   discardThrough(window: number): void {
     deleteThrough(this.#windows, window);
   }
 }
 
-/** Running totals of boxes, whatever order they come in and how often. */
+/**
+ * Aggregates the running totals of all boxes. The result depends neither on the
+ * order in which totals arrive nor on repetitions.
+ */
 export class UsageTotals {
-  /** Highest total by window, then by box, its start and account. */
+  /** Highest total, by window, then by source and account. */
   readonly #windows = new Map<number, Map<string, UsageTotal>>();
 
   /**
-   * Takes a running total; the highest holds, so that nothing counts twice.
+   * Merges a running total, keeping the highest of each source.
    *
-   * @param source The box and its start; another start counts anew.
-   * @returns Whether it says more than was known.
+   * @param source Id and start time of the box; a restarted box is a new source.
+   * @param total The total.
+   * @returns Whether it is higher than the one known before.
    */
   merge(source: string, total: UsageTotal): boolean {
     const totals = this.#windows.get(total.window) ?? new Map();
@@ -89,7 +93,7 @@
     return isHigher;
   }
 
-  /** Sums a window over all boxes, by account. */
+  /** Sums the totals of a window over all sources, by account. */
   sum(window: number): usageWindows.UsageCounts {
     const counts: Record<string, number> = {};
     for (const total of this.#windows.get(window)?.values() ?? []) {
@@ -98,7 +102,7 @@
     return counts;
   }
 
-  /** Forgets windows up to one that is agreed on. */
+  /** Discards the windows up to and including one. */
   discardThrough(window: number): void {
     deleteThrough(this.#windows, window);
   }
--- a/src/usage/usage_window.ts
+++ b/src/usage/usage_window.ts
@@ -1,51 +1,48 @@
-/** Windows of wall-clock time in which usage is counted. */
+/** Length and report delay of the wall-clock windows in which usage is counted. */
 export interface WindowTimings {
-  /** Length of a window, in ms; window k begins k lengths after 1970. */
+  /** Length of a window, in ms; window k begins k lengths after the Unix epoch. */
   readonly windowMs: number;
-  /** Time after a window's end at which its report is due, in ms. */
+  /** Time from the end of a window until its report is due, in ms. */
   readonly reportDelayMs: number;
 }
 
-/** Requests that began to run, by the name of their client account. */
+/** Number of requests that began to run, by name of their client account. */
 export type UsageCounts = Readonly<Record<string, number>>;
 
-/** A window and what is reported of it. */
+/** A window with its final counts. */
 export interface ClosedWindow {
   readonly window: number;
   readonly counts: UsageCounts;
 }
 
 /**
- * Share of the time until a report is due for which totals are awaited. What
- * boxes tell late is lost to the report; what remains is for its way, and for
- * another holder, which takes some 3.3 s to begin.
+ * Fraction of the report delay after which a window is closed. Totals that arrive
+ * later are not reported; the rest of the delay is left for sending the report,
+ * and for a failover to another box.
  */
 const SETTLE_FRACTION = 0.4;
-/**
- * Age up to which windows are still reported, as a multiple of the time until
- * they are due. Older ones help nobody, as after an hour without a quorum.
- */
+/** Age up to which windows are still reported, as a multiple of the report delay. */
 const STALE_FACTOR = 3;
 
 /**
- * Says which window a moment lies in.
+ * Returns the window that contains a point in time.
  *
- * @param wallMs Wall time, in ms.
- * @param times Windows.
- * @returns The window's number.
+ * @param wallMs Wall-clock time, in Unix ms.
+ * @param times Window length and report delay.
+ * @returns Number of the window.
  */
 export function getWindow(wallMs: number, times: WindowTimings): number {
   return Math.floor(wallMs / times.windowMs);
 }
 
 /**
- * Lists the windows whose counts should be agreed on now, oldest first.
+ * Lists the windows that are due to be closed, oldest first.
  *
- * @param lastClosed Newest window that is agreed on; undefined for none.
- * @param wallMs Wall time, in ms.
- * @param times Windows.
- * @returns Windows that ended long enough ago; where none was agreed on before,
- * the newest of them alone.
+ * @param lastClosed Latest closed window; undefined for none.
+ * @param wallMs Wall-clock time, in Unix ms.
+ * @param times Window length and report delay.
+ * @returns The due windows after the last closed one, without stale ones; only
+ * the latest due window if none has been closed.
  */
 export function listDueWindows(
   lastClosed: number | undefined,
@@ -63,11 +60,11 @@
 }
 
 /**
- * Gives the oldest window that is still counted and reported.
+ * Returns the oldest window that is still counted and reported.
  *
- * @param wallMs Wall time, in ms.
- * @param times Windows.
- * @returns The window's number.
+ * @param wallMs Wall-clock time, in Unix ms.
+ * @param times Window length and report delay.
+ * @returns Number of the window.
  */
 export function getOldestWindow(wallMs: number, times: WindowTimings): number {
   return getWindow(wallMs - STALE_FACTOR * times.reportDelayMs, times);
