--- a/src/client_account/account_keys.ts
+++ b/src/client_account/account_keys.ts
@@ -1,22 +1,22 @@
 import * as clientAccounts from "./client_account.ts";
 
-/** Longest key that is looked up, in characters; no account holds a longer one. */
+/** Maximum length of a key, in characters; longer ones match no account. */
 export const MAX_KEY_CHARACTERS = 1_024;
 
-/** A client account whose callers show one of its keys. */
+/** A client account whose callers authenticate with one of its keys. */
 export interface KeyedAccount {
   readonly name: string;
-  /** SHA-256 of each key, in hex; the keys themselves are not held. */
+  /** SHA-256 of each key, in hex; the keys themselves are not stored. */
   readonly keySha256s: readonly string[];
-  /** Rank of its requests, before that of their route; 0 goes first. */
+  /** Priority of its requests, overrides that of their route; 0 is the highest. */
   readonly priority: number | undefined;
 }
 
-/** Who sends a request, as far as its configuration asks. */
+/** Identity of the sender of a request. */
 export type Sender =
-  /** The configuration has no accounts, and asks no one. */
+  /** The configuration has no accounts, so keys are not checked. */
   | { readonly kind: "unasked" }
-  /** No key was shown, and none is needed. */
+  /** No key was sent, and the route requires none. */
   | { readonly kind: "anonymous" }
   | {
     readonly kind: "account";
@@ -24,17 +24,17 @@
     readonly priority: number | undefined;
   };
 
-/** A sender, or why the request is refused. */
+/** The sender of a request, or the reason for refusing the request. */
 export type KeyCheckResult =
   | Sender
   | { readonly kind: "refused"; readonly reason: string };
 
-/** Gives the name of a sender's client account; empty where it has none. */
+/** Returns the name of a sender's client account; empty if it has none. */
 export function getAccountName(sender: Sender): string {
   return sender.kind === "account" ? sender.name : "";
 }
 
-/** The client accounts of a configuration, found by their keys. */
+/** The client accounts of a configuration, indexed by their keys. */
 export class AccountKeys {
   readonly #accounts: readonly KeyedAccount[];
   readonly #byKeySha256 = new Map<string, KeyedAccount>();
@@ -48,11 +48,12 @@
     }
   }
 
+  /** All accounts, in the order of the configuration. */
   list(): readonly KeyedAccount[] {
     return this.#accounts;
   }
 
-  /** Finds the account that holds a key. */
+  /** Finds the account with a key; undefined if there is none. */
   findByKey(key: string): KeyedAccount | undefined {
     if (key === "" || key.length > MAX_KEY_CHARACTERS) return undefined;
     return this.#byKeySha256.get(clientAccounts.hashToken(key));
@@ -60,15 +61,15 @@
 }
 
 /**
- * Says who sends a request.
+ * Authenticates the sender of a request by its key.
  *
- * @param accounts Accounts of the configuration in force; undefined where it
- * has none.
- * @param key The key as it was sent; undefined for none. Several keys in one
- * request are one text that no account holds.
- * @param allowsAnonymous Whether the request's route needs no key.
+ * @param accounts Accounts of the configuration in force; undefined if it has
+ * none.
+ * @param key The key as sent; undefined for none. If a request carries several
+ * keys, they form one text, which matches no account.
+ * @param allowsAnonymous Whether the request's route requires no key.
  * @returns The sender; `refused` for a key that is unknown, on any route, or
- * that is missing where one is needed.
+ * that is missing where one is required.
  */
 export function checkKey(
   accounts: AccountKeys | undefined,
@@ -89,10 +90,11 @@
 }
 
 /**
- * Finds what makes accounts unfit for use.
+ * Validates the accounts of a configuration: names must be unique and not empty,
+ * and no two accounts may share a key.
  *
  * @param accounts The accounts, in the order of the configuration.
- * @returns The first fault with the path of its field, or undefined.
+ * @returns The first error with the path of its field, or undefined.
  */
 export function findAccountError(
   accounts: readonly KeyedAccount[],
@@ -114,13 +116,13 @@
   return undefined;
 }
 
-/** Digits of a key's digest that tell keys apart in a log. */
+/** Number of hex digits of a key's digest in log lines. */
 const LOGGED_DIGEST_DIGITS = 8;
 
 /**
- * Describes a key for a log line, which must not show it.
+ * Describes a key for a log line without revealing it.
  *
- * @param key The key as it was sent; undefined for none.
+ * @param key The key as sent; undefined for none.
  * @returns The first digits of its digest, or `none`.
  */
 export function describeKey(key: string | undefined): string {
--- a/src/client_account/account_keys_test.ts
+++ b/src/client_account/account_keys_test.ts
@@ -20,26 +20,26 @@
     what: string,
     key: string | undefined,
     allowsAnonymous: boolean,
-    verdict: accountKeys.KeyCheckResult["kind"],
+    expectedKind: accountKeys.KeyCheckResult["kind"],
   ])[] = [
     ["a key of an account", "n-2", false, "account"],
-    ["a key where none is needed", "n-1", true, "account"],
-    ["no key where none is needed", undefined, true, "anonymous"],
+    ["a key where none is required", "n-1", true, "account"],
+    ["no key where none is required", undefined, true, "anonymous"],
     ["no key", undefined, false, "refused"],
     ["an unknown key", "x", false, "refused"],
-    ["an unknown key where none is needed", "x", true, "refused"],
+    ["an unknown key where none is required", "x", true, "refused"],
     ["an empty key", "", true, "refused"],
     ["two keys at once", "n-1, n-2", false, "refused"],
     ["a key of 64 KB", "n".repeat(65_536), false, "refused"],
   ];
-  for (const [what, key, allowsAnonymous, verdict] of cases) {
-    it(`judges ${what}: ${verdict}`, () => {
+  for (const [what, key, allowsAnonymous, expectedKind] of cases) {
+    it(`classifies ${what} as ${expectedKind}`, () => {
       const result = accountKeys.checkKey(ACCOUNTS, key, allowsAnonymous);
-      chai.expect(result.kind).to.equal(verdict);
+      chai.expect(result.kind).to.equal(expectedKind);
     });
   }
 
-  it("names the account and its priority", () => {
+  it("returns the account and its priority", () => {
     chai.expect(accountKeys.checkKey(ACCOUNTS, "n-1", false)).to.deep.equal({
       kind: "account",
       name: "north",
@@ -47,7 +47,7 @@
     });
   });
 
-  it("asks no one where the configuration has no accounts", () => {
+  it("checks no key if the configuration has no accounts", () => {
     chai.expect(accountKeys.checkKey(undefined, "x", false).kind).to.equal(
       "unasked",
     );
@@ -67,17 +67,17 @@
     "accounts.0.name: it is empty": [createAccount("", [])],
   };
   for (const [error, accounts] of Object.entries(errorCases)) {
-    it(`finds a fault: ${error}`, () => {
+    it(`reports an error: ${error}`, () => {
       chai.expect(accountKeys.findAccountError(accounts)).to.equal(error);
     });
   }
 
-  it("finds no fault where an account lists one key twice", () => {
+  it("accepts an account that lists one key twice", () => {
     const accounts = [createAccount("north", ["a", "a"])];
     chai.expect(accountKeys.findAccountError(accounts)).to.equal(undefined);
   });
 
-  it("describes a key without showing it", () => {
+  it("describes a key without revealing it", () => {
     const shown = accountKeys.describeKey("secret-key");
     chai.expect(shown).to.match(/^[0-9a-f]{8}$/);
     chai.expect(accountKeys.describeKey(undefined)).to.equal("none");
--- a/src/client_account/client_account.ts
+++ b/src/client_account/client_account.ts
@@ -5,37 +5,39 @@
 
 const MAX_SHARE = 1_000;
 
-/** What a client account may set for itself. */
+/** Schema of the policy that a client account may set for itself. */
 export const accountPolicySchema = z.strictObject({
   stalenessVersions: z.number().int().min(0).default(4)
     .describe(
-      "Oldest weight version that a sample may hold, counted back from the trainer's",
+      "Staleness bound of a sample, in weight versions behind the trainer's",
     ),
   stalenessMs: z.number().int().positive().default(60_000)
-    .describe("Greatest age of a sample when it is handed over, in ms"),
+    .describe("Maximum age of a sample when it is delivered, in ms"),
   stalenessWeight: z.number().min(0).max(1).default(0.5)
-    .describe("1 weighs fresh samples only, 0 weighs trainer idle time only"),
+    .describe(
+      "Weight of fresh samples against trainer idle time; 1 ignores idle time, 0 freshness",
+    ),
   share: z.number().positive().max(MAX_SHARE).default(1)
-    .describe("Share of the capacity against other accounts"),
+    .describe("Share of the capacity, relative to other accounts"),
   maxInFlight: z.number().int().positive().default(1_000)
-    .describe("Caller requests served at once by one box"),
+    .describe("Maximum number of concurrent caller requests on one box"),
 }).readonly();
 
-/** Policy of a client account. */
+/** Validated policy of a client account. */
 export type AccountPolicy = z.infer<typeof accountPolicySchema>;
 
-/** A client account. */
+/** A client account with its tokens and policy. */
 export interface ClientAccount {
   readonly id: string;
-  /** SHA-256 of each token that is valid, in hex. */
+  /** SHA-256 of each valid token, in lower-case hex. */
   readonly tokenSha256s: readonly string[];
   readonly policy: AccountPolicy;
-  /** Configuration revision that last changed it. */
+  /** Configuration revision of its last change. */
   readonly revision: number;
 }
 
 /**
- * Hashes a token; only hashes are kept.
+ * Hashes a token, as only hashes are stored.
  *
  * @param token The token.
  * @returns SHA-256 in lower-case hex.
@@ -45,11 +47,11 @@
 }
 
 /**
- * Checks a change merged onto the policy that it changes.
+ * Applies a change to a policy and validates the result.
  *
- * @param current The policy now; undefined for a new account.
+ * @param current The current policy; undefined for a new account.
  * @param change The values to set.
- * @returns The whole policy, or `badParameters` naming what is wrong.
+ * @returns The complete policy, or `badParameters` that names the invalid values.
  */
 export function checkPolicy(
   current: AccountPolicy | undefined,
--- a/src/client_account/mod.ts
+++ b/src/client_account/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The client account aggregate: who may ask, and under which policy.
+ * Client accounts: authentication by key, and the policy of each account.
  *
  * @example
  * ```ts
--- a/src/fleet_settings/fleet_settings.ts
+++ b/src/fleet_settings/fleet_settings.ts
@@ -17,66 +17,76 @@
   readonly port: number;
 }
 
-/** Schema of the settings of a box that finds the others by seeds. */
+/** Schema of the settings of a box that discovers the others from seeds. */
 export const fleetSettingsSchema = z.object({
   box: z.strictObject({
-    name: z.string().min(1).describe("Name that operators use for the box"),
-    address: z.string().min(7).describe("IP address; it is the box's id"),
+    name: z.string().min(1).describe("Name of the box, for operators"),
+    address: z.string().min(7).describe("IP address, which is the box's id"),
     failureDomain: z.string().min(1),
     region: z.string().min(1),
   }),
   roles: z.strictObject({
     entry: z.boolean().describe("Serves callers, operators and servers"),
-    store: z.boolean().describe("Keeps submissions and their results"),
+    store: z.boolean().describe("Stores submissions and their results"),
   }),
   listen: z.strictObject({
     caller: endpointSchema.optional(),
     ready: endpointSchema.optional(),
     control: endpointSchema.optional(),
     directory: endpointSchema.optional(),
-    metrics: portSchema.optional().describe("Port of the metrics page"),
+    metrics: portSchema.optional().describe("Port of the metrics endpoint"),
     peerPort: portSchema.describe(
-      "Port for other boxes, the same on every box",
+      "Port for connections between boxes, the same on every box",
     ),
   }),
   seeds: z.array(endpointSchema).describe(
-    "Boxes to ask first; they may be gone",
+    "Boxes to contact at startup; some may be down",
+  ),
+  isFirstStart: z.boolean().describe(
+    "True only for the first start, with all disks empty",
+  ),
+  dataFolder: z.string().optional().describe("Folder on a persistent disk"),
+  memoryMb: z.number().positive().describe(
+    "Memory limit of the process, in MB",
   ),
-  isFirstStart: z.boolean().describe("True once, when all disks are empty"),
-  dataFolder: z.string().optional().describe("Folder on a lasting disk"),
-  memoryMb: z.number().positive().describe("Limit of the process, in MB"),
   lossesToBear: z.number().int().min(0).describe(
-    "Boxes with a disk that may be lost at once",
+    "Number of boxes with a disk that may fail at the same time",
   ),
   bounds: z.strictObject({
-    heartbeatMs: z.number().positive().describe("Between servers' heartbeats"),
-    stopMs: z.number().positive().describe("From SIGTERM to SIGKILL, in ms"),
+    heartbeatMs: z.number().positive().describe(
+      "Interval of the servers' heartbeats, in ms",
+    ),
+    stopMs: z.number().positive().describe(
+      "Time from SIGTERM to SIGKILL, in ms",
+    ),
     orderLeaseMs: z.number().positive().describe(
-      "Shortest time between orders of two boxes to one server, in ms",
+      "Minimum time between orders from two boxes to one server, in ms",
     ),
     addressesKeepMs: z.number().positive().describe(
-      "Longest time that callers may keep an answer, in ms",
+      "Maximum time for which callers may cache the addresses, in ms",
     ),
     resultsKeepMs: z.number().positive().describe(
-      "How long results stay readable after the submission, in ms",
+      "Time for which results stay readable after the submission, in ms",
     ),
     usageWindowS: z.number().positive().optional().describe(
-      "Length of the windows in which usage is reported, in s",
+      "Length of the windows by which usage is reported, in s",
     ),
     usageLateS: z.number().positive().optional().describe(
-      "When the report of a window is due after its end, in s",
+      "Time from the end of a window until its report is due, in s",
     ),
   }),
   infrastructure: z.strictObject({
-    address: endpointSchema.describe("Where it takes calls of duties"),
-    duties: z.array(z.string()).describe("Duties that it asks for"),
-  }).optional().describe("Undefined where there are no such duties"),
+    address: endpointSchema.describe("Address of the HTTP API for duties"),
+    duties: z.array(z.string()).describe(
+      "Names of the duties that it requires",
+    ),
+  }).optional().describe("Undefined if the infrastructure requires no duties"),
   capacity: z.strictObject({
     policy: z.enum(["off", "fixed", "planned"]).default("planned").describe(
-      "Who decides how many engines run where a service may be scaled: nobody, their first number, the work",
+      "How the number of engines of a scalable service is chosen: not at all (off), its initial number (fixed), or by demand (planned)",
     ),
     headroom: z.number().min(1).max(4).default(1.2).describe(
-      "Places for each one that open steps need, for the planned policy",
+      "Slots to provide for each one that open steps require, under the planned policy",
     ),
   }).default({ policy: "planned", headroom: 1.2 }),
   log: z.strictObject({
--- a/src/fleet_settings/load_fleet_settings.ts
+++ b/src/fleet_settings/load_fleet_settings.ts
@@ -4,10 +4,10 @@
 import * as fleetSettings from "./fleet_settings.ts";
 
 /**
- * Reads and checks the settings file of a box that finds others by seeds.
+ * Reads and validates the settings file of a box that discovers others from seeds.
  *
  * @param file Path of the YAML file.
- * @returns The settings, or `badSettings` naming every error with its line.
+ * @returns The settings, or `badSettings` that lists every error with its line.
  */
 export function loadFleetSettings(
   file: string,
--- a/src/fleet_settings/mod.ts
+++ b/src/fleet_settings/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of a box that finds the others by seeds.
+ * Settings of a box that discovers the others from seeds.
  *
  * @example
  * ```ts
