--- a/src/fleet/_relay.ts
+++ b/src/fleet/_relay.ts
@@ -43,8 +43,8 @@
   readonly #subscribers = new Map<string, number>();
   readonly #subscriberRefreshes = new RefreshBatch();
   readonly #coreRefreshes = new RefreshBatch();
-  readonly #changedBoxes = new Map<string, boxRecords.BoxRecord>();
-  readonly #changedServers = new Map<string, registry.ServerReport>();
+  readonly #queuedBoxes = new Map<string, boxRecords.BoxRecord>();
+  readonly #queuedServers = new Map<string, registry.ServerReport>();
   readonly #delayedFlush: clocks.GatheredCall;
   #round = 0;
   #isStopped = false;
@@ -116,7 +116,7 @@
 
   /** Queues a changed record; it is sent within BATCH_DELAY_MS. */
   addBox(box: boxRecords.BoxRecord): void {
-    this.#changedBoxes.set(box.id, box);
+    this.#queuedBoxes.set(box.id, box);
     this.#delayedFlush.schedule();
   }
 
@@ -125,7 +125,7 @@
    * sent at once, with all that is queued.
    */
   addServer(server: registry.ServerReport): void {
-    this.#changedServers.set(server.id, server);
+    this.#queuedServers.set(server.id, server);
     if (server.phase === "ready") this.#delayedFlush.schedule();
     else this.#flush();
   }
@@ -138,16 +138,14 @@
 
   #flush(): void {
     if (this.#isStopped) return;
-    if (this.#changedBoxes.size === 0 && this.#changedServers.size === 0) {
-      return;
-    }
+    if (this.#queuedBoxes.size === 0 && this.#queuedServers.size === 0) return;
     this.#broadcast({
       ...this.#options.createMessage(),
-      boxes: [...this.#changedBoxes.values()],
-      servers: [...this.#changedServers.values()],
+      boxes: [...this.#queuedBoxes.values()],
+      servers: [...this.#queuedServers.values()],
     });
-    this.#changedBoxes.clear();
-    this.#changedServers.clear();
+    this.#queuedBoxes.clear();
+    this.#queuedServers.clear();
   }
 
   #broadcast(message: protocol.GossipMessage): void {
--- a/src/fleet/fleet_gossip_test.ts
+++ b/src/fleet/fleet_gossip_test.ts
@@ -128,24 +128,22 @@
   });
 
   it("sends each change to a box about once, however many core boxes there are", async () => {
-    const largeFleet = new fixtures.FakeFleet();
+    const large = new fixtures.FakeFleet();
     const core = ["c1", "c2", "c3", "c4", "c5", "c6", "c7", "c8"];
     const plain = Array.from({ length: 32 }, (_, index) => `p${index + 1}`);
-    for (const id of [...core, ...plain]) {
-      largeFleet.start(id, core.includes(id));
-    }
-    await largeFleet.advanceBy(4_000);
-    const messagesBefore = largeFleet.countDelivered();
-    await largeFleet.advanceBy(1_000);
-    const idleMessages = largeFleet.countDelivered() - messagesBefore;
+    for (const id of [...core, ...plain]) large.start(id, core.includes(id));
+    await large.advanceBy(4_000);
+    const messagesBefore = large.countDelivered();
+    await large.advanceBy(1_000);
+    const idleMessages = large.countDelivered() - messagesBefore;
     for (const [index, id] of plain.entries()) {
       const report = fixtures.createReport(`s-${index}`, 1);
-      largeFleet.boxes.get(id)?.handleHeartbeat(report);
+      large.boxes.get(id)?.handleHeartbeat(report);
     }
-    await largeFleet.advanceBy(1_000);
-    const changeMessages = largeFleet.countDelivered() - messagesBefore -
+    await large.advanceBy(1_000);
+    const changeMessages = large.countDelivered() - messagesBefore -
       2 * idleMessages;
-    for (const box of largeFleet.boxes.values()) {
+    for (const box of large.boxes.values()) {
       chai.expect(box.listReadyServers().length).to.equal(plain.length);
     }
     // 32 changes are sent to 8 core boxes each and then relayed in batches to
