--- a/src/usage/clock_ahead_test.ts
+++ b/src/usage/clock_ahead_test.ts
@@ -58,7 +58,7 @@
         getReignMs: () => Number.POSITIVE_INFINITY,
         getName: () => "store-1",
         getFence: () => 1,
-      } as unknown as duties.DutyHolder,
+      } as unknown as duties.DutyLease,
       endpoint: { address: "127.0.0.1", port: 1 },
     });
     reporter.start();
--- a/src/usage/usage_reporter.ts
+++ b/src/usage/usage_reporter.ts
@@ -38,7 +38,7 @@
   readonly dialect: dialects.Dialect;
   readonly server: rpc.MethodTable;
   readonly group: replicaGroups.ReplicaGroup;
-  readonly duty: duties.DutyHolder;
+  readonly duty: duties.DutyLease;
   readonly state: usageStates.UsageState;
   readonly times: usageWindows.WindowTimings;
   /** Address of the infrastructure, which receives the reports. */
@@ -209,7 +209,7 @@
 }
 
 /** Whether a report was accepted, or refused with a status not worth a retry. */
-function isFinal(outcome: duties.DutyOutcome): boolean {
+function isFinal(outcome: duties.DutyCallOutcome): boolean {
   switch (outcome.kind) {
     case "taken":
       return true;
