--- a/src/capacity/capacity_test.ts
+++ b/src/capacity/capacity_test.ts
@@ -34,19 +34,19 @@
   );
 }
 
-describe("planned capacity", () => {
-  it("adds spot engines for what the lasting ones have no places for", () => {
+describe("capacity plan", () => {
+  it("adds spot engines for demand beyond the lasting engines", () => {
     chai.expect(plan({})).to.deep.equal({ a: 1, b: 1 });
     chai.expect(plan({ neededSlots: 38 })).to.deep.equal({});
   });
 
-  it("spreads them evenly, the cheapest domain first", () => {
+  it("spreads spot engines evenly, the cheapest domain first", () => {
     chai.expect(plan({ neededSlots: 45 })).to.deep.equal({ a: 1, b: 1 });
     chai.expect(plan({ neededSlots: 40 })).to.deep.equal({ b: 1 });
     chai.expect(plan({ neededSlots: 64 })).to.deep.equal({ a: 1, b: 2, c: 1 });
   });
 
-  it("never goes over the most that a domain may have", () => {
+  it("never exceeds the maximum of a failure domain", () => {
     chai.expect(plan({ neededSlots: 10_000 })).to.deep.equal({
       a: 3,
       b: 3,
@@ -54,7 +54,7 @@
     });
   });
 
-  it("asks other domains where one has none, or takes its own back", () => {
+  it("uses other failure domains while one is unavailable", () => {
     const domains = INPUT.domains.map((item) => ({
       ...item,
       isUnavailable: item.domain === "b",
@@ -62,7 +62,7 @@
     chai.expect(plan({ domains })).to.deep.equal({ a: 1, c: 1 });
   });
 
-  it("keeps a few more than needed, and gives many back", () => {
+  it("keeps a small surplus and releases a large one", () => {
     const domains = INPUT.domains.map((item) => ({
       ...item,
       orderedSpot: 1,
@@ -75,7 +75,7 @@
     });
   });
 
-  it("replaces lost lasting engines up to the first number, whatever is asked", () => {
+  it("replaces lost lasting engines up to the baseline with the fixed policy", () => {
     const [first, ...rest] = INPUT.domains;
     const domains = [{ ...first!, lasting: 0 }, ...rest];
     const policy = { kind: "fixed" } as const;
@@ -85,14 +85,14 @@
     });
   });
 
-  it("orders no spot engines that cost nearly as much, or are not offered", () => {
+  it("orders no spot engines that are too expensive or not offered", () => {
     for (const spotPrice of [0.9, undefined]) {
       const limits = { ...INPUT.limits, spotPrice };
       chai.expect(plan({ limits, neededSlots: 500 })).to.deep.equal({});
     }
   });
 
-  it("comes to rest: what it planned needs no change", () => {
+  it("is stable: a fulfilled plan needs no change", () => {
     fastCheck.assert(
       fastCheck.property(
         fastCheck.nat(200),
@@ -102,13 +102,12 @@
             ...item,
             isUnavailable: unavailable[at] === true,
           }));
-          const first = plan({ neededSlots: neededSlots, domains });
+          const first = plan({ neededSlots, domains });
           const after = domains.map((item) => ({
             ...item,
             orderedSpot: first[item.domain] ?? 0,
           }));
-          chai.expect(plan({ neededSlots: neededSlots, domains: after })).to
-            .deep.equal({});
+          chai.expect(plan({ neededSlots, domains: after })).to.deep.equal({});
         },
       ),
       { seed: 11, numRuns: 300 },
@@ -116,8 +115,8 @@
   });
 });
 
-describe("demand", () => {
-  it("is the highest number of the last while", () => {
+describe("demand window", () => {
+  it("gives the peak within the window", () => {
     const demand = new demandWindows.DemandWindow(1_000);
     demand.record(0, 50);
     demand.record(500, 20);
@@ -129,8 +128,8 @@
   });
 });
 
-describe("capacity book", () => {
-  it("keeps what was ordered and the first number, over a restart too", () => {
+describe("capacity state", () => {
+  it("keeps orders and baseline across a restart", () => {
     const state = new capacityStates.CapacityState();
     const order = { service: "lm", domain: "a", engines: "spot" } as const;
     state.apply({ kind: "noteCapacityBase", service: "lm", engines: 8 });
--- a/src/weight_orders/engine_tracker_test.ts
+++ b/src/weight_orders/engine_tracker_test.ts
@@ -10,7 +10,7 @@
 import * as submissions from "../submission/mod.ts";
 import * as engineTrackers from "./engine_tracker.ts";
 
-/** The parts of a dialect that asking for a state uses. */
+/** The parts of a dialect that a probe uses. */
 const DIALECT = {
   createReportRequest: (server: string) => ({
     method: "GET",
@@ -22,11 +22,11 @@
     results.createOk(JSON.parse(String(body))),
 } as unknown as dialects.Dialect;
 
-/** Turns of 1 ms in which an answer must come. */
+/** Waits of 1 ms within which a probe must arrive. */
 const MAX_WAITS = 500;
 
-describe("known engines", () => {
-  /** Start that each engine tells. */
+describe("engine tracker", () => {
+  /** Start time that each engine reports. */
   let born: number | undefined;
   let states: Readonly<Record<string, boolean>> = {};
   let probed: readonly string[] = [];
@@ -119,36 +119,36 @@
     return machine.listEngines().map((kept) => kept.born);
   }
 
-  it("takes work to kept engines that say they are ready, before a heartbeat", async () => {
-    states = { sound: false, leaving: true };
+  it("registers recorded engines that report ready, before a heartbeat", async () => {
+    states = { ready: false, leaving: true };
     machine.apply({
       kind: "keepEngines",
-      added: ["sound", "leaving", "gone"].map(createEngine),
+      added: ["ready", "leaving", "gone"].map(createEngine),
       gone: [],
     });
     tracker?.start();
     await awaitProbes(3);
     const ready = servers.listReady("lm");
-    chai.expect(ready.map(({ id }) => id)).to.deep.equal(["sound"]);
+    chai.expect(ready.map(({ id }) => id)).to.deep.equal(["ready"]);
     chai.expect(ready[0]?.models).to.deep.equal([{ name: "m", version: 7 }]);
     chai.expect(discoveries).to.equal(1);
   });
 
-  it("asks none that was heard, and asks once a term", async () => {
-    states = { heard: false, kept: false };
-    const added = ["heard", "kept"].map(createEngine);
+  it("probes only unregistered engines, once a term", async () => {
+    states = { registered: false, recorded: false };
+    const added = ["registered", "recorded"].map(createEngine);
     machine.apply({ kind: "keepEngines", added, gone: [] });
-    servers.merge(createEngine("heard"));
+    servers.merge(createEngine("registered"));
     tracker?.start();
     await awaitProbes(1);
     clock.extendBy(100);
     await awaitProbes(1);
-    chai.expect(probed).to.deep.equal(["kept"]);
+    chai.expect(probed).to.deep.equal(["recorded"]);
   });
 
-  it("keeps the later start of an engine, and asks none for a former one", async () => {
-    // Leaders kept the first start they heard of: after a failover the new
-    // leader asked for a start that was gone, and took what answered for it.
+  it("records the newer process of an engine and never an older one", async () => {
+    // Otherwise the leader after a failover would probe for a process that no
+    // longer exists, and take the response of the newer one for its own.
     states = { a: false };
     servers.merge({ ...createEngine("a"), born: 1_000 });
     tracker?.start();
@@ -162,7 +162,7 @@
     chai.expect(listBorn()).to.deep.equal([2_000]);
   });
 
-  it("takes a kept engine that has started again for its later start", async () => {
+  it("registers the newer process of a recorded engine that has restarted", async () => {
     states = { a: false };
     born = 2_000;
     const added = [{ ...createEngine("a"), born: 1_000, sequence: 70 }];
@@ -174,13 +174,13 @@
       .equal("old");
   });
 
-  it("keeps no server of a service that no configuration names", () => {
+  it("records no server of a service that the configuration does not name", () => {
     servers.merge({ ...createEngine("a"), service: "unnamed" });
     tracker?.start();
     chai.expect(listRecorded()).to.deep.equal([]);
   });
 
-  it("keeps engines that come, and forgets those that leave or stay silent", () => {
+  it("records new engines and removes those that are gone", () => {
     states = {};
     servers.merge(createEngine("a"));
     servers.merge(createEngine("b"));
