--- a/src/fleet/_configuration_sync.ts
+++ b/src/fleet/_configuration_sync.ts
@@ -28,7 +28,7 @@
   offer(stored: trafficConfig.StoredConfiguration | undefined): void {
     if (stored === undefined) return;
     const { configuration, onUpdated } = this.#options;
-    if (configuration.offer(stored)) onUpdated();
+    if (configuration.update(stored)) onUpdated();
   }
 
   /**
--- a/src/fleet/_crash_sync.ts
+++ b/src/fleet/_crash_sync.ts
@@ -41,9 +41,9 @@
   ): readonly crashRecords.CrashRecord[] {
     if (peerRecords === undefined) return NO_RECORDS;
     this.merge(peerRecords);
-    const peerKeys = new Set(peerRecords.map(crashRecords.describeRecord));
+    const peerKeys = new Set(peerRecords.map(crashRecords.createRecordKey));
     return this.#options.crashTable.list().filter((record) =>
-      !peerKeys.has(crashRecords.describeRecord(record))
+      !peerKeys.has(crashRecords.createRecordKey(record))
     );
   }
 }
--- a/src/fleet/_sync_service.ts
+++ b/src/fleet/_sync_service.ts
@@ -32,7 +32,7 @@
         ? { kind: "differing", digest: this.#computeDigest() }
         : { kind: "named", ids },
       configurationVersion: configuration.getVersion(),
-      crashes: crashTable.describeContent(),
+      crashes: crashTable.getContentHash(),
     };
   }
 
@@ -44,7 +44,7 @@
     const { configuration, crashTable } = this.#options;
     const isNewer = configuration.getVersion() > request.configurationVersion;
     const hasSameCrashes = request.crashes === undefined ||
-      request.crashes === crashTable.describeContent();
+      request.crashes === crashTable.getContentHash();
     return {
       ...this.#listRequested(request),
       configuration: isNewer ? configuration.getStored() : undefined,
--- a/src/fleet/fleet_gossip.ts
+++ b/src/fleet/fleet_gossip.ts
@@ -328,7 +328,7 @@
         break;
     }
     if (refresh.sequence <= known.sequence) return true;
-    if (registry.describeContent(known) !== refresh.content) return false;
+    if (registry.createContentKey(known) !== refresh.content) return false;
     const outcome = servers.merge({ ...known, sequence: refresh.sequence });
     if (outcome !== "old" && this.#self.isCore) {
       this.#relay.refreshServer(refresh);
