--- a/src/caller/serve_once.ts
+++ b/src/caller/serve_once.ts
@@ -159,7 +159,7 @@
       message: "no backend server is live",
     };
     for (;;) {
-      const server = this.#context.table.choosePlain(
+      const server = this.#context.table.chooseForService(
         this.#route.service.name,
         excluded,
       );
--- a/src/caller/serve_repeatable.ts
+++ b/src/caller/serve_repeatable.ts
@@ -31,7 +31,7 @@
   context.budget.addFirstTry();
   for (let attempt = 0; attempt < MAX_TRIES; attempt += 1) {
     if (attempt > 0 && !canRetry(context, call, last)) break;
-    const server = context.table.choosePlain(route.service.name, excluded);
+    const server = context.table.chooseForService(route.service.name, excluded);
     if (server === undefined) break;
     excluded = new Set([...excluded, server.id]);
     const outcome = await forwards.forwardCall(context, call, server, {
--- a/src/dispatch/describe_steps.ts
+++ b/src/dispatch/describe_steps.ts
@@ -38,7 +38,7 @@
   tasks: readonly itemTasks.ItemTask[],
   servers: readonly registry.RegisteredServer[],
   knowledge: StepKnowledge,
-): stepSchedule.StepSituation<itemTasks.ItemTask> {
+): stepSchedule.ScheduleInput<itemTasks.ItemTask> {
   const { nowMs, engines } = knowledge;
   const medianMs = engines.getMedianGapMs();
   const places = servers.reduce(
@@ -59,7 +59,7 @@
   const steps = [...byStep.values()].flatMap((items) =>
     describeStep(items, usualMs, knowledge)
   );
-  return { nowMs, places, steps };
+  return { nowMs, capacity: places, steps };
 }
 
 function describeStep(
--- a/src/dispatch/dispatcher.ts
+++ b/src/dispatch/dispatcher.ts
@@ -172,7 +172,7 @@
   ): Promise<void> {
     const { engines, servers, dialect, clock, metrics } = this.#options;
     const { submission, item, progress, cancellation } = task;
-    const madeBefore = progress.countMade();
+    const madeBefore = progress.countGeneratedEvents();
     const runCancellation = new csp.Cancellation();
     task.beginRun({
       engine: engine.lifetime,
@@ -200,7 +200,7 @@
       minimumVersion: submission.minimumVersion,
       isSingleVersion: submission.terms.isSingleVersion,
       progress,
-      stallMs: engines.getLoading(engine.lifetime) === undefined
+      stallTimeoutMs: engines.getLoading(engine.lifetime) === undefined
         ? STALL_MS
         : LOADING_STALL_MS,
       cancellation: runCancellation,
@@ -241,7 +241,7 @@
       item: task.item.id,
       server: engine.id,
       born: engine.born,
-      events: task.progress.countMade(),
+      events: task.progress.countGeneratedEvents(),
     });
     cancellation.cancel();
   }
@@ -254,7 +254,7 @@
   #takeEnd(
     task: itemTasks.ItemTask,
     engine: registry.RegisteredServer,
-    end: itemRuns.RunEnd,
+    end: itemRuns.RunOutcome,
   ): void {
     if (end.kind !== "finished") this.#noteEnd(task, engine, end);
     switch (end.kind) {
@@ -271,7 +271,7 @@
         if (task.countImpossible()) return this.#finisher.giveUp(task);
         break;
       case "notRun":
-        if (end.isOther) this.#options.servers.markAbsent(engine);
+        if (end.isWrongServer) this.#options.servers.markAbsent(engine);
         this.#options.engines.avoid(engine.lifetime);
         break;
       case "broken":
@@ -288,7 +288,7 @@
   #noteEnd(
     task: itemTasks.ItemTask,
     engine: registry.RegisteredServer,
-    end: itemRuns.RunEnd,
+    end: itemRuns.RunOutcome,
   ): void {
     this.#options.log.write("info", "item.runEnded", {
       item: task.item.id,
@@ -298,7 +298,7 @@
       reason: "reason" in end ? end.reason : undefined,
       closed: end.kind === "broken" ? end.isClosed : undefined,
       work: end.kind === "broken" ? task.getWork() : undefined,
-      events: task.progress.countEvents(),
+      events: task.progress.countLocalEvents(),
     });
   }
 }
@@ -311,11 +311,11 @@
 }
 
 /** Tells whether a run ended without a word of its engine. */
-function isCutShort(end: itemRuns.RunEnd): boolean {
+function isCutShort(end: itemRuns.RunOutcome): boolean {
   return end.kind === "broken" || end.kind === "notRun";
 }
 
 /** Tells whether the end of a run speaks for its engine. */
-function isSound(end: itemRuns.RunEnd): boolean {
+function isSound(end: itemRuns.RunOutcome): boolean {
   return end.kind === "finished" || end.kind === "impossible";
 }
--- a/src/dispatch/item_crashes.ts
+++ b/src/dispatch/item_crashes.ts
@@ -14,7 +14,7 @@
 
 /** A run that has ended. */
 export interface EndedRun {
-  readonly end: itemRuns.RunEnd;
+  readonly end: itemRuns.RunOutcome;
   /** Events of the item before the run. */
   readonly madeBefore: number;
 }
@@ -54,7 +54,10 @@
   ): Promise<void> {
     const { crashGuard } = this.#options;
     if (end.kind === "notRun") return;
-    if (end.kind === "broken" && task.progress.countMade() === madeBefore) {
+    if (
+      end.kind === "broken" &&
+      task.progress.countGeneratedEvents() === madeBefore
+    ) {
       if (end.isClosed) await crashGuard.noteClosed(engine, task.getName());
       return;
     }
@@ -68,7 +71,7 @@
     engine: registry.RegisteredServer,
     madeBefore: number,
   ): void {
-    if (task.progress.countMade() > madeBefore) return;
+    if (task.progress.countGeneratedEvents() > madeBefore) return;
     this.#options.crashGuard.noteEnded(engine, task.getName());
   }
 }
--- a/src/dispatch/item_crashes_test.ts
+++ b/src/dispatch/item_crashes_test.ts
@@ -7,7 +7,7 @@
 import * as itemCrashes from "./item_crashes.ts";
 import * as taskFixtures from "./task_fixture_test.ts";
 
-const BROKEN: itemRuns.RunEnd = {
+const BROKEN: itemRuns.RunOutcome = {
   kind: "broken",
   reason: "socket hang up",
   isClosed: true,
@@ -34,8 +34,8 @@
 
   function endRun(
     engine: string,
-    end: itemRuns.RunEnd,
-    madeBefore = task.progress.countMade(),
+    end: itemRuns.RunOutcome,
+    madeBefore = task.progress.countGeneratedEvents(),
   ): Promise<void> {
     const server = serverFixtures.createServer(engine);
     return crashes.noteEnd(task, server, { end, madeBefore });
@@ -57,7 +57,7 @@
 
   it("go on while their runs bring events", async () => {
     for (const engine of ["i-1", "i-2", "i-3", "i-4"]) {
-      const madeBefore = task.progress.countMade();
+      const madeBefore = task.progress.countGeneratedEvents();
       const id = madeBefore + 1;
       task.progress.add({ id, data: "x", version: 1 });
       await endRun(engine, BROKEN, madeBefore);
--- a/src/dispatch/item_finisher.ts
+++ b/src/dispatch/item_finisher.ts
@@ -72,7 +72,7 @@
       versions: progress.listVersions(),
       score,
     };
-    const brief = { ...whole, text: progress.getUnkeptText() };
+    const brief = { ...whole, text: progress.getUnstoredText() };
     this.#write(task, brief, whole);
   }
 
@@ -101,7 +101,7 @@
     const { submission } = task;
     const keptLastId = brief === whole
       ? undefined
-      : task.progress.getKeptLastId();
+      : task.progress.getStoredLastId();
     task.times.enter("done", clock.getMonotonicMs());
     const ageMs = clock.getWallMs() - submission.acceptedAtMs;
     metrics.recordItem(ageMs);
@@ -123,7 +123,7 @@
       groups: task.step.countWhole(),
       lastItem: item.id,
       hint: item.lengthHint,
-      events: progress.countMade(),
+      events: progress.countGeneratedEvents(),
       runs: task.countRuns(),
       ...times.describe(),
     });
--- a/src/dispatch/item_task.ts
+++ b/src/dispatch/item_task.ts
@@ -166,7 +166,7 @@
     if (fitting === undefined) return;
     this.progress.restore(fitting);
     if (fitting.lastId === undefined) this.times.begin("scoring");
-    else if (isOwn) this.progress.setKept(fitting.lastId);
+    else if (isOwn) this.progress.markStored(fitting.lastId);
   }
 
   /** When all results of the submission are due, in wall ms. */
--- a/src/dispatch/length_estimates.ts
+++ b/src/dispatch/length_estimates.ts
@@ -34,7 +34,7 @@
   /** Learns from an item whose text is whole. */
   note(task: itemTasks.ItemTask): void {
     const model = task.getModel() ?? "";
-    const events = task.progress.countMade();
+    const events = task.progress.countGeneratedEvents();
     if (events === 0) return;
     const known = this.#get(model);
     const hint = task.item.lengthHint;
@@ -54,7 +54,7 @@
     const whole = hint === undefined || hint <= 0
       ? events
       : hint * Math.exp(logRatio);
-    return estimateRemainingEvents(whole, task.progress.countMade());
+    return estimateRemainingEvents(whole, task.progress.countGeneratedEvents());
   }
 
   #get(model: string): LengthHistory {
--- a/src/dispatch/run_mover.ts
+++ b/src/dispatch/run_mover.ts
@@ -73,7 +73,7 @@
         server: task.run?.engine,
         to: to.id,
         gainMs: Math.round(gainMs),
-        events: task.progress.countMade(),
+        events: task.progress.countGeneratedEvents(),
       });
       task.target = to.lifetime;
       task.run?.cancellation.cancel();
--- a/src/dispatch/shortage_watch.ts
+++ b/src/dispatch/shortage_watch.ts
@@ -33,11 +33,11 @@
   ): void {
     const { metrics } = this.#options;
     for (const trainer of this.#planned.get(service) ?? []) {
-      if (plan.standings.has(trainer)) continue;
+      if (plan.groupCounts.has(trainer)) continue;
       metrics.setPlannedGroups(trainer, NO_GROUPS);
     }
-    this.#planned.set(service, new Set(plan.standings.keys()));
-    for (const [trainer, groups] of plan.standings) {
+    this.#planned.set(service, new Set(plan.groupCounts.keys()));
+    for (const [trainer, groups] of plan.groupCounts) {
       metrics.setPlannedGroups(trainer, groups);
       if (groups.late > 0) this.#tell(service, trainer, groups, places);
     }
@@ -46,7 +46,7 @@
   #tell(
     service: string,
     trainer: string,
-    groups: Readonly<Record<stepSchedule.GroupStanding, number>>,
+    groups: Readonly<Record<stepSchedule.GroupStatus, number>>,
     places: number,
   ): void {
     const { clock, log } = this.#options;
--- a/src/dispatch/text_keeper.ts
+++ b/src/dispatch/text_keeper.ts
@@ -24,7 +24,8 @@
   async keep(tasks: readonly itemTasks.ItemTask[]): Promise<void> {
     if (this.#isBusy) return;
     const parts = tasks.filter((task) =>
-      task.phase === "running" && task.progress.countUnkept() >= MIN_EVENTS
+      task.phase === "running" &&
+      task.progress.countUnstoredEvents() >= MIN_EVENTS
     ).flatMap(createPart);
     if (parts.length === 0) return;
     this.#isBusy = true;
@@ -53,11 +54,11 @@
 }
 
 function noteKept({ progress, beginnings, text }: TextPart): void {
-  if (progress.countBeginnings() === beginnings) progress.setKept(text.lastId);
+  if (progress.countResets() === beginnings) progress.markStored(text.lastId);
 }
 
 function forgetKept({ progress }: TextPart): void {
-  progress.forgetKept();
+  progress.clearStored();
 }
 
 function createPart(task: itemTasks.ItemTask): readonly TextPart[] {
@@ -67,10 +68,10 @@
   const text: submissions.TextToKeep = {
     submission: submission.id,
     item: item.id,
-    afterId: progress.getKeptLastId(),
-    text: progress.getUnkeptText(),
+    afterId: progress.getStoredLastId(),
+    text: progress.getUnstoredText(),
     lastId,
     versions: progress.listVersions(),
   };
-  return [{ progress, beginnings: progress.countBeginnings(), text }];
+  return [{ progress, beginnings: progress.countResets(), text }];
 }
--- a/src/dispatch/waiting_order.ts
+++ b/src/dispatch/waiting_order.ts
@@ -90,7 +90,7 @@
       situation,
       stepSchedule.DEFAULT_POLICY,
     );
-    this.#shortage.note(service, plan, situation.places);
+    this.#shortage.note(service, plan, situation.capacity);
     const ordered = new Set(plan.items.map(({ work }) => work));
     const untilMs = this.#options.clock.getMonotonicMs() +
       tasks.length * KEEP_MS_AN_ITEM;
@@ -111,14 +111,14 @@
     leastMs: number,
   ): number {
     const situation = this.#describe(service, tasks, () => false);
-    return stepSchedule.countNeededPlaces(situation, leastMs);
+    return stepSchedule.computeRequiredSlots(situation, leastMs);
   }
 
   #describe(
     service: string,
     tasks: readonly itemTasks.ItemTask[],
     canStart: (task: itemTasks.ItemTask) => boolean,
-  ): stepSchedule.StepSituation<itemTasks.ItemTask> {
+  ): stepSchedule.ScheduleInput<itemTasks.ItemTask> {
     const { clock, engines, lengths, servers } = this.#options;
     return describeSteps.describeSteps(tasks, servers.listReady(service), {
       nowMs: clock.getWallMs(),
--- a/src/forwarding/_job_run.ts
+++ b/src/forwarding/_job_run.ts
@@ -277,7 +277,7 @@
     const { priority, targetAtMs } = this.#job;
     const giveUpAtMs = this.#wait.begin();
     this.#leaveLine = this.#line.enter(
-      { priority, targetAtMs, giveUpAtMs },
+      { priority, targetAtMs, deadlineAtMs: giveUpAtMs },
       {
         onTurn: () => {
           this.#picker.beginTurn();
--- a/src/forwarding/_service_line.ts
+++ b/src/forwarding/_service_line.ts
@@ -9,7 +9,7 @@
 const PROBE_MS = 40;
 
 /** How long a request may wait, and before whom. */
-export type WaitWish = Omit<admission.WaitingRequest, "id">;
+export type WaitWish = Omit<admission.QueuedRequest, "id">;
 
 /** Told what became of a wait; exactly one of both is called, once. */
 export interface WaitListener {
@@ -22,7 +22,7 @@
 /** Gives the requests of one service their turns as places come free. */
 export class ServiceLine {
   readonly #clock: clocks.Clock;
-  readonly #line = new admission.WaitingLine();
+  readonly #line = new admission.AdmissionQueue();
   readonly #listeners = new Map<string, WaitListener>();
   #sequence = 0;
   #isProbing = false;
@@ -40,27 +40,27 @@
     this.#sequence += 1;
     const id = String(this.#sequence);
     const nowMs = this.#clock.getMonotonicMs();
-    const entrance = this.#line.enter({ ...wish, id }, nowMs);
+    const entrance = this.#line.enqueue({ ...wish, id }, nowMs);
     if (entrance.kind === "refused") {
-      listener.onRefuse(entrance.returnMs);
+      listener.onRefuse(entrance.retryAfterMs);
       return () => {};
     }
     this.#listeners.set(id, listener);
     this.#scheduleProbe();
     return () => {
-      this.#line.leave(id);
+      this.#line.remove(id);
       this.#listeners.delete(id);
     };
   }
 
   /** Gives the time after which a refused caller should come back, in ms. */
   refuse(): number {
-    return this.#line.refuse(this.#clock.getMonotonicMs());
+    return this.#line.scheduleRetry(this.#clock.getMonotonicMs());
   }
 
   /** Notes that a server answered, so that a place at it came free. */
   noteFreed(): void {
-    this.#line.noteFreed(this.#clock.getMonotonicMs());
+    this.#line.recordFreedSlot(this.#clock.getMonotonicMs());
     this.#giveTurn();
   }
 
@@ -77,13 +77,15 @@
 
   #refuseExpired(): void {
     const nowMs = this.#clock.getMonotonicMs();
-    for (const { id, returnMs } of this.#line.takeExpired(nowMs)) {
+    for (
+      const { id, retryAfterMs: returnMs } of this.#line.removeExpired(nowMs)
+    ) {
       this.#takeListener(id)?.onRefuse(returnMs);
     }
   }
 
   #giveTurn(): void {
-    const id = this.#line.takeNext(this.#clock.getMonotonicMs());
+    const id = this.#line.dequeue(this.#clock.getMonotonicMs());
     if (id !== undefined) this.#takeListener(id)?.onTurn();
   }
 
--- a/src/generation/generate_tokens.ts
+++ b/src/generation/generate_tokens.ts
@@ -71,7 +71,10 @@
   async #tryEngine(): Promise<results.Result<GenerationEnd> | undefined> {
     const { service, model, minVersion, use } = this.#request;
     const need = { service, model, minVersion, use, excluded: this.#excluded };
-    const server = this.#options.table.choosePrompt(need, this.#request.prompt);
+    const server = this.#options.table.chooseForPrompt(
+      need,
+      this.#request.prompt,
+    );
     if (server === undefined) {
       this.#excluded = new Set();
       await clocks.sleep(this.#options.clock, RETRY_DELAY_MS);
--- a/src/routing/server_table_test.ts
+++ b/src/routing/server_table_test.ts
@@ -101,7 +101,7 @@
         minVersion: 0,
         excluded: new Set<string>(),
       } as const;
-      return table.choosePrompt(need, prompt)?.id === "e-0";
+      return table.chooseForPrompt(need, prompt)?.id === "e-0";
     }
 
     const old = ["old 1", "old 2", "old 3"];
--- a/src/step_schedule/mod.ts
+++ b/src/step_schedule/mod.ts
@@ -1,14 +1,14 @@
 /**
- * In which order the items of open steps get places at engines, decided without
- * clock, socket or timer.
+ * Schedules the items of open steps onto engine slots. Pure functions: nothing
+ * here reads a clock, starts a timer or does I/O.
  *
  * @example
  * ```ts
  * import * as stepSchedule from "../step_schedule/mod.ts";
- * const plan = stepSchedule.planSteps(situation, policy);
+ * const plan = stepSchedule.planSteps(input, policy);
  * ```
  * @module
  */
-export * from "./count_needed_places.ts";
+export * from "./compute_required_slots.ts";
 export * from "./plan_steps.ts";
-export * from "./situation.ts";
+export * from "./schedule_types.ts";
--- a/src/step_schedule/plan_steps_test.ts
+++ b/src/step_schedule/plan_steps_test.ts
@@ -1,15 +1,15 @@
 import * as chai from "chai";
 import * as planSteps from "./plan_steps.ts";
-import * as situations from "./situation.ts";
+import * as scheduleTypes from "./schedule_types.ts";
 
-type Step = situations.OpenStep<string>;
+type Step = scheduleTypes.OpenStep<string>;
 
-/** A group of waiting items that run for so many seconds, named by the group. */
+/** Creates a group of waiting items with the given remaining times, in s. */
 function createGroup(
   name: string,
   seconds: readonly number[],
   isCarried = false,
-): situations.OpenGroup<string> {
+): scheduleTypes.OpenGroup<string> {
   return {
     isCarried,
     items: seconds.map((runS, place) => ({
@@ -35,64 +35,63 @@
 
 function plan(
   steps: readonly Step[],
-  places = 1,
-  policy = situations.DEFAULT_POLICY,
-): situations.StepPlan<string> {
-  return planSteps.planSteps({ nowMs: 0, places, steps }, policy);
+  capacity = 1,
+  policy = scheduleTypes.DEFAULT_POLICY,
+): scheduleTypes.StepPlan<string> {
+  return planSteps.planSteps({ nowMs: 0, capacity: capacity, steps }, policy);
 }
 
-function listStandings(
-  planned: situations.StepPlan<string>,
+function listStatuses(
+  planned: scheduleTypes.StepPlan<string>,
 ): Readonly<Record<string, string>> {
   return Object.fromEntries(
-    planned.items.map(({ work, standing }) => [work, standing]),
+    planned.items.map(({ work, status }) => [work, status]),
   );
 }
 
-describe("plan of steps", () => {
-  it("starts items of groups in time by their latest start", () => {
+describe("planSteps", () => {
+  it("orders items of groups in time by their latest start", () => {
     const groups = [createGroup("a", [1, 3]), createGroup("b", [2])];
     const planned = plan([createStep({ groups })]);
     chai.expect(planned.items.map(({ work }) => work)).to.deep.equal(
       ["a1", "b0", "a0"],
     );
-    chai.expect(planned.items[0]?.startByMs).to.equal(7_000);
+    chai.expect(planned.items[0]?.latestStartMs).to.equal(7_000);
   });
 
-  it("lets the group with most work give way where room is short", () => {
+  it("defers the group with the most remaining time when capacity is short", () => {
     const groups = [
       createGroup("a", [4]),
       createGroup("b", [3, 3]),
       createGroup("c", [3.5]),
     ];
     const planned = plan([createStep({ groups })]);
-    chai.expect(listStandings(planned)).to.deep.equal({
+    chai.expect(listStatuses(planned)).to.deep.equal({
       a0: "inTime",
       c0: "inTime",
       b0: "late",
       b1: "late",
     });
-    chai.expect(planned.items.at(-1)?.standing).to.equal("late");
+    chai.expect(planned.items.at(-1)?.status).to.equal("late");
   });
 
-  it("puts groups last that the trainer does not wait for", () => {
+  it("orders groups last that the trainer does not wait for", () => {
     const groups = [
       createGroup("a", [5]),
       createGroup("b", [2]),
       createGroup("c", [3]),
     ];
     const planned = plan([createStep({ groups, missing: 2 })]);
-    chai.expect(listStandings(planned)).to.deep.equal({
+    chai.expect(listStatuses(planned)).to.deep.equal({
       b0: "inTime",
       c0: "inTime",
       a0: "spare",
     });
   });
 
-  it("goes by latest start alone, spare groups too, while there is room", () => {
-    // With the spare groups always last, the longest ones were brought again by
-    // the next step, which had to wait for them: a trainer fell 1.2 s behind on a
-    // day with room enough.
+  it("orders all groups by latest start while capacity suffices", () => {
+    // Guards against always deferring spare groups: the longest ones were then
+    // carried over and delayed the next step although capacity sufficed.
     const groups = [
       createGroup("a", [5]),
       createGroup("b", [1]),
@@ -104,21 +103,21 @@
     );
   });
 
-  it("never takes a carried group for spare, however long it is", () => {
+  it("never treats a carried group as spare, however long it is", () => {
     const groups = [
       createGroup("a", [4], true),
       createGroup("b", [3.2], true),
       createGroup("c", [1]),
     ];
     const planned = plan([createStep({ groups, missing: 1 })]);
-    chai.expect(listStandings(planned)).to.include({
+    chai.expect(listStatuses(planned)).to.include({
       a0: "inTime",
       b0: "inTime",
       c0: "spare",
     });
   });
 
-  it("lets the less urgent trainer give way among equals", () => {
+  it("defers the trainer with the less urgent priority among equal groups", () => {
     const steps = [0, 1].map((priority) =>
       createStep({
         trainer: `p${priority}`,
@@ -127,14 +126,14 @@
       })
     );
     for (const order of [steps, steps.toReversed()]) {
-      chai.expect(listStandings(plan(order))).to.deep.equal({
+      chai.expect(listStatuses(plan(order))).to.deep.equal({
         p00: "inTime",
         p10: "late",
       });
     }
   });
 
-  it("lets a trainer that has most groups whole give way to one that has none", () => {
+  it("defers a trainer with most groups complete in favor of one with none", () => {
     const steps = [
       createStep({
         trainer: "served",
@@ -147,13 +146,13 @@
         groups: [createGroup("starved", [6])],
       }),
     ];
-    chai.expect(listStandings(plan(steps))).to.deep.equal({
+    chai.expect(listStatuses(plan(steps))).to.deep.equal({
       starved0: "inTime",
       served0: "late",
     });
   });
 
-  it("still lists what can't be in time, the step due first at the front", () => {
+  it("still lists groups that can't complete in time, earliest due step first", () => {
     const steps = [
       createStep({
         trainer: "b",
@@ -170,10 +169,10 @@
     chai.expect(planned.items.map(({ work }) => work)).to.deep.equal(
       ["a0", "b0"],
     );
-    chai.expect(planned.standings.get("a")?.late ?? 1).to.equal(1);
+    chai.expect(planned.groupCounts.get("a")?.late ?? 1).to.equal(1);
   });
 
-  it("counts runs under way as work, and lists only what waits", () => {
+  it("counts running items as demand but lists only waiting ones", () => {
     const running = {
       isCarried: false,
       items: [{ work: "run", remainingMs: 9_000, isWaiting: false }],
@@ -181,22 +180,22 @@
     const groups = [running, createGroup("a", [2])];
     const planned = plan([createStep({ groups })]);
     chai.expect(planned.items.map(({ work }) => work)).to.deep.equal(["a0"]);
-    chai.expect(planned.standings.get("t")).to.deep.equal({
+    chai.expect(planned.groupCounts.get("t")).to.deep.equal({
       inTime: 1,
       late: 1,
       spare: 0,
     });
   });
 
-  it("takes odd figures: nothing missing, no places, no work, hints of a million", () => {
+  it("handles no missing groups, no capacity, empty groups and huge estimates", () => {
     const groups = [
       createGroup("a", [0]),
       createGroup("b", [500000]),
       createGroup("c", []),
     ];
-    for (const places of [0, 1]) {
+    for (const capacity of [0, 1]) {
       for (const missing of [0, 3, 100]) {
-        const planned = plan([createStep({ groups, missing })], places);
+        const planned = plan([createStep({ groups, missing })], capacity);
         chai.expect(planned.items.map(({ work }) => work).toSorted()).to.deep
           .equal(["a0", "b0"]);
       }
--- a/src/step_schedule/step_replay_test.ts
+++ b/src/step_schedule/step_replay_test.ts
@@ -1,14 +1,11 @@
 import * as chai from "chai";
 import type * as stepLoads from "../fixtures/step_load.ts";
 import * as stepReplays from "../fixtures/step_replay.ts";
-import * as situations from "./situation.ts";
+import * as scheduleTypes from "./schedule_types.ts";
 
 /**
- * Three trainers asked for a step each 4 s, due in 7.5 s. With a fifth less room
- * than they needed, nearly every group of every step came one to three seconds
- * late: items were ordered by latest start over all groups of a step, so that
- * its groups became whole together at its end. `steps` had medians of 7.7, 8.1
- * and 9.6 s, and 0.28 of the worth of all groups was earned.
+ * Guards against ordering by latest start alone, which makes nearly all groups
+ * late when the trainers' overlapping steps exceed capacity.
  */
 const TRAINERS: readonly stepLoads.ReplayedTrainer[] = [
   createTrainer({ name: "few long groups", groups: 6, size: 16 }),
@@ -17,9 +14,9 @@
 ];
 const SEEDS = [1, 2];
 const SLOTS = 6;
-/** Engines that the steps of all trainers keep busy, without their spare groups. */
+/** Engines that the needed groups of all trainers keep fully busy. */
 const NEEDED_ENGINES = 8.3;
-const LATEST_START: situations.SchedulePolicy = { kind: "latestStart" };
+const LATEST_START: scheduleTypes.SchedulePolicy = { kind: "latestStart" };
 
 function createTrainer(
   changes: Partial<stepLoads.ReplayedTrainer>,
@@ -37,7 +34,7 @@
   };
 }
 
-/** @param load Work as a share of the room there is. */
+/** @param load Required engine time as a share of capacity. */
 function createLoad(
   load: number,
   changes: Partial<stepLoads.StepLoad> = {},
@@ -63,92 +60,105 @@
 }
 
 interface Comparison {
-  readonly before: stepLoads.StepOutcome;
-  readonly now: stepLoads.StepOutcome;
+  readonly baseline: stepLoads.StepOutcome;
+  readonly current: stepLoads.StepOutcome;
 }
 
 function compare(load: stepLoads.StepLoad): readonly Comparison[] {
   return SEEDS.map((seed) => ({
-    before: stepReplays.replaySteps(load, LATEST_START, seed),
-    now: stepReplays.replaySteps(load, situations.DEFAULT_POLICY, seed),
+    baseline: stepReplays.replaySteps(load, LATEST_START, seed),
+    current: stepReplays.replaySteps(load, scheduleTypes.DEFAULT_POLICY, seed),
   }));
 }
 
-function findMean(
+function computeMean(
   outcomes: readonly Comparison[],
-  pick: (comparison: Comparison) => number,
+  getValue: (comparison: Comparison) => number,
 ): number {
-  return outcomes.reduce((sum, outcome) => sum + pick(outcome), 0) /
+  return outcomes.reduce((sum, outcome) => sum + getValue(outcome), 0) /
     outcomes.length;
 }
 
-/** What is served more must be worth more than chance: a group in fifty. */
-const NOISE = 0.02;
+/** Tolerated loss of worth, as a share of the worth of all groups in time. */
+const WORTH_TOLERANCE = 0.02;
 
-function requireNoLoss(outcomes: readonly Comparison[]): void {
-  const before = findMean(outcomes, (outcome) => outcome.before.worth);
-  const now = findMean(outcomes, (outcome) => outcome.now.worth);
-  chai.expect(now).to.be.at.least(before - NOISE);
+function assertNoLoss(outcomes: readonly Comparison[]): void {
+  const baseline = computeMean(outcomes, (outcome) => outcome.baseline.worth);
+  const current = computeMean(outcomes, (outcome) => outcome.current.worth);
+  chai.expect(current).to.be.at.least(baseline - WORTH_TOLERANCE);
 }
 
-describe("steps under load", function () {
+describe("step scheduling under load", function () {
   this.timeout(120_000);
 
   for (const load of [0.8, 1]) {
-    it(`loses nothing at ${load} of the room`, () => {
-      requireNoLoss(compare(createLoad(load)));
+    it(`earns no less worth than latest start at load ${load}`, () => {
+      assertNoLoss(compare(createLoad(load)));
     });
   }
 
   for (const load of [1.2, 1.5]) {
-    it(`has most groups that the room allows in time at ${load}`, () => {
+    it(`completes most groups that fit the capacity in time at load ${load}`, () => {
       const outcomes = compare(createLoad(load));
-      const now = findMean(outcomes, (outcome) => outcome.now.inTime);
-      const worst = findMean(outcomes, (outcome) => outcome.now.worstTrainer);
-      chai.expect(now).to.be.at.least(0.75 / load);
+      const current = computeMean(
+        outcomes,
+        (outcome) => outcome.current.inTime,
+      );
+      const worst = computeMean(
+        outcomes,
+        (outcome) => outcome.current.worstTrainer,
+      );
+      chai.expect(current).to.be.at.least(0.75 / load);
       chai.expect(worst).to.be.at.least(0.5 / load);
-      const before = findMean(outcomes, (outcome) => outcome.before.inTime);
-      chai.expect(before).to.be.below(0.75 / load);
+      const baseline = computeMean(
+        outcomes,
+        (outcome) => outcome.baseline.inTime,
+      );
+      chai.expect(baseline).to.be.below(0.75 / load);
     });
   }
 
-  it("leaves no place idle while an item waits", () => {
-    for (const { now } of compare(createLoad(1.2))) {
-      chai.expect(now.idle).to.equal(0);
+  it("leaves no slot idle while an item waits", () => {
+    for (const { current } of compare(createLoad(1.2))) {
+      chai.expect(current.idle).to.equal(0);
     }
   });
 
-  it("keeps groups in time on engines of unequal speed", () => {
+  it("earns no less worth on engines of unequal speed", () => {
     const engines = [...createEngines(3, 1.8), ...createEngines(7, 0.9)];
-    requireNoLoss(compare(createLoad(1.2, { engines })));
+    assertNoLoss(compare(createLoad(1.2, { engines })));
   });
 
-  it("holds when a third of the engines is lost in the midst", () => {
+  it("earns no less worth when three of eight engines fail for 6 s", () => {
     const losses = [{ atMs: 10_000, engines: 3, forMs: 6_000 }];
-    requireNoLoss(compare(createLoad(1, { losses })));
+    assertNoLoss(compare(createLoad(1, { losses })));
   });
 
-  it("holds when all runs are lost, as with a leader that keeps only the log", () => {
+  it("earns no less worth when all engines fail for 1 s", () => {
     const losses = [{ atMs: 10_000, engines: 7, forMs: 1_000 }];
-    requireNoLoss(compare(createLoad(1.2, { losses })));
+    assertNoLoss(compare(createLoad(1.2, { losses })));
   });
 
-  it("serves a trainer that comes late beside others that fill all places", () => {
+  it("serves a trainer that starts while others occupy all slots", () => {
     const late = createTrainer({ name: "late", startMs: 10_000 });
     const trainers = [...TRAINERS, late];
-    for (const { now } of compare(createLoad(1.1, { trainers }))) {
-      chai.expect(now.trainers.get("late")?.worth).to.be.at.least(0.4);
+    for (const { current } of compare(createLoad(1.1, { trainers }))) {
+      chai.expect(current.trainers.get("late")?.worth).to.be.at.least(0.4);
     }
   });
 
-  it("serves a trainer alone as before, with a tail of long items too", () => {
+  it("earns no less worth for a single trainer, with and without long items", () => {
     for (const tailShare of [0, 0.15]) {
       const trainers = [createTrainer({ tailShare })];
       const engines = createEngines(5);
       for (
-        const { before, now } of compare(createLoad(1, { trainers, engines }))
+        const { baseline, current } of compare(
+          createLoad(1, { trainers, engines }),
+        )
       ) {
-        chai.expect(now.worth).to.be.at.least(before.worth - NOISE);
+        chai.expect(current.worth).to.be.at.least(
+          baseline.worth - WORTH_TOLERANCE,
+        );
       }
     }
   });
