--- a/src/admission/admission_queue.ts
+++ b/src/admission/admission_queue.ts
@@ -1,55 +1,52 @@
-import * as slotReleaseRates from "./slot_release_rate.ts";
 import * as retrySchedules from "./retry_schedule.ts";
+import * as slotReleaseRates from "./slot_release_rate.ts";
 
-/**
- * Requests that wait at once at most. Each holds its body; with bodies of some
- * kilobytes the line stays within some megabytes of the 64 that a box has.
- */
+/** Most requests in the queue; bounds the memory held by their bodies. */
 const MAX_QUEUED = 512;
 
-/** A request that all servers refused, and that could wait for a place. */
+/** A request that all servers refused and that can wait for a slot. */
 export interface QueuedRequest {
   readonly id: string;
-  /** Rank of its kind; 0 goes first. */
+  /** Priority class; 0 is dequeued first. */
   readonly priority: number;
-  /** When its answer loses its full worth, in monotonic ms. */
+  /** Latency target: when a response counts as late, in monotonic ms. */
   readonly targetAtMs: number;
-  /** When it must have got a place, or is refused, in monotonic ms. */
+  /** When it is refused unless it has been given a slot, in monotonic ms. */
   readonly deadlineAtMs: number;
 }
 
-/** What became of a request that wanted to wait. */
+/** Result of queueing a request. */
 export type EnqueueResult =
   | { readonly kind: "waiting" }
-  /** It would wait in vain. */
+  /** The queue is full, or the deadline would pass first; retry delay in ms. */
   | { readonly kind: "refused"; readonly retryAfterMs: number };
 
-/** A request that is refused after it has waited. */
+/** A queued request whose deadline has passed. */
 export interface ExpiredRequest {
   readonly id: string;
+  /** Delay after which its caller should retry, in ms. */
   readonly retryAfterMs: number;
 }
 
 /**
- * The requests of one service that wait at one box for places at its servers.
+ * Priority queue of the requests of one service that wait at one box for a slot
+ * at a backend server.
  *
- * It answers a load above what the servers bear: for a moment, as when many
- * callers return together after an outage or a third of the servers is lost, or
- * for long. In the first case all wait a little and are served; in the second
- * the line refuses at once whom it could not serve, as it knows how often a
- * place comes free.
+ * Short bursts above capacity are absorbed. Under sustained overload, requests
+ * are refused at once if the slot release rate shows that their deadline would
+ * pass before their turn.
  */
 export class AdmissionQueue {
   readonly #releaseRate = new slotReleaseRates.SlotReleaseRate();
   readonly #retries = new retrySchedules.RetrySchedule();
   readonly #queued = new Map<string, QueuedRequest>();
 
-  /** How many wait. */
+  /** Returns the number of queued requests. */
   count(): number {
     return this.#queued.size;
   }
 
-  /** Lets a request wait unless its turn would come too late. */
+  /** Queues a request, or refuses it if its deadline can't be met. */
   enqueue(request: QueuedRequest, nowMs: number): EnqueueResult {
     const waitMs = this.#estimateWaitMs(request, nowMs);
     const isRefused = this.#queued.size >= MAX_QUEUED ||
@@ -61,22 +58,22 @@
     return { kind: "waiting" };
   }
 
-  /** Tells a caller that can't be served now when to come back, in ms. */
+  /** Assigns a refused caller its retry delay, in ms. */
   scheduleRetry(nowMs: number): number {
     return this.#retries.assign(nowMs, this.#releaseRate.getIntervalMs(nowMs));
   }
 
-  /** Forgets a request that no longer waits. */
+  /** Removes a request from the queue, for example after it was canceled. */
   remove(id: string): void {
     this.#queued.delete(id);
   }
 
-  /** Notes that a place at a server came free. */
+  /** Records that a slot at a server was freed. */
   recordFreedSlot(nowMs: number): void {
     this.#releaseRate.record(nowMs);
   }
 
-  /** Takes the request whose turn it is out of the line. */
+  /** Removes the next request and returns its id; undefined if empty. */
   dequeue(nowMs: number): string | undefined {
     let next: QueuedRequest | undefined;
     for (const request of this.#queued.values()) {
@@ -88,7 +85,7 @@
     return next?.id;
   }
 
-  /** Takes out those whose time is over, each with when to come back. */
+  /** Removes the requests whose deadline has passed. */
   removeExpired(nowMs: number): readonly ExpiredRequest[] {
     return [...this.#queued.values()]
       .filter((request) => request.deadlineAtMs <= nowMs)
@@ -98,7 +95,7 @@
       });
   }
 
-  /** Time until a request's turn; 0 where the rate of places is not known. */
+  /** Estimates the wait in ms; 0 while the slot release rate is unknown. */
   #estimateWaitMs(request: QueuedRequest, nowMs: number): number {
     const intervalMs = this.#releaseRate.getIntervalMs(nowMs);
     if (intervalMs === undefined) return 0;
@@ -110,10 +107,9 @@
 }
 
 /**
- * Tells whose turn comes first. More urgent kinds go first; then those that can
- * still be answered in time, the one with the least time left at the front;
- * then the late ones, the newest first, as old ones gain nothing any more and
- * would make the newer ones late as well.
+ * Tells whether `a` is dequeued before `b`. Order: priority; then requests that
+ * can still meet their latency target, earliest target first; then late ones,
+ * latest target first, so that a backlog doesn't make newer requests late too.
  */
 function isBefore(
   a: QueuedRequest,
--- a/src/admission/admission_queue_test.ts
+++ b/src/admission/admission_queue_test.ts
@@ -19,111 +19,115 @@
 }
 
 function dequeueAll(
-  line: admissionQueues.AdmissionQueue,
+  queue: admissionQueues.AdmissionQueue,
   nowMs: number,
 ): readonly string[] {
   const taken: string[] = [];
   for (;;) {
-    const id = line.dequeue(nowMs);
+    const id = queue.dequeue(nowMs);
     if (id === undefined) return taken;
     taken.push(id);
   }
 }
 
-describe("waiting line", () => {
-  let line = new admissionQueues.AdmissionQueue();
+describe("AdmissionQueue", () => {
+  let queue = new admissionQueues.AdmissionQueue();
 
   beforeEach(() => {
-    line = new admissionQueues.AdmissionQueue();
+    queue = new admissionQueues.AdmissionQueue();
   });
 
-  it("gives places to urgent kinds first, then to those with least time left", () => {
+  it("dequeues by priority, then by earliest latency target", () => {
     const requests = [
       createRequest("slack", { targetAtMs: NOW_MS + 300 }),
       createRequest("tight", { targetAtMs: NOW_MS + 50 }),
       createRequest("low", { priority: 2, targetAtMs: NOW_MS + 10 }),
     ];
-    for (const request of requests) line.enqueue(request, NOW_MS);
-    chai.expect(dequeueAll(line, NOW_MS)).to.deep.equal([
+    for (const request of requests) queue.enqueue(request, NOW_MS);
+    chai.expect(dequeueAll(queue, NOW_MS)).to.deep.equal([
       "tight",
       "slack",
       "low",
     ]);
   });
 
-  it("lets late ones wait behind those that can still be in time, newest first", () => {
+  it("dequeues late requests last, latest target first", () => {
     const requests = [
       createRequest("older", { targetAtMs: NOW_MS - 200 }),
       createRequest("old", { targetAtMs: NOW_MS - 100 }),
       createRequest("inTime"),
     ];
-    for (const request of requests) line.enqueue(request, NOW_MS);
-    chai.expect(dequeueAll(line, NOW_MS)).to.deep.equal([
+    for (const request of requests) queue.enqueue(request, NOW_MS);
+    chai.expect(dequeueAll(queue, NOW_MS)).to.deep.equal([
       "inTime",
       "old",
       "older",
     ]);
   });
 
-  it("refuses at once whose turn would come too late", () => {
-    for (let at = 0; at < 1_000; at += 100) line.recordFreedSlot(at);
-    const giveUpAtMs = NOW_MS + 350;
+  it("refuses a request whose deadline would pass before its turn", () => {
+    for (let at = 0; at < 1_000; at += 100) queue.recordFreedSlot(at);
+    const deadlineAtMs = NOW_MS + 350;
     const kinds = ["a", "b", "c", "d", "e"].map((id) =>
-      line.enqueue(createRequest(id, { deadlineAtMs: giveUpAtMs }), NOW_MS).kind
+      queue.enqueue(createRequest(id, { deadlineAtMs: deadlineAtMs }), NOW_MS)
+        .kind
     );
     chai.expect(kinds.slice(0, 2)).to.deep.equal(["waiting", "waiting"]);
     chai.expect(kinds.at(-1)).to.equal("refused");
   });
 
-  it("follows within two seconds when places come free more often", () => {
-    const giveUpAtMs = 60_000;
-    for (let at = 0; at <= 2_000; at += 400) line.recordFreedSlot(at);
-    for (let at = 2_000; at <= 4_000; at += 10) line.recordFreedSlot(at);
+  it("adapts within two seconds when slots are freed more often", () => {
+    const deadlineAtMs = 60_000;
+    for (let at = 0; at <= 2_000; at += 400) queue.recordFreedSlot(at);
+    for (let at = 2_000; at <= 4_000; at += 10) queue.recordFreedSlot(at);
     const kinds = Array.from(
       { length: 50 },
       (_, index) =>
-        line.enqueue(
+        queue.enqueue(
           createRequest(`${index}`, { deadlineAtMs: 4_000 + 1_000 }),
           4_000,
         ).kind,
     );
     chai.expect(kinds).to.not.include("refused");
     chai.expect(
-      line.enqueue(createRequest("x", { deadlineAtMs: giveUpAtMs }), 4_000)
+      queue.enqueue(createRequest("x", { deadlineAtMs: deadlineAtMs }), 4_000)
         .kind,
     ).to
       .equal("waiting");
   });
 
-  it("tells those that it refuses together to come back one after the other", () => {
+  it("spaces the retries of requests that are refused together", () => {
     for (let at = NOW_MS - 5_000; at < NOW_MS; at += 50) {
-      line.recordFreedSlot(at);
+      queue.recordFreedSlot(at);
     }
-    const returns = Array.from({ length: 5 }, () => line.scheduleRetry(NOW_MS));
-    const gaps = returns.slice(1).map((ms, index) => ms - returns[index]!);
+    const delaysMs = Array.from(
+      { length: 5 },
+      () => queue.scheduleRetry(NOW_MS),
+    );
+    const gaps = delaysMs.slice(1).map((ms, index) => ms - delaysMs[index]!);
     for (const gap of gaps) chai.expect(gap).to.be.within(40, 80);
-    chai.expect(returns[0]).to.be.greaterThan(0);
+    chai.expect(delaysMs[0]).to.be.greaterThan(0);
   });
 
-  it("names a bounded time to come back, however many are refused", () => {
-    const returns = Array.from(
+  it("bounds the retry delay, however many requests are refused", () => {
+    const delaysMs = Array.from(
       { length: 5_000 },
-      () => line.scheduleRetry(NOW_MS),
+      () => queue.scheduleRetry(NOW_MS),
     );
-    chai.expect(Math.max(...returns)).to.be.at.most(1_000);
+    chai.expect(Math.max(...delaysMs)).to.be.at.most(1_000);
   });
 
-  it("bounds how many wait", () => {
+  it("bounds the number of queued requests", () => {
     const kinds = Array.from(
       { length: 600 },
-      (_, index) => line.enqueue(createRequest(`${index}`), NOW_MS).kind,
+      (_, index) => queue.enqueue(createRequest(`${index}`), NOW_MS).kind,
     );
     chai.expect(kinds.filter((kind) => kind === "waiting").length).to.equal(
       512,
     );
   });
 
-  it("loses nobody, answers nobody twice, and keeps nobody past its time", () => {
+  it("never loses, duplicates or keeps requests past their deadline", () => {
     const step = fastCheck.oneof(
       fastCheck.record({
         kind: fastCheck.constant("enter" as const),
@@ -137,7 +141,7 @@
     );
     fastCheck.assert(
       fastCheck.property(fastCheck.array(step, { maxLength: 200 }), (steps) => {
-        const own = new admissionQueues.AdmissionQueue();
+        const testedQueue = new admissionQueues.AdmissionQueue();
         const waiting = new Map<string, admissionQueues.QueuedRequest>();
         let nowMs = 0;
         for (const [index, entry] of steps.entries()) {
@@ -149,13 +153,13 @@
                 targetAtMs: nowMs + entry.targetMs,
                 deadlineAtMs: nowMs + entry.patienceMs,
               });
-              const { kind } = own.enqueue(request, nowMs);
+              const { kind } = testedQueue.enqueue(request, nowMs);
               if (kind === "waiting") waiting.set(request.id, request);
               break;
             }
             case "free": {
-              own.recordFreedSlot(nowMs);
-              const id = own.dequeue(nowMs);
+              testedQueue.recordFreedSlot(nowMs);
+              const id = testedQueue.dequeue(nowMs);
               const best = Math.min(
                 ...[...waiting.values()].map((other) => other.priority),
               );
@@ -169,10 +173,10 @@
             }
             case "expire":
               for (
-                const { id, retryAfterMs: returnMs } of own.removeExpired(nowMs)
+                const { id, retryAfterMs } of testedQueue.removeExpired(nowMs)
               ) {
                 chai.expect(waiting.delete(id)).to.equal(true);
-                chai.expect(returnMs).to.be.within(1, 1_000);
+                chai.expect(retryAfterMs).to.be.within(1, 1_000);
               }
               for (const request of waiting.values()) {
                 chai.expect(request.deadlineAtMs).to.be.greaterThan(nowMs);
@@ -181,12 +185,12 @@
             case "leave": {
               const [first] = waiting.keys();
               if (first === undefined) break;
-              own.remove(first);
+              testedQueue.remove(first);
               waiting.delete(first);
               break;
             }
           }
-          chai.expect(own.count()).to.equal(waiting.size);
+          chai.expect(testedQueue.count()).to.equal(waiting.size);
         }
       }),
       { seed: 20, numRuns: 300 },
--- a/src/admission/mod.ts
+++ b/src/admission/mod.ts
@@ -1,15 +1,16 @@
 /**
- * Decides how requests wait for places at backend servers, and when refused
- * callers come back. Nothing here reads a clock, holds a timer or sends.
+ * Admission control: queues requests for slots at backend servers and assigns
+ * retry times to refused callers. Nothing here reads a clock, starts a timer or
+ * does I/O.
  *
  * @example
  * ```ts
  * import * as admission from "../admission/mod.ts";
- * const line = new admission.WaitingLine();
- * const entrance = line.enter(request, nowMs);
+ * const queue = new admission.AdmissionQueue();
+ * const result = queue.enqueue(request, nowMs);
  * ```
  * @module
  */
-export * from "./slot_release_rate.ts";
-export * from "./retry_schedule.ts";
 export * from "./admission_queue.ts";
+export * from "./retry_schedule.ts";
+export * from "./slot_release_rate.ts";
--- a/src/admission/retry_schedule.ts
+++ b/src/admission/retry_schedule.ts
@@ -1,27 +1,23 @@
-/** Shortest time after which a refused caller comes back, in ms. */
+/** Shortest retry delay, in ms. */
 const MIN_RETRY_MS = 100;
-/**
- * Longest such time, in ms; callers heed no more than a third of what they have
- * left, which is seldom more than some seconds.
- */
+/** Longest retry delay, in ms. */
 const MAX_RETRY_MS = 1_000;
-/** Time between two returns where no place was seen to come free, in ms. */
+/** Time between two retries while the slot release rate is unknown, in ms. */
 const DEFAULT_INTERVAL_MS = 20;
 
 /**
- * Tells refused callers when to come back: one after the other, as places come
- * free, so that those who were refused together do not return together and are
- * refused again.
+ * Assigns retry delays to refused callers. Retries are spaced by the rate at
+ * which slots are freed, so that callers refused together don't retry together.
  */
 export class RetrySchedule {
   #lastRetryAtMs = Number.NEGATIVE_INFINITY;
 
   /**
-   * Gives a refused caller its time.
+   * Assigns a retry delay to a refused caller.
    *
    * @param nowMs Monotonic time, in ms.
-   * @param intervalMs Mean time between two places, where it is known.
-   * @returns The time after which it should come back, in ms.
+   * @param intervalMs Mean time between two freed slots, in ms, if known.
+   * @returns Delay after which the caller should retry, in ms.
    */
   assign(nowMs: number, intervalMs = DEFAULT_INTERVAL_MS): number {
     const earliestMs = Math.max(
--- a/src/admission/slot_release_rate.ts
+++ b/src/admission/slot_release_rate.ts
@@ -1,24 +1,20 @@
-/**
- * Time in which what was seen loses most of its weight, in ms. Long enough to
- * see some answers at ten a second, short enough to follow within two seconds
- * when a third of the servers is lost or comes back.
- */
+/** Time constant of the exponential decay of past releases, in ms. */
 const DECAY_MS = 1_000;
-/** Places seen to come free below which the rate says nothing. */
+/** Decayed number of releases below which the rate is unknown. */
 const MIN_WEIGHT = 1.5;
 
-/** How often a place at the servers of a service comes free. */
+/** Exponentially decayed rate at which slots of a service's servers are freed. */
 export class SlotReleaseRate {
   #weight = 0;
   #updatedAtMs = 0;
 
-  /** Notes that a place came free. */
+  /** Records one freed slot at a monotonic time, in ms. */
   record(nowMs: number): void {
     this.#weight = this.#computeWeight(nowMs) + 1;
     this.#updatedAtMs = nowMs;
   }
 
-  /** Mean time between two places, in ms; undefined where too few were seen. */
+  /** Returns the mean time between releases, in ms; undefined if too few. */
   getIntervalMs(nowMs: number): number | undefined {
     const weight = this.#computeWeight(nowMs);
     return weight < MIN_WEIGHT ? undefined : DECAY_MS / weight;
--- a/src/item_run/item_run_test.ts
+++ b/src/item_run/item_run_test.ts
@@ -14,7 +14,7 @@
   body: Buffer.from("prompt").toString("base64"),
 });
 
-/** The parts of a dialect that a run uses. */
+/** Dialect stub with the members that a run uses. */
 const DIALECT = {
   versionField: "version",
   createForwardHeaders: (
@@ -46,7 +46,7 @@
   response.write(events.map((event) => `${event}\n\n`).join(""));
 }
 
-describe("run of an item", () => {
+describe("runItem", () => {
   let script: Script = () => {};
   let receivedHeaders: http.IncomingHttpHeaders = {};
   const engine = http.createServer((request, response) => {
@@ -87,7 +87,7 @@
     });
   }
 
-  it("tells which versions this engine showed, not those of earlier runs", async () => {
+  it("reports the versions of this engine, not those of earlier runs", async () => {
     script = (_request, response) => {
       writeEvents(response, ["id: 2\ndata: b", "version: 4\nid: 3\ndata: c"]);
       response.end();
@@ -99,7 +99,7 @@
     chai.expect(shown).to.deep.equal([3, 4]);
   });
 
-  it("tells an engine's version also where it is too old", async () => {
+  it("reports the engine's version even if it is too old", async () => {
     script = (_request, response) => writeEvents(response, []);
     const shown: number[] = [];
     const end = await run(new textProgresses.TextProgress(), {
@@ -111,9 +111,9 @@
   });
 
   for (const version of ["four", "-1", "3.5", ""]) {
-    it(`ends a run whose version reads "${version}", and believes nothing of it`, async () => {
-      // A faulty engine's stream named the version "four": it was noted as not a
-      // number, passed every check of age, and stood in the result as null.
+    it(`aborts a run with the invalid version "${version}" and ignores later events`, async () => {
+      // Guards against an invalid version becoming NaN, which passes the check
+      // against the minimum and is stored as null.
       script = (_request, response) => {
         writeEvents(response, ["id: 1\ndata: a", `version: ${version}`]);
         response.write("\n\nid: 2\ndata: b\n\n");
@@ -129,7 +129,7 @@
     });
   }
 
-  it("takes a whole text with every version that made an event of it", async () => {
+  it("collects a whole text with each version that generated an event", async () => {
     script = (_request, response) => {
       writeEvents(response, ["id: 1\ndata: a", "version: 4\nid: 2\ndata: b"]);
       response.end();
@@ -142,7 +142,7 @@
     chai.expect(receivedHeaders["after"]).to.equal("undefined");
   });
 
-  it("goes on after the last event, at whatever point the stream broke", async () => {
+  it("resumes after the last complete event of a broken stream", async () => {
     script = (_request, response) => {
       writeEvents(response, ["id: 1\ndata: a", "id: 2\ndata: b", "id: 3\nda"]);
       setImmediate(() => response.destroy());
@@ -159,7 +159,7 @@
   });
 
   const invalidStreams: Readonly<Record<string, Script>> = {
-    "an event is missing": (_request, response) => {
+    "an event id is out of sequence": (_request, response) => {
       writeEvents(response, ["id: 1\ndata: a", "id: 3\ndata: c"]);
       response.end();
     },
@@ -171,13 +171,13 @@
       writeEvents(response, ["id: 1\ndata: a"], { version: "1" });
       response.end();
     },
-    "has no number": (_request, response) => {
+    "event id is missing or not an integer": (_request, response) => {
       writeEvents(response, ["data: a"]);
       response.end();
     },
   };
   for (const [reason, invalidStream] of Object.entries(invalidStreams)) {
-    it(`is no whole text when ${reason}`, async () => {
+    it(`rejects the stream with a reason that contains "${reason}"`, async () => {
       script = invalidStream;
       const end = await run(new textProgresses.TextProgress());
       chai.expect(end.kind).to.equal("broken");
@@ -185,7 +185,7 @@
     });
   }
 
-  it("begins a text of one version anew when another would go on with it", async () => {
+  it("discards a single-version text when the version changes", async () => {
     const progress = new textProgresses.TextProgress();
     progress.add({ id: 1, data: "a", version: 2 });
     script = (_request, response) => {
@@ -205,7 +205,7 @@
     [503, {}, "broken"],
   ] as const;
   for (const [status, headers, kind] of statuses) {
-    it(`takes ${status} ${JSON.stringify(headers)} as ${kind}`, async () => {
+    it(`maps ${status} ${JSON.stringify(headers)} to ${kind}`, async () => {
       script = (_request, response) => {
         response.writeHead(status, { id: "item-1", ...headers });
         response.end();
@@ -215,7 +215,7 @@
     });
   }
 
-  it("gives a silent engine up, and closes its connection", async () => {
+  it("aborts a stalled run and closes its connection", async () => {
     const clock = new clocks.FakeClock();
     const closed = new Promise((resolve) => {
       script = (request) => {
@@ -231,7 +231,7 @@
     await closed;
   });
 
-  it("knows what the stores keep of a text, also after a new beginning", () => {
+  it("tracks which events are stored, also after a restore and a reset", () => {
     const progress = new textProgresses.TextProgress();
     for (let id = 1; id <= 4; id += 1) {
       progress.add({ id, data: `e${id}`, version: 2 });
--- a/src/item_run/mod.ts
+++ b/src/item_run/mod.ts
@@ -1,10 +1,10 @@
 /**
- * Runs of items at engines, each going on where the last one broke off.
+ * Runs items on engines; a further run resumes where the previous one broke off.
  *
  * @example
  * ```ts
  * import * as itemRuns from "../item_run/mod.ts";
- * const end = await itemRuns.runItem(options);
+ * const outcome = await itemRuns.runItem(options);
  * ```
  * @module
  */
--- a/src/item_run/run_item.ts
+++ b/src/item_run/run_item.ts
@@ -8,64 +8,65 @@
 import type * as submissions from "../submission/mod.ts";
 import type * as textProgresses from "./text_progress.ts";
 
-/** Longest run of an item, in ms; the longest seen takes some 7 s. */
+/** Timeout of one run, in ms. */
 const RUN_TIMEOUT_MS = 60_000;
-/** Time for a connection to be made, in ms. */
+/** Timeout for connecting to the engine, in ms. */
 const CONNECT_TIMEOUT_MS = 250;
 const FAILED_STATUS = 500;
 const IMPOSSIBLE_STATUS = 422;
 const WRONG_SERVER_STATUS = 421;
 const OK_STATUS = 200;
 
-/** One run of an item at an engine. */
+/** Options of {@link runItem}. */
 export interface RunItemOptions {
   readonly clock: clocks.Clock;
   readonly dialect: dialects.Dialect;
   readonly item: submissions.SubmissionItem;
-  /** Whose submission it is. */
+  /** Sender of the item's submission. */
   readonly sender: accounts.Sender;
   readonly host: string;
   readonly engine: registry.RegisteredServer;
+  /** Oldest weight version whose text is accepted. */
   readonly minimumVersion: number;
-  /** Whether one version must make the whole text. */
+  /** Whether a single weight version must generate the whole text. */
   readonly isSingleVersion: boolean;
-  /** What earlier runs brought; this run adds to it. */
+  /** Text of earlier runs; events of this run are appended to it. */
   readonly progress: textProgresses.TextProgress;
-  /** Silence after which the run is given up, in ms. */
+  /** Time without data after which the run is aborted, in ms. */
   readonly stallTimeoutMs: number;
   readonly cancellation: csp.Cancellation;
-  /** Told of each event that was added. */
+  /** Called after each event that was appended. */
   readonly onEvent: () => void;
-  /** Told of each weight version that this engine itself showed. */
+  /** Called with each valid weight version that the engine reports. */
   readonly onVersion: (version: number) => void;
 }
 
-/** How a run ended. */
+/** Outcome of a run. */
 export type RunOutcome =
   | { readonly kind: "finished" }
-  /** The engine answered that this attempt failed. */
+  /** The engine reported that this attempt failed (status 500). */
   | { readonly kind: "failed" }
-  /** The engine answered that no attempt can succeed. */
+  /** The engine reported that no attempt can succeed (status 422). */
   | { readonly kind: "impossible" }
-  /** The engine did not take it. */
+  /** The engine did not run the item. */
   | {
     readonly kind: "notRun";
     readonly reason: string;
-    /** Whether another server than the engine answered at its address. */
+    /** Whether a different server responded at the engine's address. */
     readonly isWrongServer: boolean;
   }
-  /** The stream broke off; a further run may go on from there. */
+  /** The run broke off; a further run can resume after the last event. */
   | {
     readonly kind: "broken";
     readonly reason: string;
-    /** Whether the engine closed or reset the connection in its midst. */
+    /** Whether the engine closed or reset the connection before the end. */
     readonly isClosed: boolean;
   };
 
-/** Follows the stream of one run. */
+/** Reads the response stream of one run. */
 class ItemRun implements httpClient.ExchangeListener {
   readonly #options: RunItemOptions;
-  readonly #resolve: (end: RunOutcome) => void;
+  readonly #resolve: (outcome: RunOutcome) => void;
   readonly #parser: eventSource.EventSourceParser;
   readonly #decoder = new TextDecoder();
   #exchange: httpClient.Exchange | undefined;
@@ -75,7 +76,7 @@
   #version: number | undefined;
   #isSettled = false;
 
-  constructor(options: RunItemOptions, resolve: (end: RunOutcome) => void) {
+  constructor(options: RunItemOptions, resolve: (outcome: RunOutcome) => void) {
     this.#options = options;
     this.#resolve = resolve;
     this.#parser = eventSource.createParser({
@@ -116,7 +117,7 @@
     }
     this.#version = parsed.weightVersion;
     if (this.#version === undefined) {
-      return this.#abort("the answer names no weight version");
+      return this.#abort("the response has no weight version");
     }
     this.#checkVersion(this.#version);
   }
@@ -137,11 +138,11 @@
       case IMPOSSIBLE_STATUS:
         return this.#settle({ kind: "impossible" });
     }
-    const reason = `the engine answered ${this.#status}`;
-    const isOther = this.#status === WRONG_SERVER_STATUS;
+    const reason = `the engine responded with status ${this.#status}`;
+    const isWrongServer = this.#status === WRONG_SERVER_STATUS;
     this.#settle(
       this.#isNotRun
-        ? { kind: "notRun", reason, isWrongServer: isOther }
+        ? { kind: "notRun", reason, isWrongServer }
         : { kind: "broken", reason, isClosed: false },
     );
   }
@@ -154,26 +155,31 @@
     );
   }
 
-  /** A field that event streams do not define may tell a new version. */
+  /** Reads the dialect's version field; other parse errors abort the run. */
   #handleUnknownField(error: eventSource.ParseError): void {
     const isVersion = error.type === "unknown-field" &&
       error.field === this.#options.dialect.versionField;
-    if (!isVersion) return this.#abort("the stream can't be read");
-    // A number of no characters would be 0.
+    if (!isVersion) return this.#abort("the event stream is malformed");
+    // `Number("")` is 0, which would be a valid version.
     this.#version = error.value === "" ? Number.NaN : Number(error.value);
     this.#checkVersion(this.#version);
   }
 
-  /** A text of one version begins anew where another one would go on. */
+  /**
+   * Aborts the run if the version is invalid or too old. If a single version is
+   * required and a different one generated the text so far, also discards it.
+   */
   #checkVersion(version: number): void {
     const { minimumVersion, isSingleVersion, progress, onVersion } =
       this.#options;
     if (!Number.isSafeInteger(version) || version < 0) {
-      return this.#abort("a weight version can't be read");
+      return this.#abort("the weight version is invalid");
     }
     onVersion(version);
     if (version < minimumVersion) {
-      return this.#abort(`version ${version} is older than ${minimumVersion}`);
+      return this.#abort(
+        `weight version ${version} is older than ${minimumVersion}`,
+      );
     }
     const textVersions = progress.listVersions();
     if (
@@ -181,7 +187,7 @@
       textVersions.includes(version)
     ) return;
     progress.reset();
-    this.#abort("another version would go on with the text");
+    this.#abort("the weight version changed within a single-version text");
   }
 
   #handleEvent(event: eventSource.EventSourceMessage): void {
@@ -189,14 +195,14 @@
     const { progress, onEvent } = this.#options;
     const id = Number(event.id);
     if (event.id === undefined || !Number.isInteger(id)) {
-      return this.#abort("an event has no number");
+      return this.#abort("an event id is missing or not an integer");
     }
     const isNext = progress.add({
       id,
       data: event.data,
       version: this.#version,
     });
-    if (!isNext) return this.#abort("an event is missing");
+    if (!isNext) return this.#abort("an event id is out of sequence");
     onEvent();
   }
 
@@ -206,7 +212,7 @@
     if (this.#isSettled) return;
     this.#cancelStallTimer = clock.startTimer(
       stallMs,
-      () => this.#abort("no event came for long"),
+      () => this.#abort("no data was received within the stall timeout"),
     );
   }
 
@@ -215,19 +221,19 @@
     this.#settle({ kind: "broken", reason, isClosed: false });
   }
 
-  #settle(end: RunOutcome): void {
+  #settle(outcome: RunOutcome): void {
     if (this.#isSettled) return;
     this.#isSettled = true;
     this.#cancelStallTimer();
-    this.#resolve(end);
+    this.#resolve(outcome);
   }
 }
 
 /**
- * Runs an item at one engine, going on after what earlier runs brought.
+ * Runs an item on one engine, resuming after the text of earlier runs.
  *
- * @param options The item, the engine and the progress to add to.
- * @returns How the run ended; it never throws.
+ * @param options Item, engine and progress to append to.
+ * @returns Outcome of the run; the promise never rejects.
  */
 export function runItem(options: RunItemOptions): Promise<RunOutcome> {
   return new Promise((resolve) => {
--- a/src/routing/choose_server.ts
+++ b/src/routing/choose_server.ts
@@ -1,36 +1,36 @@
 import * as backends from "../backend_server/mod.ts";
 
-/** A backend server as one box sees it. */
+/** A backend server and its load, as known to one box. */
 export interface Candidate {
   readonly server: backends.BackendServer;
-  /** Requests that it serves at once. */
+  /** Number of requests that it serves concurrently. */
   readonly slots: number;
-  /** Requests expected in it: reported ones and those sent since. */
+  /** Estimated requests at the server: those reported plus those sent since. */
   readonly expectedRequests: number;
-  /** Weight version by model; empty for plain servers. */
+  /** Loaded weight version by model; empty for servers without models. */
   readonly models: ReadonlyMap<string, number>;
-  /** It failed lately; used only when all others failed too. */
+  /** Whether it failed recently; used only if all eligible servers did. */
   readonly isSuspect: boolean;
-  /** Role as reported. */
+  /** Role that the server reports. */
   readonly role: backends.ServerRole;
 }
 
-/** What a request needs. */
+/** Requirements of a request on its server. */
 export interface RoutingRequirements {
   readonly service: string;
-  /** Model that must be loaded; undefined for plain services. */
+  /** Model that must be loaded; undefined for services without models. */
   readonly model: string | undefined;
-  /** What the request is for. */
+  /** Use of the request, matched against the server's role. */
   readonly use: backends.ServerUse;
-  /** Oldest weight version that may serve. */
+  /** Minimum weight version of the model. */
   readonly minVersion: number;
-  /** Servers that were tried already. */
+  /** Ids of servers that have already been tried. */
   readonly excluded: ReadonlySet<string>;
-  /** Servers that likely hold the prompt's prefix. */
+  /** Ids of servers whose prefix cache likely holds the prompt's prefix. */
   readonly prefixHolders: ReadonlySet<string>;
 }
 
-/** Load, against the mean, up to which a server that holds the prefix is used. */
+/** Highest load of a prefix holder, as a multiple of the mean load. */
 const MAX_PREFIX_LOAD_FACTOR = 1.25;
 
 function canServe(
@@ -49,12 +49,12 @@
     weightVersion >= requirements.minVersion;
 }
 
-/** Load after taking one more request, in servers' worth of slots. */
+/** Returns requests per slot with one more request added. */
 function computeLoad(candidate: Candidate): number {
   return (candidate.expectedRequests + 1) / candidate.slots;
 }
 
-/** The least loaded server that holds the prefix, unless its load is high. */
+/** Chooses the least loaded prefix holder if its load is within the bound. */
 function choosePrefixHolder(
   pool: readonly Candidate[],
   prefixHolders: ReadonlySet<string>,
@@ -73,15 +73,15 @@
 }
 
 /**
- * Chooses a server that holds the prompt's prefix while its load is bounded
- * by the mean; otherwise by the power of two choices: of two servers drawn at
- * random, the less loaded. Many boxes that see the same lagged report do not
- * herd.
+ * Chooses a server for a request: a prefix holder if its load is within a bound
+ * relative to the mean, otherwise the less loaded of two servers drawn at random
+ * (power of two choices). The random draw keeps boxes with the same stale load
+ * reports from all sending to the same server.
  *
  * @param candidates All backend servers.
- * @param requirements What the request needs.
- * @param drawRandom Gives a number from 0 to below 1.
- * @returns The server, or undefined if none can serve.
+ * @param requirements Requirements of the request.
+ * @param drawRandom Returns a random number in [0, 1).
+ * @returns The server, or undefined if none is eligible.
  */
 export function chooseServer(
   candidates: readonly Candidate[],
--- a/src/routing/mod.ts
+++ b/src/routing/mod.ts
@@ -1,10 +1,10 @@
 /**
- * Routing: which backend server takes a request.
+ * Routing: chooses the backend server for each request.
  *
  * @example
  * ```ts
  * import * as routing from "../routing/mod.ts";
- * routing.chooseServer(candidates, need, Math.random);
+ * routing.chooseServer(candidates, requirements, Math.random);
  * ```
  * @module
  */
--- a/src/routing/prefix_table.ts
+++ b/src/routing/prefix_table.ts
@@ -1,11 +1,11 @@
-/** Prefixes that are remembered; the least lately used go first. */
+/** Capacity of the table; the least recently added prefix is evicted first. */
 const MAX_PREFIXES = 8_192;
 
-/** Which servers likely hold which prompt prefix, as one box learned. */
+/** Maps prompt prefixes to the servers whose prefix cache likely holds them. */
 export class PrefixTable {
   readonly #servers = new Map<string, ReadonlySet<string>>();
 
-  /** Notes that a server holds a prefix. */
+  /** Adds a server as a holder of a prefix. */
   add(prefix: string, server: string): void {
     const known = this.#servers.get(prefix) ?? new Set();
     this.#servers.delete(prefix);
@@ -16,7 +16,7 @@
     }
   }
 
-  /** Notes that a server no longer holds a prefix. */
+  /** Removes a server as a holder of a prefix. */
   remove(prefix: string, server: string): void {
     const known = this.#servers.get(prefix);
     if (known === undefined || !known.has(server)) return;
@@ -25,12 +25,12 @@
     else this.#servers.set(prefix, rest);
   }
 
-  /** Forgets all that a server holds, after a gap in its events. */
+  /** Removes a server from all prefixes, for example after a gap in its events. */
   removeServer(server: string): void {
     for (const prefix of this.#servers.keys()) this.remove(prefix, server);
   }
 
-  /** Gives the servers that likely hold a prefix. */
+  /** Returns the ids of the servers that likely hold a prefix. */
   findServers(prefix: string): ReadonlySet<string> {
     return this.#servers.get(prefix) ?? NO_SERVERS;
   }
--- a/src/routing/routing_test.ts
+++ b/src/routing/routing_test.ts
@@ -54,8 +54,8 @@
   return server?.id;
 }
 
-describe("routing", () => {
-  it("takes the less loaded of the two servers that are drawn", () => {
+describe("chooseServer and PrefixTable", () => {
+  it("chooses the less loaded of two random servers", () => {
     const pair = [
       createCandidate("a", { expectedRequests: 5 }),
       createCandidate("b", { expectedRequests: 4 }),
@@ -69,7 +69,7 @@
     ).to.equal("a");
   });
 
-  it("never takes a leaving, excluded or outdated server", () => {
+  it("never chooses a leaving, excluded or outdated server", () => {
     const leaving = createCandidate("a");
     const candidates = [
       { ...leaving, server: { ...leaving.server, state: "leaving" as const } },
@@ -92,7 +92,7 @@
       );
   });
 
-  it("keeps to an engine's role", () => {
+  it("respects the engine's role", () => {
     const candidates = [
       createCandidate("a", { role: "rollout" }),
       createCandidate("b", { role: "caller", expectedRequests: 9 }),
@@ -104,7 +104,7 @@
       );
   });
 
-  it("takes a suspect server only when all are suspect", () => {
+  it("chooses a suspect server only if all are suspect", () => {
     const suspect = createCandidate("a", { isSuspect: true });
     chai.expect(
       choose(
@@ -115,7 +115,7 @@
     chai.expect(choose([suspect], createRequirements())).to.equal("a");
   });
 
-  it("takes the server that holds the prefix while its load is near the mean", () => {
+  it("chooses a prefix holder while its load is near the mean", () => {
     const need = createRequirements({ prefixHolders: new Set(["a"]) });
     const others = ["b", "c", "d"].map((id) =>
       createCandidate(id, { expectedRequests: 4 })
@@ -128,7 +128,7 @@
     ).to.equal("d");
   });
 
-  it("forgets a server's prefixes when they are evicted or its events have a gap", () => {
+  it("removes evicted prefixes and all prefixes of a removed server", () => {
     const table = new prefixTables.PrefixTable();
     table.add("p", "a");
     table.add("p", "b");
--- a/src/routing/server_table.ts
+++ b/src/routing/server_table.ts
@@ -9,31 +9,34 @@
 import * as chooseServer from "./choose_server.ts";
 import * as prefixTables from "./prefix_table.ts";
 
-/** Time for which a server that failed is avoided, in ms. */
+/** Time for which a server counts as suspect after a failure, in ms. */
 const SUSPECT_DURATION_MS = 1_000;
+/** Slots assumed for a server that has not reported yet. */
 const DEFAULT_SLOTS = 16;
 const NO_SERVERS: ReadonlySet<string> = new Set();
 
-/** What a table needs. */
+/** Options of {@link ServerTable}. */
 export interface ServerTableOptions {
   readonly clock: clocks.Clock;
   readonly client: control.ControlClient;
-  /** Time between reports read from each server, in ms. */
+  /** Interval at which the servers' load reports are read, in ms. */
   readonly pollMs: number;
+  /** Seed of the random choice of servers. */
   readonly seed: number;
 }
 
-/** What a box knows of one server. */
+/** State that a box keeps for one server. */
 interface ServerRecord {
   readonly report: engines.ServerReport | undefined;
-  /** Weight version by model, as reported. */
+  /** Reported weight version by model. */
   readonly models: ReadonlyMap<string, number>;
-  /** Requests of this box in it now. */
+  /** Requests that this box currently has in flight at the server. */
   readonly inFlight: number;
-  /** Requests of this box that were in it at the last report. */
+  /** Value of `inFlight` when the last report was read. */
   readonly inFlightAtReport: number;
+  /** Monotonic time until which the server is suspect, in ms. */
   readonly suspectUntilMs: number;
-  /** Last cache event that was read. */
+  /** Sequence number of the last cache event that was read; 0 for none. */
   readonly cacheSequence: number;
 }
 
@@ -46,7 +49,7 @@
   cacheSequence: 0,
 };
 
-/** Loads and health of the backend servers, as one box sees them. */
+/** Tracks load, health and cached prefixes of the backend servers for one box. */
 export class ServerTable {
   readonly #options: ServerTableOptions;
   readonly #random: prand.RandomGenerator;
@@ -59,7 +62,7 @@
     this.#random = generator.xoroshiro128plus(options.seed);
   }
 
-  /** Starts to read reports; runs until stopped. */
+  /** Starts polling the servers' load reports until stopped. */
   start(): void {
     void csp.runProcess(() => this.#pollServers(), () => {});
   }
@@ -68,7 +71,7 @@
     this.#isStopped = true;
   }
 
-  /** Chooses a server for a request. */
+  /** Chooses a server for a request; undefined if none is eligible. */
   choose(
     requirements: chooseServer.RoutingRequirements,
   ): backends.BackendServer | undefined {
@@ -81,7 +84,7 @@
     );
   }
 
-  /** Chooses a server of a plain service. */
+  /** Chooses a server of a service without models. */
   chooseForService(
     service: string,
     excluded: ReadonlySet<string>,
@@ -96,7 +99,7 @@
     });
   }
 
-  /** Chooses a server for a prompt, and notes that it will hold the prefix. */
+  /** Chooses a server for a prompt and records it as a holder of the prefix. */
   chooseForPrompt(
     requirements: Omit<chooseServer.RoutingRequirements, "prefixHolders">,
     prompt: string,
@@ -105,19 +108,19 @@
     const prefixHolders = this.#prefixes.findServers(prefix);
     const server = this.choose({
       ...requirements,
-      prefixHolders: prefixHolders,
+      prefixHolders,
     });
     if (server !== undefined) this.#prefixes.add(prefix, server.id);
     return server;
   }
 
-  /** Notes that a request goes to a server. */
+  /** Records that a request is sent to a server. */
   addRequest(id: string): void {
     const record = this.#getRecord(id);
     this.#records.set(id, { ...record, inFlight: record.inFlight + 1 });
   }
 
-  /** Notes that a request to a server ended, and how. */
+  /** Records the end of a request; a failure makes the server suspect. */
   removeRequest(id: string, isFailed: boolean): void {
     const record = this.#getRecord(id);
     const suspectUntilMs = isFailed
@@ -171,7 +174,7 @@
     if (server.kind === "language") await this.#readCacheEvents(server);
   }
 
-  /** A gap in the events means that evictions may have been missed. */
+  /** Reads new cache events; a gap means that evictions may have been missed. */
   async #readCacheEvents(server: backends.BackendServer): Promise<void> {
     const { cacheSequence } = this.#getRecord(server.id);
     const read = await engines.readCacheEvents(server, cacheSequence);
@@ -203,7 +206,7 @@
     }
     const isSameProcess = record.report === undefined ||
       record.report.born === read.value.born;
-    // A later start keeps no prompt parts, and counts its events anew.
+    // A restarted server has an empty prefix cache and restarts its sequence.
     if (!isSameProcess) this.#prefixes.removeServer(server.id);
     this.#records.set(server.id, {
       ...record,
--- a/src/routing/server_table_test.ts
+++ b/src/routing/server_table_test.ts
@@ -8,10 +8,10 @@
 import * as serverTables from "./server_table.ts";
 
 const POLL_MS = 100;
-/** Turns of 1 ms in which a poll must be over. */
-const MAX_TURNS = 500;
+/** Most waits of 1 ms for a poll to finish. */
+const MAX_POLL_WAITS = 500;
 
-/** An engine that keeps prompt parts, and forgets them when it starts again. */
+/** Engine stub that reports a start time and serves its prefixes as events. */
 class FakeEngine {
   born = 1_000;
   prefixes: string[] = [];
@@ -39,7 +39,7 @@
   });
 }
 
-describe("server table", () => {
+describe("ServerTable", () => {
   const pair = [new FakeEngine(), new FakeEngine()];
   const [first] = pair;
 
@@ -58,10 +58,9 @@
     }
   });
 
-  it("counts on no prompt part of an engine that started again", async () => {
-    // An engine crashed and was back between two polls. Its events, counted from
-    // 1 again, were asked for after the 3 of before, so that requests went on to
-    // it for parts that it no longer kept, and its new ones were never seen.
+  it("drops the prefixes of an engine that restarted", async () => {
+    // Guards against a restart between two polls: the event sequence restarts at
+    // 1, so reading on from the old position would miss the new events.
     const clock = new clocks.FakeClock();
     const servers = pair.map(({ server }, index): backends.BackendServer => ({
       id: `e-${index}`,
@@ -85,15 +84,15 @@
     async function poll(): Promise<void> {
       const before = pair.map(({ polls }) => polls);
       clock.extendBy(POLL_MS);
-      for (let turn = 0; turn < MAX_TURNS; turn += 1) {
+      for (let turn = 0; turn < MAX_POLL_WAITS; turn += 1) {
         await new Promise((resolve) => setTimeout(resolve, 1));
         if (pair.every(({ polls }, at) => polls > before[at]!)) break;
       }
       await new Promise((resolve) => setTimeout(resolve, 10));
     }
 
-    /** Whether the first engine is chosen for a prompt, asked once for each. */
-    function isAtFirst(prompt: string): boolean {
+    /** Call once for each prompt: a choice records the prefix as held. */
+    function isRoutedToFirst(prompt: string): boolean {
       const need = {
         service: "lm",
         model: "m",
@@ -104,19 +103,27 @@
       return table.chooseForPrompt(need, prompt)?.id === "e-0";
     }
 
-    const old = ["old 1", "old 2", "old 3"];
-    first!.prefixes = old.map(engines.hashPrefix);
+    const oldPrompts = ["old 1", "old 2", "old 3"];
+    first!.prefixes = oldPrompts.map(engines.hashPrefix);
     table.start();
     await poll();
-    chai.expect(isAtFirst("old 1")).to.equal(true);
+    chai.expect(isRoutedToFirst("old 1")).to.equal(true);
     first!.born = 2_000;
     first!.prefixes = [engines.hashPrefix("new 1")];
     await poll();
-    chai.expect(isAtFirst("new 1")).to.equal(true);
-    const fresh = Array.from({ length: 6 }, (_, index) => `new ${index + 2}`);
-    first!.prefixes = [...first!.prefixes, ...fresh.map(engines.hashPrefix)];
+    chai.expect(isRoutedToFirst("new 1")).to.equal(true);
+    const newPrompts = Array.from(
+      { length: 6 },
+      (_, index) => `new ${index + 2}`,
+    );
+    first!.prefixes = [
+      ...first!.prefixes,
+      ...newPrompts.map(engines.hashPrefix),
+    ];
     await poll();
-    for (const prompt of fresh) chai.expect(isAtFirst(prompt)).to.equal(true);
+    for (const prompt of newPrompts) {
+      chai.expect(isRoutedToFirst(prompt)).to.equal(true);
+    }
     table.stop();
     clock.extendBy(POLL_MS);
   });
--- a/src/step_schedule/admit_groups.ts
+++ b/src/step_schedule/admit_groups.ts
@@ -3,7 +3,8 @@
 
 /**
  * Share of the capacity that admitted groups may use. The rest absorbs length
- * estimates that are too low and pauses of engines that load weights.
+ * estimates that are too low and pauses of engines that load weights, and is
+ * otherwise used by late groups.
  */
 const PLANNED_CAPACITY_SHARE = 0.75;
 
--- a/src/step_schedule/plan_steps.ts
+++ b/src/step_schedule/plan_steps.ts
@@ -5,7 +5,7 @@
 
 /**
  * Capacity counts as short above this share of it. Below 1, because length
- * estimates may be too low.
+ * estimates may be too low and slots are freed one at a time.
  */
 const SHORTAGE_THRESHOLD = 0.8;
 /** Time within which overdue groups should complete, in ms. */
--- a/src/step_schedule/schedule_types.ts
+++ b/src/step_schedule/schedule_types.ts
@@ -64,7 +64,10 @@
 export interface StepPlan<Work> {
   /** Waiting items in start order. */
   readonly items: readonly PlannedItem<Work>[];
-  /** Number of groups by trainer and status; empty if capacity suffices. */
+  /**
+   * Number of groups by trainer and status; empty if items were ordered by latest
+   * start alone.
+   */
   readonly groupCounts: ReadonlyMap<
     string,
     Readonly<Record<GroupStatus, number>>
