--- a/src/admission/admission_queue_test.ts
+++ b/src/admission/admission_queue_test.ts
@@ -69,7 +69,7 @@
     for (let at = 0; at < 1_000; at += 100) queue.recordFreedSlot(at);
     const deadlineAtMs = NOW_MS + 350;
     const kinds = ["a", "b", "c", "d", "e"].map((id) =>
-      queue.enqueue(createRequest(id, { deadlineAtMs: deadlineAtMs }), NOW_MS)
+      queue.enqueue(createRequest(id, { deadlineAtMs }), NOW_MS)
         .kind
     );
     chai.expect(kinds.slice(0, 2)).to.deep.equal(["waiting", "waiting"]);
@@ -90,7 +90,7 @@
     );
     chai.expect(kinds).to.not.include("refused");
     chai.expect(
-      queue.enqueue(createRequest("x", { deadlineAtMs: deadlineAtMs }), 4_000)
+      queue.enqueue(createRequest("x", { deadlineAtMs }), 4_000)
         .kind,
     ).to
       .equal("waiting");
--- a/src/item_run/item_run_test.ts
+++ b/src/item_run/item_run_test.ts
@@ -121,7 +121,7 @@
       };
       const progress = new textProgresses.TextProgress();
       const shown: number[] = [];
-      const listener = { onVersion: (told: number) => shown.push(told) };
+      const listener = { onVersion: (version: number) => shown.push(version) };
       const end = await run(progress, listener);
       chai.expect(end.kind).to.equal("broken");
       chai.expect(shown).to.deep.equal([3]);
--- a/src/routing/server_table_test.ts
+++ b/src/routing/server_table_test.ts
@@ -84,7 +84,7 @@
     async function poll(): Promise<void> {
       const before = pair.map(({ polls }) => polls);
       clock.extendBy(POLL_MS);
-      for (let turn = 0; turn < MAX_POLL_WAITS; turn += 1) {
+      for (let wait = 0; wait < MAX_POLL_WAITS; wait += 1) {
         await new Promise((resolve) => setTimeout(resolve, 1));
         if (pair.every(({ polls }, at) => polls > before[at]!)) break;
       }
--- a/src/step_schedule/plan_steps_test.ts
+++ b/src/step_schedule/plan_steps_test.ts
@@ -12,8 +12,8 @@
 ): scheduleTypes.OpenGroup<string> {
   return {
     isCarried,
-    items: seconds.map((runS, place) => ({
-      work: `${name}${place}`,
+    items: seconds.map((runS, index) => ({
+      work: `${name}${index}`,
       remainingMs: runS * 1_000,
       isWaiting: true,
     })),
@@ -38,7 +38,7 @@
   capacity = 1,
   policy = scheduleTypes.DEFAULT_POLICY,
 ): scheduleTypes.StepPlan<string> {
-  return planSteps.planSteps({ nowMs: 0, capacity: capacity, steps }, policy);
+  return planSteps.planSteps({ nowMs: 0, capacity, steps }, policy);
 }
 
 function listStatuses(
