--- a/src/model_version/mod.ts
+++ b/src/model_version/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The model version aggregate: versions only rise.
+ * Weight versions of models, which only increase.
  *
  * @example
  * ```ts
--- a/src/weight_orders/engine_restart_test.ts
+++ b/src/weight_orders/engine_restart_test.ts
@@ -12,7 +12,7 @@
 import * as submissions from "../submission/mod.ts";
 import * as weightOrderSchedulers from "./weight_order_scheduler.ts";
 
-/** The parts of a dialect that orders use. */
+/** The parts of a dialect that weight orders use. */
 const DIALECT = {
   createReportRequest: () => ({
     method: "GET",
@@ -33,22 +33,22 @@
   parseOrderAnswer: (body: Buffer) => JSON.parse(String(body)).born,
 } as unknown as dialects.Dialect;
 
-/** Turns in which something must happen, each of 1 ms or more. */
+/** Waits of 1 ms or more within which a condition must hold. */
 const MAX_WAITS = 1_500;
+/** Time by which the fake clock advances per wait, in ms. */
 const STEP_MS = 20;
 
-describe("orders to an engine that starts again under its id", () => {
-  // An engine crashed right after it had acknowledged the load of version 2,
-  // and came back with version 1 under its id. What the former start had shown
-  // counted for the later one, so the load was never ordered again and the
-  // step's runs went to an engine that refused each of them.
+describe("weight orders after an engine restart", () => {
+  // A restarted engine has the same id but holds its initial version again.
+  // State of the old process must not count for the new one: the load would not
+  // be ordered again, and the engine would refuse the runs of the step.
   let clock = new clocks.FakeClock();
   let servers = new registry.ServerRegistry(clock, 60_000);
   let engines = new dispatch.EngineTable(clock);
   let orders: dialects.VersionOrder[] = [];
   let scheduler: weightOrderSchedulers.WeightOrderScheduler | undefined;
   let state = { born: 1_000, version: 1, orders: 0 };
-  /** Whether an order that is taken shows in the state at once. */
+  /** Whether an accepted order changes the reported version at once. */
   let loadsImmediately = true;
 
   const engine = http.createServer((request, response) => {
@@ -123,7 +123,7 @@
     return serverFixtures.createServer("e-1", { port, models, born });
   }
 
-  /** Lets time pass until something holds; tells how long it took, in ms. */
+  /** Advances the clock until a condition holds; returns the time in ms. */
   async function waitUntil(isDone: () => boolean): Promise<number> {
     const startMs = clock.getMonotonicMs();
     for (let attempt = 0; attempt < MAX_WAITS && !isDone(); attempt += 1) {
@@ -137,7 +137,7 @@
     return engines.getVersion(servers.get("e-1")!, "m");
   }
 
-  it("orders a load anew that the former start had ended", async () => {
+  it("repeats a load that the old process had completed", async () => {
     await waitUntil(() => getVersion() === 2);
     chai.expect(orders).to.have.length(1);
     state = { born: 2_000, version: 1, orders: 0 };
@@ -150,7 +150,7 @@
     ]);
   });
 
-  it("orders a load anew at once that the former start had only acknowledged", async () => {
+  it("repeats at once a load that the old process had only accepted", async () => {
     loadsImmediately = false;
     await waitUntil(() => orders.length === 1);
     loadsImmediately = true;
@@ -162,7 +162,7 @@
     chai.expect(orders).to.have.length(2);
   });
 
-  it("learns of the later start from its state, before a heartbeat tells it", async () => {
+  it("detects the new process by its report, before a heartbeat", async () => {
     loadsImmediately = false;
     await waitUntil(() => orders.length === 1);
     loadsImmediately = true;
