--- a/src/fleet_daemon/store_box.ts
+++ b/src/fleet_daemon/store_box.ts
@@ -157,7 +157,7 @@
       policy,
       endpoint,
       countNeededPlaces: (service, leastMs) =>
-        this.#dispatcher.countNeededPlaces(service, leastMs),
+        this.#dispatcher.countNeededSlots(service, leastMs),
     });
   }
 
--- a/src/weight_orders/weight_orders.ts
+++ b/src/weight_orders/weight_orders.ts
@@ -138,7 +138,7 @@
     const { servers, engines, isService } = this.#options;
     return listEngines.listEngines(servers, isService)
       .toSorted((a, b) =>
-        engines.getRunning(a.lifetime) - engines.getRunning(b.lifetime)
+        engines.getRunCount(a.lifetime) - engines.getRunCount(b.lifetime)
       );
   }
 
@@ -160,7 +160,7 @@
     } finally {
       this.#lanes.end(engine.lifetime, isSeen);
       this.#busy.delete(engine.lifetime);
-      this.#options.engines.setLoading(engine.lifetime, undefined);
+      this.#options.engines.setLoadingModel(engine.lifetime, undefined);
       this.#options.onLoaded();
     }
   }
@@ -176,7 +176,7 @@
     if (engines.getVersion(engine, model) >= version) return false;
     if (!this.#canOrder() || this.#lanes.count() >= this.#most) return false;
     this.#lanes.begin(engine.lifetime);
-    engines.setLoading(engine.lifetime, model);
+    engines.setLoadingModel(engine.lifetime, model);
     this.#options.onLoading(engine, model);
     const order: dialects.VersionOrder = {
       model,
@@ -203,7 +203,7 @@
         await clocks.sleep(clock, this.#lanes.getLoadMs());
         return await this.#awaitLoaded(load);
       case "held":
-        engines.prove(engine.lifetime, model, version);
+        engines.advanceVersion(engine.lifetime, model, version);
         return false;
       case "refused":
         this.#orders.delete(engine.lifetime);
@@ -261,7 +261,7 @@
     this.#orders.set(engine.lifetime, reading.value.orders);
     if (reading.value.isBusy) return true;
     for (const { name, version } of reading.value.models) {
-      engines.prove(engine.lifetime, name, version);
+      engines.advanceVersion(engine.lifetime, name, version);
     }
     return true;
   }
