--- a/src/dispatch/choose_engine.ts
+++ b/src/dispatch/choose_engine.ts
@@ -2,29 +2,31 @@
 import * as engineTables from "./engine_table.ts";
 
 /**
- * How much a certain failure adds to an engine's score, as a factor: a broken
- * run goes on elsewhere after a silence that is a few times its length.
+ * How strongly an engine's failure rate increases its expected event interval:
+ * the interval is multiplied by 1 + weight * rate. A broken run costs much more
+ * time than a slow one, as it resumes elsewhere only after the stall timeout.
  */
 const FAILURE_WEIGHT = 3;
 
-/** What an item asks of its engine. */
+/** Requirements of an item on the engine that runs it. */
 export interface EngineRequirements {
   readonly model: string | undefined;
+  /** Oldest weight version that may generate the item's text. */
   readonly minimumVersion: number;
-  /** Engines that this item should not go to again at once. */
+  /** Engines that failed this item; used only when there is no other. */
   readonly avoided: ReadonlySet<registry.LifetimeKey>;
 }
 
-/** An engine in a choice, with what does not change while items are placed. */
+/** An engine that items can be assigned to, with its cached speed estimate. */
 export interface EngineCandidate {
   readonly engine: registry.RegisteredServer;
-  /** Expected time between its events without a run, failures weighed in, in ms. */
+  /** Expected event interval when idle, increased by the failure rate, in ms. */
   readonly idleIntervalMs: number;
-  /** Runs at it, those among them that were placed since. */
+  /** Runs at the engine, including those assigned since it was listed. */
   runCount: number;
 }
 
-/** Describes an engine for a choice. */
+/** Creates a candidate from an engine's current speed, failure rate and runs. */
 export function createCandidate(
   engine: registry.RegisteredServer,
   table: engineTables.EngineTable,
@@ -39,13 +41,12 @@
 }
 
 /**
- * Picks the engine with a free place where an item's tokens are expected to
- * come fastest. Engines that failed the item are taken only where no other is
- * left.
+ * Picks the engine with a free slot and the shortest expected event interval.
+ * Engines that failed the item are picked only if no other has a free slot.
  *
- * @param candidates Engines that may take the item.
- * @param avoided Starts of engines that failed it.
- * @returns The engine, or undefined when none has a place.
+ * @param candidates Engines that are eligible for the item.
+ * @param avoided Lifetimes of engines that failed the item.
+ * @returns The engine, or undefined when no candidate has a free slot.
  */
 export function pickEngine(
   candidates: readonly EngineCandidate[],
@@ -55,8 +56,7 @@
   let bestIntervalMs = Number.POSITIVE_INFINITY;
   let isBestAvoided = true;
   for (const candidate of candidates) {
-    const { engine, idleIntervalMs: idleIntervalMs, runCount: runCount } =
-      candidate;
+    const { engine, idleIntervalMs, runCount } = candidate;
     if (runCount >= engine.slots) continue;
     const isAvoided = avoided.size > 0 && avoided.has(engine.lifetime);
     if (isAvoided && !isBestAvoided) continue;
@@ -70,7 +70,7 @@
   return best;
 }
 
-/** Tells whether an engine has a place for an item and may take it. */
+/** Tells whether an engine is eligible for an item and has a free slot. */
 export function canAccept(
   engine: registry.RegisteredServer,
   table: engineTables.EngineTable,
@@ -80,7 +80,10 @@
     isEligible(engine, table, requirements);
 }
 
-/** Tells whether an engine may take an item once it has a place. */
+/**
+ * Tells whether an engine can run an item, regardless of free slots: it is not
+ * avoided, is not loading the model and has recent enough weights.
+ */
 export function isEligible(
   engine: registry.RegisteredServer,
   table: engineTables.EngineTable,
--- a/src/dispatch/describe_steps.ts
+++ b/src/dispatch/describe_steps.ts
@@ -6,33 +6,35 @@
 import type * as lengthEstimators from "./length_estimator.ts";
 
 /**
- * Time from the last event of a group until its trainer has read it, in ms: its
- * scoring and listing, and the time between two reads.
+ * Allowance between the last event of a group and the trainer's read of its
+ * results, in ms: scoring, recording, and the trainer's polling interval.
  */
 const READ_DELAY_MS = 700;
-/** Time that an item is taken to need for its scoring, in ms. */
+/** Estimated time to score an item, in ms. */
 const SCORING_ESTIMATE_MS = 100;
-/** Least time between two events that an engine is believed, in ms. */
+/** Lower bound of event intervals, in ms; avoids division by zero. */
 const MIN_INTERVAL_MS = 1;
-/** Urgency of submissions that do not tell theirs. */
+/** Priority of submissions that don't specify one; 0 is the most urgent. */
 const DEFAULT_PRIORITY = 0;
 
-/** What a description needs to know. */
+/** Inputs for the description of steps besides tasks and engines. */
 export interface DescribeStepsContext {
+  /** Wall time in ms. */
   readonly nowMs: number;
   readonly engines: engineTables.EngineTable;
   readonly lengths: lengthEstimators.LengthEstimator;
-  /** Tells whether an item waits for a place and may run. */
+  /** Tells whether an item is waiting for a slot and may run. */
   readonly canStart: (task: itemTasks.ItemTask) => boolean;
 }
 
 /**
- * Describes the open steps of a service for a plan.
+ * Describes the open steps of a service as input for the step scheduler.
  *
- * @param tasks All items of its open submissions.
- * @param servers Engines of the service that take work.
- * @param context The wall time, speeds and lengths.
- * @returns The situation that is planned for.
+ * @param tasks All items of the service's open submissions.
+ * @param servers Engines of the service that accept work.
+ * @param context Wall time, engine speeds and length estimates.
+ * @returns The steps with their remaining work, and the capacity in slots at
+ *   median speed.
  */
 export function describeSteps(
   tasks: readonly itemTasks.ItemTask[],
--- a/src/dispatch/dispatch_test.ts
+++ b/src/dispatch/dispatch_test.ts
@@ -52,7 +52,7 @@
       .map((task) => task.item.id);
   }
 
-  it("takes only engines whose weights are new enough", () => {
+  it("picks only engines whose weights are recent enough", () => {
     chai.expect(choose([createEngine("old", 1)])).to.equal(undefined);
     chai.expect(choose([createEngine("old", 1), createEngine("new", 2)])).to
       .equal("new");
@@ -60,14 +60,14 @@
     chai.expect(choose([createEngine("old", 1)])).to.equal("old");
   });
 
-  it("goes by what an engine's answer named, also where it was taken for newer", () => {
+  it("uses the version in an engine's response even if it is older", () => {
     table.advanceVersion("a", "m", 2);
     chai.expect(choose([createEngine("a", 1)])).to.equal("a");
     table.setVersion("a", "m", 1);
     chai.expect(choose([createEngine("a", 1)])).to.equal(undefined);
   });
 
-  it("takes no engine that is full, loads the model, or just broke a run", () => {
+  it("picks no engine that is full, loads the model, or just broke a run", () => {
     const engines = [createEngine("a", 2), createEngine("b", 2)];
     table.setLoadingModel("a", "m");
     chai.expect(choose(engines)).to.equal("b");
@@ -79,7 +79,7 @@
     chai.expect(choose(engines)).to.equal(undefined);
   });
 
-  it("prefers fast engines until they are much fuller", () => {
+  it("prefers fast engines until their load is much higher", () => {
     const engines = [createEngine("slow", 2), createEngine("fast", 2)];
     for (let event = 0; event < 200; event += 1) {
       table.recordInterval(createEngine("slow"), 60);
@@ -94,7 +94,7 @@
     chai.expect(taken).to.contain("slow");
   });
 
-  it("prefers engines whose runs do not break, until they are much fuller", () => {
+  it("prefers engines without broken runs until their load is much higher", () => {
     const engines = [createEngine("breaking", 2), createEngine("sound", 2)];
     for (let run = 0; run < 3; run += 1) {
       table.recordRunResult("breaking", false);
@@ -105,13 +105,13 @@
     chai.expect(choose(engines)).to.equal("breaking");
   });
 
-  it("goes back to an engine that failed the item only when there is no other", () => {
+  it("returns to an engine that failed the item only when there is no other", () => {
     const engines = [createEngine("a", 2), createEngine("b", 2)];
     chai.expect(choose(engines, ["a"])).to.equal("b");
     chai.expect(choose(engines, ["a", "b"])).to.equal("a");
   });
 
-  it("starts items of one submission longest first, earlier due ones before later", () => {
+  it("orders items longest first, and equally long ones by due time", () => {
     const tasks = [
       taskFixtures.createTask("late", { acceptedAtMs: 50 }, 10_000),
       taskFixtures.createTask("short", {}, 1_000),
@@ -121,7 +121,7 @@
     chai.expect(order(tasks, 0)).to.deep.equal(["short", "long", "late"]);
   });
 
-  it("starts long items of a later submission before short ones that can wait", () => {
+  it("orders long items of a later submission before short ones that can wait", () => {
     const tasks = [
       taskFixtures.createTask("early and short", { acceptedAtMs: 0 }, 500),
       taskFixtures.createTask("late and long", { acceptedAtMs: 4_000 }, 9_000),
@@ -136,7 +136,7 @@
     ]);
   });
 
-  it("gives an item up after as many failures as its route allows", () => {
+  it("gives up an item after the number of attempts of its route", () => {
     const task = taskFixtures.createTask("a");
     chai.expect([task.recordFailure(), task.recordFailure()]).to.deep.equal([
       false,
@@ -144,7 +144,7 @@
     ]);
   });
 
-  it("goes on with a kept text only if its versions may make the item", () => {
+  it("restores a stored text only if the submission accepts its versions", () => {
     const texts = [
       { text: "old", versions: [1], lastId: undefined },
       { text: "part", versions: [2, 3], lastId: 4 },
@@ -161,7 +161,7 @@
     chai.expect(none.progress.countEvents()).to.equal(0);
   });
 
-  describe("a placement round", () => {
+  describe("placement round", () => {
     const engines = [createEngine("a", 2), createEngine("b", 1)];
     let lists = 0;
 
@@ -178,7 +178,7 @@
       });
     }
 
-    it("fills each place once and lists the engines once", () => {
+    it("fills each slot once and lists the engines once", () => {
       const round = createRound();
       const chosen = Array.from({ length: 12 }, () => {
         const id = round.reserveSlot("lm", {
@@ -196,7 +196,7 @@
       chai.expect(lists).to.equal(1);
     });
 
-    it("goes on for other needs when one finds no place", () => {
+    it("serves other requirements after one finds no engine", () => {
       const round = createRound();
       for (let run = 0; run < 4; run += 1) table.addRun("a");
       chai.expect(round.reserveSlot("lm", requirements)).to.equal(undefined);
@@ -207,7 +207,7 @@
       chai.expect(round.hasFreeSlot("lm")).to.equal(true);
     });
 
-    it("has no place while all engines are full", () => {
+    it("has no free slot while all engines are full", () => {
       for (let run = 0; run < 4; run += 1) {
         table.addRun("a");
         table.addRun("b");
@@ -216,7 +216,7 @@
     });
   });
 
-  describe("moves of runs", () => {
+  describe("run mover", () => {
     const engines = ["a", "b", "c"].map((id) => createEngine(id, 2));
 
     function createRunning(engine: string, count: number) {
@@ -247,7 +247,7 @@
       });
     }
 
-    it("moves runs from a load as far as there are places, less a reserve", () => {
+    it("moves runs off a loading engine into free slots, minus the reserve", () => {
       const tasks = [
         ...createRunning("a", 4),
         ...createRunning("b", 3),
@@ -259,7 +259,7 @@
       chai.expect(countMoved(tasks.slice(4))).to.equal(0);
     });
 
-    it("moves runs from a slow engine only, and nothing while all are alike", () => {
+    it("moves runs off a slow engine, and none while all are equally fast", () => {
       const tasks = [...createRunning("a", 1), ...createRunning("b", 1)];
       for (let event = 0; event < 200; event += 1) {
         for (const engine of engines) table.recordInterval(engine, 40);
--- a/src/dispatch/dispatcher.ts
+++ b/src/dispatch/dispatcher.ts
@@ -21,22 +21,23 @@
 import * as textReplicators from "./text_replicator.ts";
 import * as waitingOrders from "./waiting_order.ts";
 
-/** Longest time between two looks for work, in ms. */
+/** Interval between updates of tasks and runs, in ms. */
 const UPDATE_INTERVAL_MS = 50;
-/** Silence of a run after which it goes on elsewhere, in ms; events of an
- * engine four times slower than usual come every 160 ms. */
+/**
+ * Time without an event after which a run is retried at another engine, in ms.
+ * Several times the event interval of a slow engine.
+ */
 const STALL_TIMEOUT_MS = 800;
-/** Silence allowed while the engine loads weights, in ms. */
+/** Stall timeout of runs started while their engine loads weights, in ms. */
 const LOADING_STALL_TIMEOUT_MS = 4_000;
 /**
- * Time without authority after which the runs of this box are ended, in ms. A
- * slow quorum often answers again within some hundred ms, while ending and
- * repeating hundreds of runs costs seconds. It stays below the time in which
- * the end of a submission must take effect.
+ * Time without confirmed leadership after which this box cancels its runs, in
+ * ms. Short quorum outages are tolerated because repeating all runs costs more.
+ * Must stay below the time within which ending a submission takes effect.
  */
 const AUTHORITY_GRACE_MS = 2_000;
 
-/** What the dispatcher needs. */
+/** Options of a dispatcher. */
 export interface DispatcherOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
@@ -49,10 +50,11 @@
   readonly engines: engineTables.EngineTable;
   readonly forwarder: forwarding.Forwarder;
   readonly crashGuard: itemCrashTrackers.ItemCrashTrackerOptions["crashGuard"];
+  /** Returns a random number in [0, 1). */
   readonly draw: () => number;
 }
 
-/** Runs the items of all open submissions while this store leads. */
+/** Runs the items of all open submissions while this store is the leader. */
 export class Dispatcher {
   readonly #options: DispatcherOptions;
   readonly #itemFinisher: itemFinishers.ItemFinisher;
@@ -62,7 +64,7 @@
   readonly #taskTable: taskTables.TaskTable;
   readonly #crashTracker: itemCrashTrackers.ItemCrashTracker;
   readonly #waitingOrder: waitingOrders.WaitingOrder;
-  /** Since when this box leads without authority, in monotonic ms. */
+  /** When the quorum stopped confirming leadership, in monotonic ms. */
   #authorityLostAtMs: number | undefined;
   #isUpdateScheduled = false;
   #isStopped = false;
@@ -87,18 +89,20 @@
     });
   }
 
+  /** Starts periodic updates until {@linkcode Dispatcher.stop} is called. */
   start(): void {
     this.#updateTasks();
     if (this.#isStopped) return;
     this.#options.clock.startTimer(UPDATE_INTERVAL_MS, () => this.start());
   }
 
+  /** Stops updates and cancels all runs. */
   stop(): void {
     this.#isStopped = true;
     this.#cancelAll();
   }
 
-  /** Looks for work soon; many calls lead to one look. */
+  /** Schedules an update; calls before it runs are merged into one. */
   wake(): void {
     if (this.#isUpdateScheduled) return;
     this.#isUpdateScheduled = true;
@@ -108,7 +112,12 @@
     });
   }
 
-  /** Places that the open steps of a service need to be in time. */
+  /**
+   * Estimates the slots a service needs to complete its open steps on time.
+   *
+   * @param service The service.
+   * @param minWindowMs Time assumed to be left for late groups, in ms.
+   */
   countNeededSlots(service: string, minWindowMs: number): number {
     const tasks = filterByService(service, this.#taskTable.list());
     return this.#waitingOrder.countNeededSlots(service, tasks, minWindowMs);
@@ -126,8 +135,8 @@
   }
 
   /**
-   * Starts nothing while another store may lead. What runs goes on for a while:
-   * its results are listed only once a quorum confirms them.
+   * Keeps current runs for a grace period but starts none, as another store may
+   * be the leader. Results are recorded only if a quorum commits them.
    */
   #waitForQuorum(): void {
     const { clock, group } = this.#options;
@@ -142,7 +151,7 @@
     this.#itemFinisher.discardPending();
   }
 
-  /** Follows the log: items come with submissions and go with their end. */
+  /** Aligns tasks with the replicated records and scores complete texts. */
   #syncTasks(): void {
     for (const task of this.#taskTable.syncRecords()) {
       if (task.phase === "scoring") void this.#itemFinisher.score(task);
@@ -224,11 +233,11 @@
     metrics.countItemRun(end.kind);
     await this.#crashTracker.recordRunEnd(task, engine, {
       end,
-      eventsBefore: eventsBefore,
+      eventsBefore,
     });
     if (!task.isActive()) return;
     if (isInterrupted(end) && runCancellation.isCancelled()) {
-      // This box moved the run, maybe before it was connected.
+      // The run was cancelled to move it, possibly before it had connected.
       this.#enterPhase(task, "waiting");
     } else {
       engines.recordRunResult(engine.lifetime, isEngineSuccess(end));
@@ -238,9 +247,8 @@
   }
 
   /**
-   * Ends a run whose engine has started again: it knows nothing of the run, and
-   * a silent connection would tell only after a while. The item goes on
-   * elsewhere after the events that came.
+   * Cancels a run whose engine restarted, without waiting for the stall timeout.
+   * The item resumes at another engine after the events received so far.
    */
   #cancelLostRun(
     task: itemTasks.ItemTask,
@@ -256,7 +264,7 @@
     cancellation.cancel();
   }
 
-  /** Moves the runs of a model away from an engine that is to load it. */
+  /** Moves the runs of a model off an engine that is about to load weights. */
   moveRuns(engine: registry.RegisteredServer, model: string): void {
     this.#runMover.moveFromLoadingEngine(this.#taskTable.list(), engine, model);
   }
@@ -320,12 +328,12 @@
   return tasks.filter((task) => task.submission.terms.service === service);
 }
 
-/** Tells whether a run ended without a word of its engine. */
+/** Tells whether a run ended without a final response from its engine. */
 function isInterrupted(end: itemRuns.RunEnd): boolean {
   return end.kind === "broken" || end.kind === "notRun";
 }
 
-/** Tells whether the end of a run speaks for its engine. */
+/** Tells whether the end of a run counts as a success of its engine. */
 function isEngineSuccess(end: itemRuns.RunEnd): boolean {
   return end.kind === "finished" || end.kind === "impossible";
 }
--- a/src/dispatch/dispatcher_test.ts
+++ b/src/dispatch/dispatcher_test.ts
@@ -16,7 +16,7 @@
 import * as dispatchers from "./dispatcher.ts";
 import * as engineTables from "./engine_table.ts";
 
-/** The parts of a dialect that a run uses. */
+/** Stub of the dialect methods that a run uses. */
 const DIALECT = {
   versionField: "version",
   createForwardHeaders: (
@@ -57,10 +57,10 @@
   },
 };
 
-/** Turns of 1 ms in which a finished run must be listed. */
+/** Maximum polls, 1 ms apart, until a finished run's result is recorded. */
 const MAX_POLLS = 500;
 
-/** A group of one replica whose role and authority are set by the test. */
+/** A single-replica group whose role and quorum are set by the test. */
 class FakeGroup {
   readonly #machine: submissions.SubmissionMachine;
   isLeader = true;
@@ -155,7 +155,7 @@
     }
   }
 
-  it("lets runs go on while a quorum is slow to answer", async () => {
+  it("continues runs while the quorum is briefly unavailable", async () => {
     group.hasQuorum = false;
     clock.extendBy(500);
     group.hasQuorum = true;
@@ -165,12 +165,11 @@
     chai.expect(machine.get("s-1")?.results[0]?.text).to.equal("a\nb");
   });
 
-  it("moves a run at once whose engine starts again under its id", async () => {
-    // An engine crashed in silence in the middle of 12 runs and registered anew
-    // 300 ms later; the runs were found lost only after 800 ms without an event,
-    // and till then filled all places of the new start.
+  it("moves a run at once when its engine restarts under the same id", async () => {
+    // Guards against lost runs that occupy slots of the restarted engine until
+    // the stall timeout.
     const former = servers.get("e-1");
-    if (former === undefined) throw new Error("no engine");
+    if (former === undefined) throw new Error("The test engine is missing");
     const closed = awaitClosed(runs[0]!);
     const isRunning = new Promise<void>((resolve) => {
       onRun = resolve;
@@ -188,18 +187,18 @@
     chai.expect(machine.get("s-1")?.results[0]?.text).to.equal("a\nb");
   });
 
-  it("ends runs when another replica leads", async () => {
+  it("cancels runs when another replica becomes the leader", async () => {
     const [run] = runs;
-    if (run === undefined) throw new Error("nothing runs");
+    if (run === undefined) throw new Error("No run has started");
     const closed = awaitClosed(run);
     group.isLeader = false;
     clock.extendBy(50);
     await closed;
   });
 
-  it("ends runs when the quorum stays silent", async () => {
+  it("cancels runs when the quorum stays unavailable", async () => {
     const [run] = runs;
-    if (run === undefined) throw new Error("nothing runs");
+    if (run === undefined) throw new Error("No run has started");
     const closed = awaitClosed(run);
     group.hasQuorum = false;
     clock.extendBy(100);
--- a/src/dispatch/engine_table.ts
+++ b/src/dispatch/engine_table.ts
@@ -2,34 +2,32 @@
 import type * as registry from "../registry/mod.ts";
 import * as serverHealth from "../server_health/mod.ts";
 
-/** Weight of the newest gap in an engine's mean. */
+/** Weight of a new interval in an engine's exponential moving average. */
 const SMOOTHING_FACTOR = 0.05;
-/** Gap between events that an engine without history is taken for, in ms. */
+/** Event interval assumed for an engine without measurements, in ms. */
 const DEFAULT_INTERVAL_MS = 40;
-/** Age after which a mean says nothing any more, in ms. */
+/** Age after which an engine's average interval is considered stale, in ms. */
 const MAX_INTERVAL_AGE_MS = 5_000;
-/**
- * How much longer a full engine takes for an event than an idle one, as a share
- * (measured: 37 ms alone, 42.5 ms with all of twelve places taken).
- */
+/** Relative increase of the event interval from an idle to a full engine. */
 const FULL_LOAD_SLOWDOWN = 0.15;
-/** Gap, as a multiple of the median, from which an engine counts as slow. */
+/** Multiple of the median interval above which an engine counts as slow. */
 const SLOW_RATIO = 1.1;
-/** How long an engine that broke a run is passed over, in ms. */
+/** How long an engine gets no new runs after it broke or refused one, in ms. */
 const AVOID_DURATION_MS = 600;
 
 interface EngineState {
   readonly runCount: number;
-  /** Mean time between events, taken back to an idle engine, in ms. */
+  /** Average event interval, normalized to an idle engine, in ms. */
   readonly intervalMs: number;
-  /** When the last gap was noted, in monotonic ms. */
+  /** When the last interval was recorded, in monotonic ms. */
   readonly recordedAtMs: number;
-  /** For how long it has been slow without a break, in ms. */
+  /** How long the engine has been continuously slow, in ms. */
   readonly slowDurationMs: number;
+  /** When the engine may get new runs again, in monotonic ms. */
   readonly avoidUntilMs: number;
-  /** Versions that the engine proved since its last heartbeat, by model. */
+  /** Weight versions observed besides those in heartbeats, by model. */
   readonly observedVersions: ReadonlyMap<string, number>;
-  /** Model that is being loaded, if any. */
+  /** Model whose weights the engine is loading, if any. */
   readonly loadingModel: string | undefined;
 }
 
@@ -44,14 +42,15 @@
 };
 
 /**
- * What the dispatching box knows of each start of an engine beyond its
- * heartbeats: a later start has no runs, no loads, and proved nothing.
+ * The leader's state for each engine lifetime beyond what heartbeats report:
+ * runs, speed, failures, loading and observed weight versions. A restarted
+ * engine has a new lifetime and starts from the initial state.
  */
 export class EngineTable {
   readonly #clock: clocks.Clock;
   readonly #states = new Map<registry.LifetimeKey, EngineState>();
   readonly #failureRates: serverHealth.FailureShares;
-  /** Median of the gaps when it was last asked for. */
+  /** Cached median interval, valid for one reading of the clock. */
   #median = { computedAtMs: Number.NaN, intervalMs: DEFAULT_INTERVAL_MS };
 
   constructor(clock: clocks.Clock) {
@@ -74,9 +73,8 @@
   }
 
   /**
-   * Notes the time between two events of a run, in ms. What the load of the
-   * engine adds is taken out, so that a fast engine does not look slow only
-   * because it is full.
+   * Records the time between two events of a run, in ms. The slowdown due to the
+   * engine's load is removed, so that a full engine does not appear slow.
    */
   recordInterval(engine: registry.RegisteredServer, intervalMs: number): void {
     const state = this.#get(engine.lifetime);
@@ -85,24 +83,24 @@
     const meanMs = state.intervalMs +
       (idleIntervalMs - state.intervalMs) * SMOOTHING_FACTOR;
     const recordedAtMs = this.#clock.getMonotonicMs();
-    // The runs of an engine tell of the same time side by side.
+    // Concurrent runs report the same period, so each adds only its share.
     const elapsedMs = intervalMs / Math.max(1, state.runCount);
     const isSlow = meanMs > SLOW_RATIO * this.#median.intervalMs;
     const slowDurationMs = isSlow ? state.slowDurationMs + elapsedMs : 0;
     this.#states.set(engine.lifetime, {
       ...state,
       intervalMs: meanMs,
-      recordedAtMs: recordedAtMs,
-      slowDurationMs: slowDurationMs,
+      recordedAtMs,
+      slowDurationMs,
     });
   }
 
-  /** For how long an engine has been slower than usual without a break, in ms. */
+  /** Returns how long an engine has been continuously slow, in ms. */
   getSlowDurationMs(engine: registry.LifetimeKey): number {
     return this.#get(engine).slowDurationMs;
   }
 
-  /** Expected time between events with so many runs at an engine, in ms. */
+  /** Estimates the event interval of an engine with a number of runs, in ms. */
   estimateIntervalMs(
     engine: registry.RegisteredServer,
     runCount: number,
@@ -111,9 +109,12 @@
       computeSlowdown(runCount, engine.slots);
   }
 
-  /** Mean time between events at an idle engine, in ms; a guess without news. */
+  /**
+   * Returns the event interval expected of the engine when idle, in ms. A stale
+   * average is capped at the median of all engines.
+   */
   getIdleIntervalMs(engine: registry.LifetimeKey): number {
-    const { intervalMs: intervalMs, recordedAtMs: recordedAtMs } = this.#get(
+    const { intervalMs, recordedAtMs } = this.#get(
       engine,
     );
     const isRecent =
@@ -123,7 +124,7 @@
       : Math.min(intervalMs, this.getMedianIdleIntervalMs());
   }
 
-  /** Median of the engines' mean times between events, in ms. */
+  /** Returns the median of the engines' recent average idle intervals, in ms. */
   getMedianIdleIntervalMs(): number {
     const nowMs = this.#clock.getMonotonicMs();
     if (this.#median.computedAtMs !== nowMs) {
@@ -137,24 +138,23 @@
 
   #computeMedianMs(nowMs: number): number {
     const intervals = [...this.#states.values()]
-      .filter(({ recordedAtMs: recordedAtMs }) =>
-        nowMs - recordedAtMs < MAX_INTERVAL_AGE_MS
-      )
-      .map(({ intervalMs: intervalMs }) => intervalMs)
+      .filter(({ recordedAtMs }) => nowMs - recordedAtMs < MAX_INTERVAL_AGE_MS)
+      .map(({ intervalMs }) => intervalMs)
       .toSorted((a, b) => a - b);
     return intervals[Math.floor(intervals.length / 2)] ?? DEFAULT_INTERVAL_MS;
   }
 
-  /** Notes whether a run ended as it should; a cancelled one says nothing. */
+  /** Records whether a run succeeded; not called for runs cancelled here. */
   recordRunResult(engine: registry.LifetimeKey, isSuccess: boolean): void {
     this.#failureRates.note(engine, isSuccess);
   }
 
-  /** Share of an engine's runs that are expected to break, from 0 to 1. */
+  /** Returns the share of an engine's runs expected to fail, from 0 to 1. */
   getFailureRate(engine: registry.LifetimeKey): number {
     return this.#failureRates.get(engine);
   }
 
+  /** Gives an engine no new runs for a while. */
   avoid(engine: registry.LifetimeKey): void {
     const avoidUntilMs = this.#clock.getMonotonicMs() + AVOID_DURATION_MS;
     this.#states.set(engine, { ...this.#get(engine), avoidUntilMs });
@@ -164,7 +164,7 @@
     return this.#get(engine).avoidUntilMs > this.#clock.getMonotonicMs();
   }
 
-  /** Notes a version that an engine showed, before a heartbeat tells it. */
+  /** Records a loaded weight version unless a newer one was observed. */
   advanceVersion(
     engine: registry.LifetimeKey,
     model: string,
@@ -176,10 +176,10 @@
       ...state.observedVersions,
       [model, version] as const,
     ]);
-    this.#states.set(engine, { ...state, observedVersions: observedVersions });
+    this.#states.set(engine, { ...state, observedVersions });
   }
 
-  /** Notes the version that an engine's answer named, whatever was known. */
+  /** Records the weight version in an engine's response, even if it is older. */
   setVersion(
     engine: registry.LifetimeKey,
     model: string,
@@ -191,10 +191,13 @@
       ...state.observedVersions,
       [model, version] as const,
     ]);
-    this.#states.set(engine, { ...state, observedVersions: observedVersions });
+    this.#states.set(engine, { ...state, observedVersions });
   }
 
-  /** Version of a model at an engine, as far as is known; 0 for none. */
+  /**
+   * Returns the newest weight version of a model reported by an engine's
+   * heartbeat or observed since; 0 if none is known.
+   */
   getVersion(engine: registry.RegisteredServer, model: string): number {
     const reported = engine.models.find((weights) => weights.name === model)
       ?.version;
@@ -218,7 +221,7 @@
   }
 }
 
-/** How much longer an event takes with so many runs than with none, a factor. */
+/** Computes the factor by which load lengthens an engine's event interval. */
 export function computeSlowdown(runCount: number, slots: number): number {
   return 1 + FULL_LOAD_SLOWDOWN * runCount / slots;
 }
--- a/src/dispatch/item_crash_tracker.ts
+++ b/src/dispatch/item_crash_tracker.ts
@@ -4,7 +4,7 @@
 import type * as registry from "../registry/mod.ts";
 import type * as itemTasks from "./item_task.ts";
 
-/** What the crashes of items need. */
+/** Options of an item crash tracker. */
 export interface ItemCrashTrackerOptions {
   readonly crashGuard: Pick<
     crashGuards.CrashGuard,
@@ -12,16 +12,16 @@
   >;
 }
 
-/** A run that has ended. */
+/** The end of a run, with the progress before it. */
 export interface EndedRun {
   readonly end: itemRuns.RunEnd;
-  /** Events of the item before the run. */
+  /** Number of the item's events before the run. */
   readonly eventsBefore: number;
 }
 
 /**
- * Items and the engines that end under them. A run that brought an event is no
- * crash of its item: the next one goes on after that event.
+ * Tracks engine crashes during runs, so that an item that crashes engines is no
+ * longer run. A run that generated an event is not counted as a crash.
  */
 export class ItemCrashTracker {
   readonly #options: ItemCrashTrackerOptions;
@@ -31,9 +31,8 @@
   }
 
   /**
-   * Whether an item may run once more: not after as many engines in a row have
-   * ended under it as one piece of work may end. It would end one engine after
-   * the other until its submission ends.
+   * Tells whether an item may run again. An item is held back for good once the
+   * maximum number of engines in a row have crashed while running it.
    */
   canRun(task: itemTasks.ItemTask): boolean {
     const { crashGuard } = this.#options;
@@ -50,11 +49,11 @@
     return !isBlocked;
   }
 
-  /** Notes whether the engine ended under the run, or went on after it. */
+  /** Records whether the engine crashed during the run or survived it. */
   async recordRunEnd(
     task: itemTasks.ItemTask,
     engine: registry.RegisteredServer,
-    { end, eventsBefore: eventsBefore }: EndedRun,
+    { end, eventsBefore }: EndedRun,
   ): Promise<void> {
     const { crashGuard } = this.#options;
     if (end.kind === "notRun") return;
@@ -66,7 +65,7 @@
     crashGuard.noteServed(task.getWorkName());
   }
 
-  /** Notes that the engine of a run has started again. */
+  /** Records that the engine of a run restarted. */
   recordEngineRestart(
     task: itemTasks.ItemTask,
     engine: registry.RegisteredServer,
--- a/src/dispatch/item_crash_tracker_test.ts
+++ b/src/dispatch/item_crash_tracker_test.ts
@@ -13,9 +13,9 @@
   isClosed: true,
 };
 
-// An item whose engine ended under it went on to the next engine, whatever became
-// of it there: nothing counted the engines, until its submission ended.
-describe("items under which engines end", () => {
+// Guards against an item that crashes one engine after the other until its
+// submission ends.
+describe("item crash tracker", () => {
   const clock = new clocks.FakeClock(1_000);
   let task = taskFixtures.createTask("item");
   let tracker = new itemCrashTrackers.ItemCrashTracker({
@@ -40,35 +40,35 @@
     const server = serverFixtures.createServer(engine);
     return tracker.recordRunEnd(task, server, {
       end,
-      eventsBefore: eventsBefore,
+      eventsBefore,
     });
   }
 
-  it("run at no fourth engine", async () => {
+  it("allows no run after three crashed engines", async () => {
     for (const engine of ["i-1", "i-2"]) await endRun(engine, BROKEN);
     chai.expect(tracker.canRun(task)).to.equal(true);
     await endRun("i-3", BROKEN);
     chai.expect(tracker.canRun(task)).to.equal(false);
   });
 
-  it("count an engine that started again in their midst", () => {
+  it("counts an engine that restarted during a run", () => {
     for (const engine of ["i-1", "i-2", "i-3"]) {
       tracker.recordEngineRestart(task, serverFixtures.createServer(engine), 0);
     }
     chai.expect(tracker.canRun(task)).to.equal(false);
   });
 
-  it("go on while their runs bring events", async () => {
+  it("allows runs as long as they generate events", async () => {
     for (const engine of ["i-1", "i-2", "i-3", "i-4"]) {
-      const madeBefore = task.progress.countMade();
-      const id = madeBefore + 1;
+      const eventsBefore = task.progress.countMade();
+      const id = eventsBefore + 1;
       task.progress.add({ id, data: "x", version: 1 });
-      await endRun(engine, BROKEN, madeBefore);
+      await endRun(engine, BROKEN, eventsBefore);
     }
     chai.expect(tracker.canRun(task)).to.equal(true);
   });
 
-  it("are cleared once a run ends well, and blamed for no reset", async () => {
+  it("resets after a finished run and ignores runs not closed by the engine", async () => {
     for (const engine of ["i-1", "i-2"]) await endRun(engine, BROKEN);
     await endRun("i-3", { kind: "finished" });
     await endRun("i-4", BROKEN);
--- a/src/dispatch/item_finisher.ts
+++ b/src/dispatch/item_finisher.ts
@@ -6,19 +6,19 @@
 import * as resultWriters from "./result_writer.ts";
 import * as scoreItem from "./score_item.ts";
 
-/** Pause before a scoring call is repeated, in ms. */
+/** Minimum delay before a scoring call is retried, in ms. */
 const SCORING_RETRY_DELAY_MS = 60;
-/** Longest pause of a scoring call that is held back, in ms. */
+/** Maximum delay before a held-back scoring call is retried, in ms. */
 const MAX_SCORING_RETRY_DELAY_MS = 1_000;
 
-/** What an item finisher needs. */
+/** Options of an item finisher. */
 export interface ItemFinisherOptions
   extends scoreItem.ScoringOptions, resultWriters.ResultWriterOptions {
   readonly log: logs.Log;
   readonly metrics: metrics.FleetMetrics;
 }
 
-/** Takes items from their whole text, or their last failure, to a listed result. */
+/** Scores completed texts and records the results of finished items. */
 export class ItemFinisher {
   readonly #options: ItemFinisherOptions;
   readonly #writer: resultWriters.ResultWriter;
@@ -28,12 +28,15 @@
     this.#writer = new resultWriters.ResultWriter(options);
   }
 
-  /** Forgets what waits to be listed, as when another store leads. */
+  /** Discards results not yet recorded, as when leadership is lost. */
   discardPending(): void {
     this.#writer.discardPending();
   }
 
-  /** Has a whole text scored, again until it is, and lists its result. */
+  /**
+   * Scores a complete text and records its result. Unanswered calls are retried;
+   * the item is given up after too many failed ones.
+   */
   async score(task: itemTasks.ItemTask): Promise<void> {
     if (task.item.scoring === undefined) return this.#complete(task, undefined);
     while (task.isActive()) {
@@ -78,7 +81,7 @@
     this.#recordResult(task, delta, full);
   }
 
-  /** Lists an item that can't be done as given up. */
+  /** Records an item as given up. */
   giveUp(task: itemTasks.ItemTask): void {
     this.#options.log.write("info", "item.givenUp", {
       item: task.item.id,
@@ -107,14 +110,16 @@
     task.times.enter("done", clock.getMonotonicMs());
     const ageMs = clock.getWallMs() - submission.acceptedAtMs;
     metrics.recordItem(ageMs);
-    if (task.step.finishItem(task.item.id)) this.#reportCompleteStep(task, ageMs);
+    if (task.step.finishItem(task.item.id)) {
+      this.#reportCompleteStep(task, ageMs);
+    }
     this.#writer.add(
       { submission: submission.id, result: delta, keptLastId },
       { submission: submission.id, result: full },
     );
   }
 
-  /** Logs what the last item that a step waited for spent its time on. */
+  /** Logs a completed step and the phase durations of its last item. */
   #reportCompleteStep(task: itemTasks.ItemTask, ageMs: number): void {
     const { submission, item, progress, times } = task;
     this.#options.log.write("info", "step.whole", {
--- a/src/dispatch/item_task.ts
+++ b/src/dispatch/item_task.ts
@@ -11,18 +11,18 @@
 
 /** A run of an item at an engine. */
 export interface TaskRun {
-  /** Start of the engine that holds it; it is lost with this start. */
+  /** Lifetime of the engine; the run is lost when it restarts. */
   readonly engine: registry.LifetimeKey;
-  /** Ends the run, so that the item goes on elsewhere. */
+  /** Cancels the run, so that the item resumes at another engine. */
   readonly cancellation: csp.Cancellation;
   /** When it began, in monotonic ms. */
   readonly startedAtMs: number;
 }
 
-/** Answers of 422 after which an item counts as impossible. */
+/** Number of responses with status 422 after which an item is given up. */
 const MAX_IMPOSSIBLE_RESPONSES = 1;
 
-/** The work on one item of an open submission while this store leads. */
+/** State of one item of an open submission while this store is the leader. */
 export class ItemTask {
   readonly submission: submissions.Submission;
   readonly item: submissions.SubmissionItem;
@@ -31,9 +31,9 @@
   readonly cancellation = new csp.Cancellation();
   readonly step: stepProgress.StepProgress;
   readonly times: phaseTimes.PhaseTimes;
-  /** The run under way, if any. */
+  /** The current run, if any. */
   run: TaskRun | undefined;
-  /** Engine that the next run should go to, where a move planned it. */
+  /** Preferred engine of the next run, set when a run is moved. */
   targetEngine: registry.LifetimeKey | undefined;
   #workDigest: crashRecords.WorkDigest | undefined;
   #isHeldBack = false;
@@ -43,7 +43,7 @@
   #scoringFailureCount = 0;
   #avoidedEngines: ReadonlySet<registry.LifetimeKey> = new Set();
 
-  /** @param nowMs When the work begins, in monotonic ms. */
+  /** @param nowMs When the task is created, in monotonic ms. */
   constructor(
     submission: submissions.Submission,
     item: submissions.SubmissionItem,
@@ -60,12 +60,12 @@
     return this.times.getPhase();
   }
 
-  /** Whether anyone still waits for it. */
+  /** Tells whether the task is neither cancelled nor done. */
   isActive(): boolean {
     return !this.cancellation.isCancelled() && this.phase !== "done";
   }
 
-  /** Notes the run that begins. */
+  /** Enters the running phase with a new run. */
   startRun(run: TaskRun): void {
     this.run = run;
     this.targetEngine = undefined;
@@ -73,22 +73,22 @@
     this.times.enter("running", run.startedAtMs);
   }
 
-  /** Runs so far. */
+  /** Returns the number of runs started so far. */
   countRuns(): number {
     return this.#runCount;
   }
 
-  /** Engines that broke or failed this item last. */
+  /** Returns the lifetimes of engines that failed this item. */
   getAvoidedEngines(): ReadonlySet<registry.LifetimeKey> {
     return this.#avoidedEngines;
   }
 
-  /** Model that makes its tokens, where one is named. */
+  /** Returns the model of the item or else its submission, if specified. */
   getModel(): string | undefined {
     return this.item.model ?? this.submission.model;
   }
 
-  /** Digest of its work, the same in each submission that brings it. */
+  /** Returns the item's digest, which is equal in every submission of it. */
   getWorkDigest(): crashRecords.WorkDigest {
     this.#workDigest ??= crashRecords.computeWorkDigest({
       sender: this.submission.sender,
@@ -100,7 +100,7 @@
     return this.#workDigest;
   }
 
-  /** Names its work for operators. */
+  /** Returns the item's identification for logs and operators. */
   getWorkName(): crashGuards.WorkName {
     const { sender, terms } = this.submission;
     return {
@@ -112,14 +112,14 @@
     };
   }
 
-  /** Notes that it is held back; true the first time. */
+  /** Marks the item as held back; returns true the first time. */
   markHeldBack(): boolean {
     const isFirst = !this.#isHeldBack;
     this.#isHeldBack = true;
     return isFirst;
   }
 
-  /** What it asks of an engine. */
+  /** Returns the requirements on engines that may run the item. */
   getRequirements(): chooseEngine.EngineRequirements {
     return {
       model: this.getModel(),
@@ -128,34 +128,35 @@
     };
   }
 
-  /** Goes elsewhere next time. */
+  /** Adds an engine to those that the item avoids. */
   avoid(engine: registry.LifetimeKey): void {
     this.#avoidedEngines = new Set([...this.#avoidedEngines, engine]);
   }
 
-  /** Counts an answer of 500; true once the item may be given up. */
+  /** Counts a failed run; returns true once the item should be given up. */
   recordFailure(): boolean {
     this.#failureCount += 1;
     return this.#failureCount >= this.submission.terms.attempts;
   }
 
-  /** Counts an answer of 422; true once the item may be given up. */
+  /** Counts a response of 422; returns true once the item should be given up. */
   recordImpossible(): boolean {
     this.#impossibleCount += 1;
     return this.#impossibleCount >= MAX_IMPOSSIBLE_RESPONSES;
   }
 
-  /** Counts a failed scoring call; true once the item may be given up. */
+  /** Counts a failed scoring call; returns true at the maximum of attempts. */
   recordScoringFailure(attempts: number): boolean {
     this.#scoringFailureCount += 1;
     return this.#scoringFailureCount >= attempts;
   }
 
   /**
-   * Begins with a text that was kept, if its versions may make this item.
+   * Resumes from the first stored text whose weight versions the submission
+   * accepts. A complete text goes straight to scoring.
    *
-   * @param texts Kept texts, whole ones first.
-   * @param isSameSubmission Whether they were kept for this very submission.
+   * @param texts Stored texts, complete ones first.
+   * @param isSameSubmission Whether they were stored for this submission.
    */
   restore(
     texts: readonly submissions.KeptText[],
@@ -172,7 +173,7 @@
     else if (isSameSubmission) this.progress.setKept(usable.lastId);
   }
 
-  /** When all results of the submission are due, in wall ms. */
+  /** Returns when all results of the submission are due, in wall time in ms. */
   getDueMs(): number {
     const { acceptedAtMs, terms } = this.submission;
     return acceptedAtMs + terms.targetCompletionMs;
--- a/src/dispatch/length_estimator.ts
+++ b/src/dispatch/length_estimator.ts
@@ -1,23 +1,22 @@
 import type * as itemTasks from "./item_task.ts";
 
-/** Events a hinted token stands for before any item has ended. */
+/** Events per token of a length hint before any item has finished. */
 const DEFAULT_EVENTS_PER_TOKEN = 1 / 50;
-/** Events of an item without a hint before any item has ended. */
+/** Events expected of an item without a hint before any item has finished. */
 const DEFAULT_EVENTS = 25;
-/** Weight of the newest item in what is learned. */
+/** Weight of a new item in the exponential moving averages. */
 const SMOOTHING_FACTOR = 0.05;
 /**
- * Events that a run past its expected end is taken to need still, as a share of
- * those it made: lengths vary so much that a run which came this far is likely
- * to be a long one.
+ * Minimum expected remaining events as a share of those generated. Lengths vary
+ * widely, so a run beyond its expected length is likely to be a long one.
  */
 const OVERDUE_RATIO = 0.4;
-/** Least events that a run is taken to need still. */
+/** Minimum expected remaining events of any run. */
 const MIN_REMAINING_EVENTS = 2;
 
-/** What is learned of the items of one model. */
+/** Moving averages over the finished items of one model. */
 interface LengthStatistics {
-  /** Mean natural logarithm of events a hinted token. */
+  /** Mean natural logarithm of events per hinted token. */
   readonly logEventsPerToken: number;
   readonly meanEvents: number;
 }
@@ -27,11 +26,11 @@
   meanEvents: DEFAULT_EVENTS,
 };
 
-/** How many events items will make, learned from those that have ended. */
+/** Estimates how many events items generate, from finished items per model. */
 export class LengthEstimator {
   readonly #statistics = new Map<string, LengthStatistics>();
 
-  /** Learns from an item whose text is whole. */
+  /** Updates the model's averages with an item whose text is complete. */
   recordLength(task: itemTasks.ItemTask): void {
     const model = task.getModel() ?? "";
     const events = task.progress.countMade();
@@ -42,15 +41,14 @@
       ? previous.logEventsPerToken
       : updateMean(previous.logEventsPerToken, Math.log(events / hint));
     this.#statistics.set(model, {
-      logEventsPerToken: logEventsPerToken,
+      logEventsPerToken,
       meanEvents: updateMean(previous.meanEvents, events),
     });
   }
 
-  /** Events that an item is expected to make still. */
+  /** Estimates the events that an item has yet to generate. */
   estimateRemaining(task: itemTasks.ItemTask): number {
-    const { logEventsPerToken: logEventsPerToken, meanEvents: meanEvents } =
-      this.#get(task.getModel() ?? "");
+    const { logEventsPerToken, meanEvents } = this.#get(task.getModel() ?? "");
     const hint = task.item.lengthHint;
     const expected = hint === undefined || hint <= 0
       ? meanEvents
@@ -64,10 +62,10 @@
 }
 
 /**
- * Estimates the events that a run is to make still.
+ * Estimates the events that a run has yet to generate.
  *
- * @param expected Events that it is expected to make in all.
- * @param generated Events that it made.
+ * @param expected Expected total number of events.
+ * @param generated Events generated so far.
  */
 export function estimateRemainingEvents(
   expected: number,
@@ -80,7 +78,7 @@
   );
 }
 
-/** Moves a mean towards the newest value. */
+/** Updates an exponential moving average with a new value. */
 function updateMean(mean: number, newest: number): number {
   return mean + (newest - mean) * SMOOTHING_FACTOR;
 }
--- a/src/dispatch/mod.ts
+++ b/src/dispatch/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Which item runs when at which engine, from acceptance to listed result.
+ * Dispatches the items of accepted submissions to engines, has the texts scored
+ * and records the results.
  *
  * @example
  * ```ts
--- a/src/dispatch/order_tasks.ts
+++ b/src/dispatch/order_tasks.ts
@@ -2,15 +2,14 @@
 import type * as lengthEstimators from "./length_estimator.ts";
 
 /**
- * Orders items by when each must start at the latest, so that its
- * submission is done when it is due. The longest items of a submission come
- * first, as they decide when it is whole; short ones of an earlier submission
- * can wait for long ones of a later one without delaying either.
+ * Sorts items by the latest time at which each must start to meet the due time
+ * of its submission. Long items come before short ones that are due at the same
+ * time.
  *
  * @param tasks The items.
- * @param lengths How long items are expected to run.
+ * @param lengths Estimates of the items' remaining events.
  * @param intervalMs Expected time between events, in ms.
- * @returns The same items, first to start first.
+ * @returns The same items, the most urgent first.
  */
 export function orderTasks(
   tasks: readonly itemTasks.ItemTask[],
--- a/src/dispatch/phase_times.ts
+++ b/src/dispatch/phase_times.ts
@@ -1,20 +1,20 @@
-/** Where an item stands. */
+/** Phase of an item's processing. */
 export type TaskPhase = "waiting" | "running" | "scoring" | "done";
 
-/** Milliseconds that an item has spent in each phase that takes time. */
+/** Time that an item has spent in each phase before it was done, in ms. */
 export interface PhaseDurations {
   readonly waitingMs: number;
   readonly runningMs: number;
   readonly scoringMs: number;
 }
 
-/** Adds up how long an item stays in each phase, for the log of its step. */
+/** Tracks an item's phase and the total time spent in each. */
 export class PhaseTimes {
   readonly #totalsMs = new Map<TaskPhase, number>();
   #phase: TaskPhase = "waiting";
   #phaseStartedAtMs: number;
 
-  /** @param nowMs When the first phase, waiting, begins, in monotonic ms. */
+  /** @param nowMs When the initial waiting phase begins, in monotonic ms. */
   constructor(nowMs: number) {
     this.#phaseStartedAtMs = nowMs;
   }
@@ -23,12 +23,12 @@
     return this.#phase;
   }
 
-  /** Sets the first phase of an item that need not wait. */
+  /** Replaces the initial waiting phase, without recording a duration. */
   setInitialPhase(phase: TaskPhase): void {
     this.#phase = phase;
   }
 
-  /** Ends the present phase and begins another. */
+  /** Ends the current phase and enters another at a monotonic time in ms. */
   enter(phase: TaskPhase, nowMs: number): void {
     const previousMs = this.#totalsMs.get(this.#phase) ?? 0;
     this.#totalsMs.set(
@@ -39,7 +39,7 @@
     this.#phaseStartedAtMs = nowMs;
   }
 
-  /** Time in the phases that have ended, in whole milliseconds. */
+  /** Returns the total durations of ended phases, in whole milliseconds. */
   getDurations(): PhaseDurations {
     return {
       waitingMs: this.#getTotal("waiting"),
--- a/src/dispatch/placement_round.ts
+++ b/src/dispatch/placement_round.ts
@@ -2,25 +2,25 @@
 import * as chooseEngine from "./choose_engine.ts";
 import type * as engineTables from "./engine_table.ts";
 
-/** What a placement round needs. */
+/** Options of a placement round. */
 export interface PlacementRoundOptions {
   readonly servers: Pick<registry.ServerRegistry, "listReady">;
   readonly engines: engineTables.EngineTable;
 }
 
 /**
- * Finds places for many waiting items in one go. The engines of a service are
- * listed and described once, and those that may serve a need are found once a
- * need, so that a long queue costs little.
+ * Assigns many waiting items to engines in one pass. Engines are listed once per
+ * service and filtered once per set of requirements, so that a long queue is
+ * processed cheaply. Use a new instance for each pass.
  */
 export class PlacementRound {
   readonly #options: PlacementRoundOptions;
-  /** Engines that had a free place at the beginning, by service. */
+  /** Engines that had a free slot when they were listed, by service. */
   readonly #availableByService = new Map<
     string,
     readonly chooseEngine.EngineCandidate[]
   >();
-  /** Those that may serve a need, by service, model and oldest version. */
+  /** Eligible engines, by service, model and minimum version. */
   readonly #eligibleByKey = new Map<
     string,
     readonly chooseEngine.EngineCandidate[]
@@ -30,18 +30,21 @@
     this.#options = options;
   }
 
-  /** Whether any engine of the service has a free place. */
+  /** Tells whether any engine of the service has a free slot. */
   hasFreeSlot(service: string): boolean {
-    return this.#listAvailable(service).some(({ engine, runCount: runCount }) =>
+    return this.#listAvailable(service).some(({ engine, runCount }) =>
       runCount < engine.slots
     );
   }
 
   /**
-   * Picks an engine for an item; the caller begins the run at once.
+   * Picks an engine for an item and counts the slot as used. The caller must
+   * start the run at once.
    *
-   * @param targetEngine Engine to take if it still can.
-   * @returns The engine, or undefined when none has a place for it.
+   * @param service Service of the item.
+   * @param requirements Requirements of the item.
+   * @param targetEngine Engine to prefer if it is eligible and has a free slot.
+   * @returns The engine, or undefined when no eligible one has a free slot.
    */
   reserveSlot(
     service: string,
@@ -51,7 +54,7 @@
     const eligible = this.#listEligible(service, requirements);
     const preferred = targetEngine === undefined
       ? undefined
-      : eligible.find(({ engine, runCount: runCount }) =>
+      : eligible.find(({ engine, runCount }) =>
         engine.lifetime === targetEngine && runCount < engine.slots
       );
     const chosen = preferred ??
@@ -72,7 +75,7 @@
     return available;
   }
 
-  /** Engines for a need; full ones are dropped when none has a place. */
+  /** Lists eligible engines; none once all of them are full. */
   #listEligible(
     service: string,
     requirements: chooseEngine.EngineRequirements,
@@ -85,7 +88,7 @@
       this.#listAvailable(service).filter(({ engine }) =>
         chooseEngine.isEligible(engine, engines, requirements)
       );
-    const isFull = candidates.every(({ engine, runCount: runCount }) =>
+    const isFull = candidates.every(({ engine, runCount }) =>
       runCount >= engine.slots
     );
     const eligible = isFull ? [] : candidates;
--- a/src/dispatch/plan_moves.ts
+++ b/src/dispatch/plan_moves.ts
@@ -4,27 +4,27 @@
 import type * as itemTasks from "./item_task.ts";
 import type * as lengthEstimators from "./length_estimator.ts";
 
-/** A run is left alone for so long, so that none goes to and fro, in ms. */
+/** Minimum age of a run before it may be moved, in ms; prevents thrashing. */
 const MIN_RUN_AGE_MS = 400;
 /**
- * What a move costs a run, in ms: a connection, the prompt and the text read
- * anew (some 20 ms for 7,000 tokens), and the event that was being made.
+ * Cost of a move, in ms: a new connection, the prefill of prompt and text, and
+ * the loss of the event being generated.
  */
 const MOVE_COST_MS = 80;
-/** Least time that a move must gain beyond its cost, in ms. */
+/** Minimum time that a move must save beyond its cost, in ms. */
 const MIN_GAIN_MS = 150;
-/** Engines slower than the fastest by less are not worth a move. */
+/** Runs are moved off engines at this multiple of the fastest's interval. */
 const MIN_INTERVAL_RATIO = 1.1;
 
-/** A run that should go on at another engine. */
+/** A run that should resume at another engine. */
 export interface PlannedMove {
   readonly task: itemTasks.ItemTask;
   readonly targetEngine: registry.RegisteredServer;
-  /** Time by which it is expected to end sooner. */
+  /** Time by which the run is expected to end earlier, in ms. */
   readonly gainMs: number;
 }
 
-/** What is known of engines and lengths. */
+/** Inputs for planning moves besides the tasks and the time. */
 export interface PlanMovesContext {
   readonly servers: Pick<registry.ServerRegistry, "listReady">;
   readonly engines: engineTables.EngineTable;
@@ -35,18 +35,18 @@
   readonly task: itemTasks.ItemTask;
   readonly remainingEvents: number;
   readonly intervalMs: number;
-  /** Events that are expected to come while its engine is still slow. */
+  /** Events expected to be generated while the engine is still slow. */
   readonly slowEvents: number;
 }
 
 /**
- * Plans which runs go on at a faster engine with a free place. Those that have
- * longest to run choose first: they decide when their step is whole.
+ * Plans which runs to move to faster engines with free slots. Runs with the
+ * longest remaining time choose first, as they delay their steps most.
  *
- * @param tasks All items at work.
+ * @param tasks All items of open submissions.
  * @param nowMs Monotonic time in ms.
- * @param context Engines that take work, their speeds, expected lengths.
- * @returns The moves; each fits into the places that the others leave.
+ * @param context Engines, their speeds and length estimates.
+ * @returns Moves that all fit into the free slots together.
  */
 export function planMoves(
   tasks: readonly itemTasks.ItemTask[],
@@ -87,13 +87,13 @@
     const intervalMs = intervals.get(run.engine) ?? 0;
     if (intervalMs < minIntervalMs) return [];
     const remainingEvents = lengths.estimateRemaining(task);
-    // An engine that has been slow for a while is expected to stay so as long
-    // again: in a spell shorter than a move pays for, runs stay where they are.
+    // Assumes that an engine stays slow for as long as it has been slow, so that
+    // runs are not moved because of a brief slowdown.
     const slowEvents = table.getSlowDurationMs(run.engine) / intervalMs;
     return [{
       task,
-      intervalMs: intervalMs,
-      remainingEvents: remainingEvents,
+      intervalMs,
+      remainingEvents,
       slowEvents,
     }];
   }).toSorted((a, b) =>
@@ -111,8 +111,8 @@
   for (
     const {
       task,
-      intervalMs: intervalMs,
-      remainingEvents: remainingEvents,
+      intervalMs,
+      remainingEvents,
       slowEvents,
     } of candidates
   ) {
@@ -140,9 +140,9 @@
   | undefined {
   return engines
     .filter((engine) => {
-      const running = table.getRunCount(engine.lifetime) +
+      const runCount = table.getRunCount(engine.lifetime) +
         (reservedSlots.get(engine.lifetime) ?? 0);
-      return engine.lifetime !== task.run?.engine && running < engine.slots &&
+      return engine.lifetime !== task.run?.engine && runCount < engine.slots &&
         !task.getAvoidedEngines().has(engine.lifetime) &&
         chooseEngine.canAccept(engine, table, task.getRequirements());
     })
--- a/src/dispatch/plan_moves_test.ts
+++ b/src/dispatch/plan_moves_test.ts
@@ -11,7 +11,7 @@
 import * as planMoves from "./plan_moves.ts";
 import * as stepProgress from "./step_progress.ts";
 
-/** A hinted token stands for a fiftieth of an event before any has ended. */
+/** Hinted tokens per event that are assumed before any item has finished. */
 const TOKENS_PER_EVENT = 50;
 const NOW_MS = 10_000;
 
@@ -22,7 +22,7 @@
   });
 }
 
-describe("moves to faster engines", () => {
+describe("planMoves", () => {
   const engines = ["fast", "slower", "slow"].map(createEngine);
   const lengths = new lengthEstimators.LengthEstimator();
   let table = new engineTables.EngineTable(new clocks.FakeClock());
@@ -37,7 +37,7 @@
     }
   });
 
-  /** Makes an item that runs at an engine and is expected to make events. */
+  /** Creates a running item with an expected number of events. */
   function createRunning(
     id: string,
     engine: string,
@@ -73,17 +73,17 @@
     );
   }
 
-  it("move a long run from an engine that is only somewhat slower", () => {
+  it("moves a long run off an engine that is only slightly slower", () => {
     const tasks = [createRunning("long", "slower", 100)];
     chai.expect(plan(tasks)).to.deep.equal(["long fast"]);
   });
 
-  it("leave a run that would gain less than a move costs", () => {
+  it("keeps a run that would gain less than a move costs", () => {
     const tasks = [createRunning("short", "slower", 10)];
     chai.expect(plan(tasks)).to.deep.equal([]);
   });
 
-  it("give the fast places to the runs with longest to go", () => {
+  it("gives the fastest slots to the runs with the longest remaining time", () => {
     const tasks = [
       createRunning("short", "slow", 20),
       createRunning("long", "slow", 150),
@@ -92,12 +92,11 @@
     chai.expect(plan(tasks)).to.deep.equal(["long fast", "short slower"]);
   });
 
-  it("leave a run at an engine that has been slow for a moment only", () => {
-    // Servers that share their machines were 2.5 times slower in spells of some
-    // 0.6 s; 1,155 runs were moved for 2,688 items, to and fro, and read anew.
+  it("keeps a run at an engine that has been slow only briefly", () => {
+    // Guards against moving runs back and forth because of brief slowdowns.
     const tasks = [createRunning("long", "fast", 100)];
     const [fast] = engines;
-    if (fast === undefined) throw new Error("no engine");
+    if (fast === undefined) throw new Error("The test engine is missing");
     for (let event = 0; event < 8; event += 1) table.recordInterval(fast, 100);
     chai.expect(table.getIdleIntervalMs("fast")).to.be.above(1.1 * 50);
     chai.expect(plan(tasks)).to.deep.equal([]);
@@ -107,14 +106,14 @@
     chai.expect(table.getSlowDurationMs("fast")).to.equal(0);
   });
 
-  it("leave a run that has just begun, or is being moved", () => {
+  it("keeps a run that has just started or is already being moved", () => {
     const fresh = createRunning("fresh", "slow", 150, NOW_MS - 100);
     const moved = createRunning("moved", "slow", 150);
     moved.run?.cancellation.cancel();
     chai.expect(plan([fresh, moved])).to.deep.equal([]);
   });
 
-  it("take no engine that failed the item, loads its model or is full", () => {
+  it("picks no engine that failed the item, loads its model or is full", () => {
     const failed = createRunning("failed", "slow", 150);
     failed.avoid("fast");
     chai.expect(plan([failed])).to.deep.equal(["failed slower"]);
@@ -126,8 +125,8 @@
   });
 });
 
-describe("expected lengths", () => {
-  it("learn how many events a hinted token stands for", () => {
+describe("length estimator", () => {
+  it("learns the number of events per hinted token", () => {
     const lengths = new lengthEstimators.LengthEstimator();
     for (let item = 0; item < 200; item += 1) {
       lengths.recordLength(createFinished(100, 20));
@@ -138,14 +137,14 @@
       .closeTo(60, 2);
   });
 
-  it("take a run past its expected end for a long one", () => {
+  it("expects a run beyond its expected length to be long", () => {
     const lengths = new lengthEstimators.LengthEstimator();
     chai.expect(lengths.estimateRemaining(createFinished(500, 100))).to.equal(
       40,
     );
   });
 
-  it("go by the mean where there is no hint", () => {
+  it("uses the mean length when there is no hint", () => {
     const lengths = new lengthEstimators.LengthEstimator();
     for (let item = 0; item < 200; item += 1) {
       lengths.recordLength(createFinished(undefined, 60));
@@ -154,7 +153,7 @@
       .closeTo(50, 1);
   });
 
-  /** Makes an item with a hint that has made so many events. */
+  /** Creates an item with a number of generated events. */
   function createFinished(
     lengthHint: number | undefined,
     events: number,
--- a/src/dispatch/result_writer.ts
+++ b/src/dispatch/result_writer.ts
@@ -3,39 +3,41 @@
 import type * as replicaGroups from "../replica_group/mod.ts";
 import type * as submissions from "../submission/mod.ts";
 
-/** Time for which results are gathered into one entry, in ms. */
+/** Time for which results are batched into one log entry, in ms. */
 const BATCH_DELAY_MS = 10;
-/** Longest wait for a commit before the results are proposed again, in ms. */
+/** Timeout of a commit before the results are proposed again, in ms. */
 const COMMIT_TIMEOUT_MS = 2_000;
 
-/** What a result writer needs. */
+/** Options of a result writer. */
 export interface ResultWriterOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly group: replicaGroups.ReplicaGroup;
 }
 
-/** A result that waits to be listed. */
+/** A result that has not been committed yet. */
 interface PendingResult {
+  /** The result with the text after the stored part. */
   readonly delta: submissions.RecordedResult;
+  /** The result with its full text. */
   readonly full: submissions.RecordedResult;
 }
 
-function toFull({ full: full }: PendingResult): PendingResult {
-  return { delta: full, full: full };
+function toFull({ full }: PendingResult): PendingResult {
+  return { delta: full, full };
 }
 
-/** Has results listed, several in one entry, again until they surely are. */
+/** Commits results to the replicated log in batches, with retries. */
 export class ResultWriter {
   readonly #options: ResultWriterOptions;
   #pending: readonly PendingResult[] = [];
-  /** Counts drops; what was under way before one is not proposed again. */
+  /** Number of discards; a batch in flight during one is not retried. */
   #discardCount = 0;
-  readonly #scheduledFlush: clocks.GatheredCall;
+  readonly #flushTimer: clocks.GatheredCall;
 
   constructor(options: ResultWriterOptions) {
     this.#options = options;
-    this.#scheduledFlush = new clocks.GatheredCall({
+    this.#flushTimer = new clocks.GatheredCall({
       clock: options.clock,
       delayMs: BATCH_DELAY_MS,
       action: () => void this.#flush(),
@@ -43,20 +45,21 @@
   }
 
   /**
-   * Adds a result to be listed.
+   * Adds a result to the next batch.
    *
-   * @param delta The result, with the text that follows the kept part.
-   * @param full The same with its whole text, should the kept part be missing.
+   * @param delta The result with the text after the stored part.
+   * @param full The result with its full text, for when the stored part is
+   *   missing.
    */
   add(
     delta: submissions.RecordedResult,
     full: submissions.RecordedResult,
   ): void {
-    this.#pending = [...this.#pending, { delta: delta, full: full }];
-    this.#scheduledFlush.schedule();
+    this.#pending = [...this.#pending, { delta, full }];
+    this.#flushTimer.schedule();
   }
 
-  /** Forgets what waits; the next leader runs those items anew. */
+  /** Discards uncommitted results; the next leader runs their items again. */
   discardPending(): void {
     this.#pending = [];
     this.#discardCount += 1;
@@ -80,12 +83,12 @@
     log.write("warn", "results.notListed", {
       count: batch.length,
       message: outcome.kind === "ok"
-        ? "a kept part is missing"
+        ? "the stored part of a text is missing"
         : outcome.failure.message,
     });
     if (discardCount !== this.#discardCount) return;
     const retried = outcome.kind === "ok" ? batch.map(toFull) : batch;
     this.#pending = [...retried, ...this.#pending];
-    this.#scheduledFlush.schedule();
+    this.#flushTimer.schedule();
   }
 }
--- a/src/dispatch/run_mover.ts
+++ b/src/dispatch/run_mover.ts
@@ -8,12 +8,12 @@
 import * as orderTasks from "./order_tasks.ts";
 import * as planMoves from "./plan_moves.ts";
 
-/** Places that a move from a load leaves free elsewhere, for new work. */
+/** Slots left free for new work when runs move off a loading engine. */
 const RESERVED_SLOTS = 2;
-/** Between two looks for faster engines, in ms; moves take some 20 ms. */
+/** Minimum interval between searches for faster engines, in ms. */
 const CHECK_INTERVAL_MS = 100;
 
-/** What a run mover needs. */
+/** Options of a run mover. */
 export interface RunMoverOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
@@ -23,8 +23,8 @@
 }
 
 /**
- * Moves runs to engines where they end sooner. A moved run goes on with its
- * next event, after some milliseconds of reading.
+ * Moves runs between engines by cancelling them. A moved item resumes after its
+ * last event, once the new engine has prefilled the prompt and text.
  */
 export class RunMover {
   readonly #options: RunMoverOptions;
@@ -34,7 +34,10 @@
     this.#options = options;
   }
 
-  /** Moves the runs of a model away from an engine that begins to load it. */
+  /**
+   * Moves runs of a model off an engine that begins to load new weights, as many
+   * as fit into free slots of other engines.
+   */
   moveFromLoadingEngine(
     tasks: readonly itemTasks.ItemTask[],
     engine: registry.RegisteredServer,
@@ -60,27 +63,27 @@
     });
   }
 
-  /** Moves runs to free places where they are expected to end sooner. */
+  /** Moves runs to free slots where they are expected to end earlier. */
   moveToFasterEngines(tasks: readonly itemTasks.ItemTask[]): void {
     const { clock, log } = this.#options;
     const nowMs = clock.getMonotonicMs();
     if (nowMs - this.#checkedAtMs < CHECK_INTERVAL_MS) return;
     this.#checkedAtMs = nowMs;
     for (const move of planMoves.planMoves(tasks, nowMs, this.#options)) {
-      const { task, targetEngine: to, gainMs } = move;
+      const { task, targetEngine, gainMs } = move;
       log.write("info", "run.moved", {
         item: task.item.id,
         server: task.run?.engine,
-        to: to.id,
+        to: targetEngine.id,
         gainMs: Math.round(gainMs),
         events: task.progress.countMade(),
       });
-      task.targetEngine = to.lifetime;
+      task.targetEngine = targetEngine.lifetime;
       task.run?.cancellation.cancel();
     }
   }
 
-  /** Free places at other engines that may take an item, less a reserve. */
+  /** Counts free slots for an item at other engines, minus the reserve. */
   #countAvailableSlots(
     task: itemTasks.ItemTask,
     excluded: registry.LifetimeKey,
--- a/src/dispatch/score_item.ts
+++ b/src/dispatch/score_item.ts
@@ -3,38 +3,39 @@
 import * as trafficConfig from "../traffic_config/mod.ts";
 import type * as itemTasks from "./item_task.ts";
 
-/** What scoring needs. */
+/** Options for scoring. */
 export interface ScoringOptions {
   readonly clock: clocks.Clock;
   readonly forwarder: forwarding.Forwarder;
   readonly configuration: trafficConfig.ConfigurationHolder;
+  /** Returns a random number in [0, 1). */
   readonly draw: () => number;
 }
 
-/** How a scoring call ended. */
+/** Outcome of a scoring call. */
 export type ScoreOutcome =
   | { readonly kind: "scored"; readonly score: string }
-  /** The scorer answered that this attempt failed. */
+  /** The scorer responded with a server error. */
   | { readonly kind: "failed"; readonly attempts: number }
-  /** No answer; the call can be repeated. */
+  /** There was no usable response; the call can be retried. */
   | {
     readonly kind: "unanswered";
     readonly reason: string;
-    /** When to try again at the earliest, in ms from now. */
+    /** Minimum delay before a retry, in ms. */
     readonly retryAfterMs?: number;
   };
 
 const MIN_NON_SUCCESS_STATUS = 300;
 const MIN_SERVER_ERROR_STATUS = 500;
-/** Silence after which another scorer is asked too, in target latencies. */
+/** Delay before a hedged request, as a multiple of the target latency. */
 const HEDGE_RATIO = 1;
 
 /**
- * Has a finished text scored by the route of its scoring call.
+ * Scores a completed text with a call through the route of its scoring path.
  *
  * @param task The item.
- * @param options Where to send the call.
- * @returns The receipt of the scorer, or why there is none.
+ * @param options Forwarder and configuration to send the call with.
+ * @returns The scorer's receipt, or why there is none.
  */
 export async function scoreItem(
   task: itemTasks.ItemTask,
@@ -43,17 +44,20 @@
   const { scoring } = task.item;
   const configuration = options.configuration.get();
   if (scoring === undefined || configuration === undefined) {
-    return { kind: "unanswered", reason: "no scoring call is known" };
+    return {
+      kind: "unanswered",
+      reason: "the item has no scoring call or no configuration is loaded",
+    };
   }
   const { host, path, id, body } = scoring;
   const route = trafficConfig.matchRoute(configuration, host, path);
   if (route === undefined) {
-    return { kind: "unanswered", reason: "no route fits the scoring call" };
+    return { kind: "unanswered", reason: "no route matches the scoring call" };
   }
   const nowMs = options.clock.getMonotonicMs();
   const outcome = await options.forwarder.send({
     requestId: id,
-    // Scoring calls belong to no account, whoever sent the submission.
+    // Scoring calls are not attributed to the submission's client account.
     sender: { kind: "anonymous" },
     service: trafficConfig.pickService(route, options.draw()),
     method: "POST",
@@ -81,5 +85,8 @@
   if (status >= MIN_SERVER_ERROR_STATUS) {
     return { kind: "failed", attempts: route.attempts };
   }
-  return { kind: "unanswered", reason: `the scorer answered ${status}` };
+  return {
+    kind: "unanswered",
+    reason: `the scorer responded with status ${status}`,
+  };
 }
--- a/src/dispatch/shortage_reporter.ts
+++ b/src/dispatch/shortage_reporter.ts
@@ -4,32 +4,38 @@
 import type * as stepSchedule from "../step_schedule/mod.ts";
 
 const NO_GROUPS = { inTime: 0, late: 0, spare: 0 } as const;
-/** Between two lines about a trainer whose groups come late, in ms. */
+/** Minimum interval between log entries about the same trainer, in ms. */
 const LOG_INTERVAL_MS = 2_000;
 
-/** What a shortage watch needs. */
+/** Options of a shortage reporter. */
 export interface ShortageReporterOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly metrics: metrics.FleetMetrics;
 }
 
-/** Tells operators which trainers' groups give way for want of room. */
+/** Reports trainers whose groups will be late for lack of capacity. */
 export class ShortageReporter {
   readonly #options: ShortageReporterOptions;
   readonly #loggedAtMs = new Map<string, number>();
-  /** Trainers whose groups were planned while room was short, by service. */
+  /** Trainers in the last reported plan, by service. */
   readonly #trainersByService = new Map<string, ReadonlySet<string>>();
 
   constructor(options: ShortageReporterOptions) {
     this.#options = options;
   }
 
-  /** Notes a plan and the places that it had. */
+  /**
+   * Updates the metrics of planned groups and logs trainers with late ones.
+   *
+   * @param service Service of the plan.
+   * @param plan The plan.
+   * @param slots Capacity the plan was made for, in slots at median speed.
+   */
   reportPlan(
     service: string,
     plan: stepSchedule.StepPlan<unknown>,
-    places: number,
+    slots: number,
   ): void {
     const { metrics } = this.#options;
     for (const trainer of this.#trainersByService.get(service) ?? []) {
@@ -39,7 +45,9 @@
     this.#trainersByService.set(service, new Set(plan.standings.keys()));
     for (const [trainer, groups] of plan.standings) {
       metrics.setPlannedGroups(trainer, groups);
-      if (groups.late > 0) this.#reportShortage(service, trainer, groups, places);
+      if (groups.late > 0) {
+        this.#reportShortage(service, trainer, groups, slots);
+      }
     }
   }
 
@@ -47,7 +55,7 @@
     service: string,
     trainer: string,
     groups: Readonly<Record<stepSchedule.GroupStanding, number>>,
-    places: number,
+    slots: number,
   ): void {
     const { clock, log } = this.#options;
     const nowMs = clock.getMonotonicMs();
@@ -59,7 +67,7 @@
       service,
       trainer,
       ...groups,
-      places: Math.round(places),
+      places: Math.round(slots),
     });
   }
 }
--- a/src/dispatch/step_progress.ts
+++ b/src/dispatch/step_progress.ts
@@ -1,11 +1,11 @@
 import type * as submissions from "../submission/mod.ts";
 
 /**
- * Which groups of a step are whole. An item without a group is a group of its
- * own, so that plain submissions are followed in the same way.
+ * Tracks which groups of a step are complete. An item without a group is treated
+ * as a group of its own.
  */
 export class StepProgress {
-  /** Items that are not finished yet, by group. */
+  /** Unfinished items, by group. */
   readonly #openItems = new Map<string, Set<string>>();
   readonly #groupsByItem = new Map<string, string>();
   readonly #desired: number;
@@ -14,8 +14,8 @@
 
   /**
    * @param submission The step.
-   * @param listed Items whose results are listed already.
-   * @param isCarriedItem Tells whether an earlier step brought an item.
+   * @param listed Items whose results are already recorded.
+   * @param isCarriedItem Tells whether an item was part of an earlier step.
    */
   constructor(
     submission: submissions.Submission,
@@ -42,9 +42,9 @@
   }
 
   /**
-   * Notes that an item is finished.
+   * Marks an item as finished.
    *
-   * @returns Whether this made the last group whole that the step waits for.
+   * @returns Whether this completed the last group that the step waits for.
    */
   finishItem(item: string): boolean {
     const open = this.#openItems.get(this.#groupsByItem.get(item) ?? "");
@@ -53,22 +53,22 @@
     return this.#completeGroups === this.#desired;
   }
 
-  /** Whole groups so far. */
+  /** Returns the number of complete groups. */
   countCompleteGroups(): number {
     return this.#completeGroups;
   }
 
-  /** Whole groups that the step still waits for. */
+  /** Returns the number of groups that the step still waits for. */
   countMissingGroups(): number {
     return Math.max(0, this.#desired - this.#completeGroups);
   }
 
-  /** Whether an earlier step brought the group; it must be whole for this one. */
+  /** Tells whether the group is carried over from an earlier step. */
   isCarried(group: string): boolean {
     return this.#carriedGroups.has(group);
   }
 
-  /** Unfinished items of an item's group, that item among them. */
+  /** Counts the unfinished items in the group of an item. */
   countOpenItems(item: string): number {
     return this.#openItems.get(this.#groupsByItem.get(item) ?? "")?.size ?? 0;
   }
--- a/src/dispatch/step_progress_test.ts
+++ b/src/dispatch/step_progress_test.ts
@@ -16,8 +16,8 @@
   return new stepProgress.StepProgress(submission, new Set(listed));
 }
 
-describe("progress of a step", () => {
-  it("tells once when the last group is whole that the step waits for", () => {
+describe("step progress", () => {
+  it("reports once that the last group the step waits for is complete", () => {
     const step = createStep({ a: "x", b: "x", c: "y", d: "z" }, 2);
     const completions = ["a", "c", "b", "d", "d"].map((item) =>
       step.finishItem(item)
@@ -27,14 +27,14 @@
     chai.expect(step.countMissingGroups()).to.equal(0);
   });
 
-  it("goes on from what is listed", () => {
+  it("starts from the items already recorded", () => {
     const step = createStep({ a: "x", b: "x", c: "y" }, undefined, ["a", "c"]);
     chai.expect(step.countCompleteGroups()).to.equal(1);
     chai.expect(step.countOpenItems("b")).to.equal(1);
     chai.expect(step.finishItem("b")).to.equal(true);
   });
 
-  it("takes an item without a group for a group of its own", () => {
+  it("treats an item without a group as a group of its own", () => {
     const step = createStep({ a: undefined, b: undefined }, undefined);
     chai.expect(step.finishItem("a")).to.equal(false);
     chai.expect(step.finishItem("b")).to.equal(true);
@@ -48,8 +48,8 @@
   });
 });
 
-describe("times of an item's phases", () => {
-  it("adds up each phase, however often it is entered", () => {
+describe("phase times", () => {
+  it("adds up the durations of a phase entered several times", () => {
     const times = new phaseTimes.PhaseTimes(100);
     times.enter("running", 130);
     times.enter("waiting", 200);
--- a/src/dispatch/task_fixture_test.ts
+++ b/src/dispatch/task_fixture_test.ts
@@ -4,12 +4,12 @@
 import * as stepProgress from "./step_progress.ts";
 
 /**
- * Makes the work on the one item of a submission, for tests.
+ * Creates the task of a submission with one item, for tests.
  *
  * @param id Id of the item.
- * @param changes What is different about the submission.
- * @param lengthHint Guess of the tokens that will come out.
- * @returns The work, which waits.
+ * @param changes Properties of the submission that replace the defaults.
+ * @param lengthHint Expected number of output tokens.
+ * @returns The task, in the waiting phase.
  */
 export function createTask(
   id: string,
--- a/src/dispatch/task_table.ts
+++ b/src/dispatch/task_table.ts
@@ -3,7 +3,7 @@
 import * as itemTasks from "./item_task.ts";
 import * as stepProgress from "./step_progress.ts";
 
-/** The items that are to be worked on, by submission. */
+/** Tasks for the items of open submissions. */
 export class TaskTable {
   readonly #machine: submissions.SubmissionMachine;
   readonly #clock: clocks.Clock;
@@ -14,19 +14,19 @@
     this.#clock = clock;
   }
 
-  /** All tasks, finished ones among them. */
+  /** Lists all tasks, including finished ones. */
   list(): readonly itemTasks.ItemTask[] {
     return [...this.#tasks.values()].flatMap((tasks) => [...tasks.values()]);
   }
 
-  /** Cancels and forgets all tasks. */
+  /** Cancels and removes all tasks. */
   cancelAll(): void {
     for (const tasks of this.#tasks.values()) cancelTasks(tasks);
     this.#tasks.clear();
   }
 
   /**
-   * Makes tasks for what is to be done, and ends those of what is not.
+   * Creates tasks for new submissions and cancels those of ended ones.
    *
    * @returns The new tasks.
    */
@@ -61,7 +61,7 @@
     return tasks;
   }
 
-  /** Items that earlier steps of the same trainer brought. */
+  /** Lists the ids of items in earlier steps of the same model. */
   #listCarriedItems(submission: submissions.Submission): ReadonlySet<string> {
     const { model, step } = submission;
     if (model === undefined || step === undefined) return new Set();
@@ -74,7 +74,7 @@
     );
   }
 
-  /** Goes on with what is kept of the item, from this or an earlier step. */
+  /** Creates a task, restoring stored text from this or another submission. */
   #createTask(
     record: submissions.SubmissionRecord,
     item: submissions.SubmissionItem,
--- a/src/dispatch/text_replicator.ts
+++ b/src/dispatch/text_replicator.ts
@@ -3,14 +3,15 @@
 import type * as submissions from "../submission/mod.ts";
 import type * as itemTasks from "./item_task.ts";
 
-/** Events that are worth keeping, about half a second of a run. */
+/** Number of new events after which a text is replicated again. */
 const MIN_UNREPLICATED_EVENTS = 12;
+/** Timeout of a commit, in ms. */
 const COMMIT_TIMEOUT_MS = 2_000;
 
 /**
- * Has the stores keep the texts of long runs as they grow, so that a new leader
- * goes on with them. A result then carries only what follows, so hardly more
- * bytes are written.
+ * Replicates the partial texts of long runs to the stores, so that a new leader
+ * can resume them. Each command, and later the result, carries only the text
+ * after the stored part.
  */
 export class TextReplicator {
   readonly #group: replicaGroups.ReplicaGroup;
@@ -20,7 +21,7 @@
     this.#group = group;
   }
 
-  /** Keeps what has grown enough; one command is under way at a time. */
+  /** Replicates texts with enough new events; one command at a time. */
   async replicate(tasks: readonly itemTasks.ItemTask[]): Promise<void> {
     if (this.#isBusy) return;
     const parts = tasks.filter((task) =>
@@ -39,21 +40,22 @@
     );
     this.#isBusy = false;
     if (outcome.kind !== "ok") return;
-    // A part that came later than the answer to it may have been kept.
+    // A command that timed out may have been committed later, so the stored
+    // part can differ from the one assumed here.
     const updateProgress = outcome.value.isKnown ? markKept : forgetKept;
     for (const part of parts) updateProgress(part);
   }
 }
 
-/** A part of a text on its way to the stores. */
+/** A part of a text that is being replicated. */
 interface TextPart {
   readonly progress: itemRuns.TextProgress;
-  /** Tells this text from one that began anew meanwhile. */
+  /** Reset count of the text; differs if the text was reset meanwhile. */
   readonly resetCount: number;
   readonly text: submissions.TextToKeep;
 }
 
-function markKept({ progress, resetCount: resetCount, text }: TextPart): void {
+function markKept({ progress, resetCount, text }: TextPart): void {
   if (progress.countBeginnings() === resetCount) progress.setKept(text.lastId);
 }
 
--- a/src/dispatch/waiting_order.ts
+++ b/src/dispatch/waiting_order.ts
@@ -8,29 +8,30 @@
 import * as shortageReporters from "./shortage_reporter.ts";
 
 /**
- * How long a plan holds, in ms an item of it: a plan takes time by the number of
- * items, and in a large fleet places come free more often than it could be made.
+ * How long a plan is reused, in ms per item. Planning time grows with the number
+ * of items, so that planning for every freed slot is too slow in a large fleet.
  */
 const PLAN_LIFETIME_PER_ITEM_MS = 0.05;
 
-/** A plan that holds for a while. */
+/** A plan that is reused until it expires. */
 interface CachedPlan {
+  /** Monotonic time in ms. */
   readonly expiresAtMs: number;
   readonly tasks: ReadonlySet<itemTasks.ItemTask>;
 }
 
-/** What the order of waiting items needs. */
+/** Options of a waiting order. */
 export interface WaitingOrderOptions
   extends shortageReporters.ShortageReporterOptions {
   readonly clock: clocks.Clock;
   readonly servers: Pick<registry.ServerRegistry, "listReady">;
   readonly engines: engineTables.EngineTable;
   readonly lengths: lengthEstimators.LengthEstimator;
-  /** Tells whether an item may run at all. */
+  /** Tells whether an item may run, that is, is not held back. */
   readonly canRun: (task: itemTasks.ItemTask) => boolean;
 }
 
-/** Which waiting items of a service start first. */
+/** Determines the order in which waiting items of a service start. */
 export class WaitingOrder {
   readonly #options: WaitingOrderOptions;
   readonly #shortageReporter: shortageReporters.ShortageReporter;
@@ -42,12 +43,12 @@
   }
 
   /**
-   * Orders the waiting items of a service. Moved runs come first: they had
-   * their places already.
+   * Orders the waiting items of a service. Items whose run was moved come first,
+   * as they already held a slot.
    *
    * @param service The service.
    * @param tasks All items of its open submissions.
-   * @returns Waiting items that may run, first to start first.
+   * @returns Waiting items that may run, in starting order.
    */
   order(
     service: string,
@@ -66,7 +67,7 @@
     return [...moved, ...[...planned].filter((task) => waiting.has(task))];
   }
 
-  /** The plan made last, where it still holds for all that wait. */
+  /** Finds the last plan if it has not expired and has all waiting items. */
   #findCachedPlan(
     service: string,
     waiting: ReadonlySet<itemTasks.ItemTask>,
@@ -99,18 +100,18 @@
     const expiresAtMs = this.#options.clock.getMonotonicMs() +
       tasks.length * PLAN_LIFETIME_PER_ITEM_MS;
     this.#cachedPlans.set(service, {
-      expiresAtMs: expiresAtMs,
+      expiresAtMs,
       tasks: ordered,
     });
     return ordered;
   }
 
   /**
-   * Counts the places that the open steps of a service need to be in time.
+   * Estimates the slots a service needs to complete its open steps on time.
    *
    * @param service The service.
    * @param tasks All items of its open submissions.
-   * @param minWindowMs Time that late groups are given, in ms.
+   * @param minWindowMs Time assumed to be left for late groups, in ms.
    */
   countNeededSlots(
     service: string,
--- a/src/dispatch/waiting_order_test.ts
+++ b/src/dispatch/waiting_order_test.ts
@@ -12,10 +12,10 @@
 import * as taskTables from "./task_table.ts";
 import * as waitingOrders from "./waiting_order.ts";
 
-/** Tokens of a hint that stand for an event before any item has ended. */
+/** Hinted tokens per event that are assumed before any item has finished. */
 const TOKENS_PER_EVENT = 50;
 
-describe("order of waiting items", () => {
+describe("waiting order", () => {
   let clock = new clocks.FakeClock(1_000);
   let loggedEvents: string[] = [];
   let gauges = new Map<string, number>();
@@ -44,7 +44,7 @@
     });
   });
 
-  /** Makes an item that is a step of its own and makes so many events. */
+  /** Creates the only item of a step, with an expected number of events. */
   function createTask(id: string, events: number): itemTasks.ItemTask {
     return taskFixtures.createTask(id, {
       id,
@@ -64,14 +64,14 @@
     return order.order("lm", tasks).map((task) => task.item.id);
   }
 
-  it("starts moved runs first, and none that may not run", () => {
+  it("puts moved runs first and omits items that may not run", () => {
     const tasks = ["a", "b", "c"].map((id) => createTask(id, 20));
     tasks[1]!.targetEngine = "e";
     blocked = new Set(["a"]);
     chai.expect(list(tasks)).to.deep.equal(["b", "c"]);
   });
 
-  it("tells of a trainer whose groups give way, once in a while", () => {
+  it("reports a trainer with late groups at a limited rate", () => {
     const tasks = Array.from(
       { length: 40 },
       (_, index) => createTask(`t${index}`, 40),
@@ -91,12 +91,12 @@
     );
   });
 
-  it("tells nothing while there is room", () => {
+  it("reports nothing while there is enough capacity", () => {
     chai.expect(list([createTask("a", 20)])).to.deep.equal(["a"]);
     chai.expect(loggedEvents).to.deep.equal([]);
   });
 
-  it("plans anew at once for an item that the last plan does not know", () => {
+  it("plans again at once for an item missing from the last plan", () => {
     const tasks = Array.from(
       { length: 40 },
       (_, index) => createTask(`t${index}`, 2),
@@ -106,12 +106,12 @@
     chai.expect(list([...tasks, urgent])[0]).to.equal("urgent");
   });
 
-  it("counts the places that the steps need to be in time", () => {
+  it("counts the slots that the steps need to be on time", () => {
     const tasks = Array.from(
       { length: 10 },
       (_, index) => createTask(`t${index}`, 50),
     );
-    // 10 items of 50 events, 46 ms each at a full engine, in 6.8 s.
+    // 10 items of 50 events, each 46 ms at a full engine, due in 6.8 s.
     chai.expect(order.countNeededSlots("lm", tasks, 4_000)).to.be.closeTo(
       10 * 50 * 46 / 6_800,
       0.05,
@@ -124,7 +124,7 @@
   });
 });
 
-describe("groups that come again", () => {
+describe("task table", () => {
   const machine = new submissions.SubmissionMachine(() => {});
   const draft = taskFixtures.createTask("x").submission;
 
@@ -144,7 +144,7 @@
     });
   }
 
-  it("are known by the items of earlier steps of the same model", () => {
+  it("finds groups carried over from earlier steps of the same model", () => {
     accept(0, "m", ["a", "b"]);
     accept(1, "m", ["b", "c", "d"]);
     accept(1, "n", ["a"]);
