--- a/src/dispatch/describe_steps.ts
+++ b/src/dispatch/describe_steps.ts
@@ -43,7 +43,7 @@
 ): stepSchedule.StepSituation<itemTasks.ItemTask> {
   const { nowMs, engines } = context;
   const medianIntervalMs = engines.getMedianIdleIntervalMs();
-  const places = servers.reduce(
+  const capacity = servers.reduce(
     (sum, engine) =>
       sum + engine.slots * medianIntervalMs /
         Math.max(MIN_INTERVAL_MS, engines.getIdleIntervalMs(engine.lifetime)),
@@ -62,7 +62,7 @@
   const steps = [...tasksByStep.values()].flatMap((items) =>
     describeStep(items, loadedIntervalMs, context)
   );
-  return { nowMs, places, steps };
+  return { nowMs, places: capacity, steps };
 }
 
 function describeStep(
--- a/src/dispatch/dispatcher.ts
+++ b/src/dispatch/dispatcher.ts
@@ -23,17 +23,14 @@
 
 /** Interval between updates of tasks and runs, in ms. */
 const UPDATE_INTERVAL_MS = 50;
-/**
- * Time without an event after which a run is retried at another engine, in ms.
- * Several times the event interval of a slow engine.
- */
+/** Time without an event after which a run is retried elsewhere, in ms. */
 const STALL_TIMEOUT_MS = 800;
 /** Stall timeout of runs started while their engine loads weights, in ms. */
 const LOADING_STALL_TIMEOUT_MS = 4_000;
 /**
  * Time without confirmed leadership after which this box cancels its runs, in
- * ms. Short quorum outages are tolerated because repeating all runs costs more.
- * Must stay below the time within which ending a submission takes effect.
+ * ms: longer than brief quorum outages, as repeating all runs is costly, and
+ * below the time within which the end of a submission must take effect.
  */
 const AUTHORITY_GRACE_MS = 2_000;
 
@@ -113,14 +110,16 @@
   }
 
   /**
-   * Estimates the slots a service needs to complete its open steps on time.
-   *
-   * @param service The service.
-   * @param minWindowMs Time assumed to be left for late groups, in ms.
+   * Estimates the slots that a service needs to complete its open steps on time,
+   * if late groups have `minAvailableMs` left.
    */
-  countNeededSlots(service: string, minWindowMs: number): number {
+  computeRequiredSlots(service: string, minAvailableMs: number): number {
     const tasks = filterByService(service, this.#taskTable.list());
-    return this.#waitingOrder.countNeededSlots(service, tasks, minWindowMs);
+    return this.#waitingOrder.computeRequiredSlots(
+      service,
+      tasks,
+      minAvailableMs,
+    );
   }
 
   #updateTasks(): void {
@@ -136,7 +135,7 @@
 
   /**
    * Keeps current runs for a grace period but starts none, as another store may
-   * be the leader. Results are recorded only if a quorum commits them.
+   * be the leader. Results are recorded only once a quorum commits them.
    */
   #waitForQuorum(): void {
     const { clock, group } = this.#options;
--- a/src/dispatch/item_task.ts
+++ b/src/dispatch/item_task.ts
@@ -15,7 +15,7 @@
   readonly engine: registry.LifetimeKey;
   /** Cancels the run, so that the item resumes at another engine. */
   readonly cancellation: csp.Cancellation;
-  /** When it began, in monotonic ms. */
+  /** Start of the run, in monotonic ms. */
   readonly startedAtMs: number;
 }
 
@@ -27,7 +27,7 @@
   readonly submission: submissions.Submission;
   readonly item: submissions.SubmissionItem;
   readonly progress = new itemRuns.TextProgress();
-  /** Cancelled when the item is no longer wanted. */
+  /** Cancelled when the submission ends or leadership is lost. */
   readonly cancellation = new csp.Cancellation();
   readonly step: stepProgress.StepProgress;
   readonly times: phaseTimes.PhaseTimes;
--- a/src/dispatch/shortage_reporter.ts
+++ b/src/dispatch/shortage_reporter.ts
@@ -30,12 +30,12 @@
    *
    * @param service Service of the plan.
    * @param plan The plan.
-   * @param slots Capacity the plan was made for, in slots at median speed.
+   * @param capacity Capacity the plan was made for, in slots at median speed.
    */
   reportPlan(
     service: string,
     plan: stepSchedule.StepPlan<unknown>,
-    slots: number,
+    capacity: number,
   ): void {
     const { metrics } = this.#options;
     for (const trainer of this.#trainersByService.get(service) ?? []) {
@@ -46,7 +46,7 @@
     for (const [trainer, groups] of plan.standings) {
       metrics.setPlannedGroups(trainer, groups);
       if (groups.late > 0) {
-        this.#reportShortage(service, trainer, groups, slots);
+        this.#reportShortage(service, trainer, groups, capacity);
       }
     }
   }
@@ -55,7 +55,7 @@
     service: string,
     trainer: string,
     groups: Readonly<Record<stepSchedule.GroupStanding, number>>,
-    slots: number,
+    capacity: number,
   ): void {
     const { clock, log } = this.#options;
     const nowMs = clock.getMonotonicMs();
@@ -67,7 +67,7 @@
       service,
       trainer,
       ...groups,
-      places: Math.round(slots),
+      places: Math.round(capacity),
     });
   }
 }
--- a/src/dispatch/step_progress.ts
+++ b/src/dispatch/step_progress.ts
@@ -14,12 +14,12 @@
 
   /**
    * @param submission The step.
-   * @param listed Items whose results are already recorded.
+   * @param recorded Items whose results are already recorded.
    * @param isCarriedItem Tells whether an item was part of an earlier step.
    */
   constructor(
     submission: submissions.Submission,
-    listed: ReadonlySet<string>,
+    recorded: ReadonlySet<string>,
     isCarriedItem: (item: string) => boolean = () => false,
   ) {
     for (const item of submission.items) {
@@ -27,7 +27,7 @@
       this.#groupsByItem.set(item.id, group);
       const open = this.#openItems.get(group) ?? new Set();
       this.#openItems.set(group, open);
-      if (!listed.has(item.id)) open.add(item.id);
+      if (!recorded.has(item.id)) open.add(item.id);
     }
     this.#carriedGroups = new Set(
       submission.items.filter((item) => isCarriedItem(item.id))
--- a/src/dispatch/waiting_order.ts
+++ b/src/dispatch/waiting_order.ts
@@ -86,16 +86,16 @@
     tasks: readonly itemTasks.ItemTask[],
     waiting: ReadonlySet<itemTasks.ItemTask>,
   ): ReadonlySet<itemTasks.ItemTask> {
-    const situation = this.#describe(
+    const input = this.#describe(
       service,
       tasks,
       (task) => waiting.has(task),
     );
     const plan = stepSchedule.planSteps(
-      situation,
+      input,
       stepSchedule.DEFAULT_POLICY,
     );
-    this.#shortageReporter.reportPlan(service, plan, situation.places);
+    this.#shortageReporter.reportPlan(service, plan, input.places);
     const ordered = new Set(plan.items.map(({ work }) => work));
     const expiresAtMs = this.#options.clock.getMonotonicMs() +
       tasks.length * PLAN_LIFETIME_PER_ITEM_MS;
@@ -111,15 +111,15 @@
    *
    * @param service The service.
    * @param tasks All items of its open submissions.
-   * @param minWindowMs Time assumed to be left for late groups, in ms.
+   * @param minAvailableMs Time assumed to be left for late groups, in ms.
    */
-  countNeededSlots(
+  computeRequiredSlots(
     service: string,
     tasks: readonly itemTasks.ItemTask[],
-    minWindowMs: number,
+    minAvailableMs: number,
   ): number {
-    const situation = this.#describe(service, tasks, () => false);
-    return stepSchedule.countNeededPlaces(situation, minWindowMs);
+    const input = this.#describe(service, tasks, () => false);
+    return stepSchedule.countNeededPlaces(input, minAvailableMs);
   }
 
   #describe(
--- a/src/dispatch/waiting_order_test.ts
+++ b/src/dispatch/waiting_order_test.ts
@@ -112,12 +112,12 @@
       (_, index) => createTask(`t${index}`, 50),
     );
     // 10 items of 50 events, each 46 ms at a full engine, due in 6.8 s.
-    chai.expect(order.countNeededSlots("lm", tasks, 4_000)).to.be.closeTo(
+    chai.expect(order.computeRequiredSlots("lm", tasks, 4_000)).to.be.closeTo(
       10 * 50 * 46 / 6_800,
       0.05,
     );
     clock.extendBy(20_000);
-    chai.expect(order.countNeededSlots("lm", tasks, 4_000)).to.be.closeTo(
+    chai.expect(order.computeRequiredSlots("lm", tasks, 4_000)).to.be.closeTo(
       10 * 50 * 46 / 4_000,
       0.05,
     );
--- a/src/fleet_daemon/store_box.ts
+++ b/src/fleet_daemon/store_box.ts
@@ -157,7 +157,7 @@
       policy,
       endpoint,
       countNeededPlaces: (service, leastMs) =>
-        this.#dispatcher.countNeededSlots(service, leastMs),
+        this.#dispatcher.computeRequiredSlots(service, leastMs),
     });
   }
 
