--- a/src/dispatch/dispatcher.ts
+++ b/src/dispatch/dispatcher.ts
@@ -68,10 +68,7 @@
 
   constructor(options: DispatcherOptions) {
     this.#options = options;
-    this.#taskTable = new taskTables.TaskTable(
-      options.machine,
-      options.clock,
-    );
+    this.#taskTable = new taskTables.TaskTable(options.machine, options.clock);
     this.#crashTracker = new itemCrashTrackers.ItemCrashTracker(options);
     this.#waitingOrder = new waitingOrders.WaitingOrder({
       ...options,
