--- a/src/dispatch/item_crash_tracker.ts
+++ b/src/dispatch/item_crash_tracker.ts
@@ -31,8 +31,8 @@
   }
 
   /**
-   * Tells whether an item may run again. An item is held back for good once the
-   * maximum number of engines in a row have crashed while running it.
+   * Tells whether an item may run again: not once `MAX_ENDED` engines in a row
+   * have crashed while running it. The pause after fewer crashes does not apply.
    */
   canRun(task: itemTasks.ItemTask): boolean {
     const { crashGuard } = this.#options;
