--- a/src/dispatch/item_crash_tracker.ts
+++ b/src/dispatch/item_crash_tracker.ts
@@ -31,8 +31,9 @@
   }
 
   /**
-   * Tells whether an item may run again: not once `MAX_ENDED` engines in a row
-   * have crashed while running it. The pause after fewer crashes does not apply.
+   * Tells whether an item may run again: not once the maximum number of engines
+   * in a row have crashed while running it. The pause after fewer crashes does
+   * not apply.
    */
   canRun(task: itemTasks.ItemTask): boolean {
     const { crashGuard } = this.#options;
@@ -41,7 +42,7 @@
       verdict.ended >= crashRecords.MAX_ENDED;
     if (isBlocked && task.markHeldBack()) {
       crashGuard.noteHeldBack(
-        task.getWorkName(),
+        task.getWorkDescription(),
         verdict.ended,
         verdict.returnMs,
       );
@@ -58,11 +59,13 @@
     const { crashGuard } = this.#options;
     if (end.kind === "notRun") return;
     if (end.kind === "broken" && task.progress.countMade() === eventsBefore) {
-      if (end.isClosed) await crashGuard.noteClosed(engine, task.getWorkName());
+      if (end.isClosed) {
+        await crashGuard.noteClosed(engine, task.getWorkDescription());
+      }
       return;
     }
     if (crashGuard.judge(() => task.getWorkDigest()).kind === "free") return;
-    crashGuard.noteServed(task.getWorkName());
+    crashGuard.noteServed(task.getWorkDescription());
   }
 
   /** Records that the engine of a run restarted. */
@@ -72,6 +75,6 @@
     eventsBefore: number,
   ): void {
     if (task.progress.countMade() > eventsBefore) return;
-    this.#options.crashGuard.noteEnded(engine, task.getWorkName());
+    this.#options.crashGuard.noteEnded(engine, task.getWorkDescription());
   }
 }
--- a/src/dispatch/item_task.ts
+++ b/src/dispatch/item_task.ts
@@ -101,7 +101,7 @@
   }
 
   /** Returns the item's identification for logs and operators. */
-  getWorkName(): crashGuards.WorkName {
+  getWorkDescription(): crashGuards.WorkName {
     const { sender, terms } = this.submission;
     return {
       digest: this.getWorkDigest(),
