--- a/src/dispatch/engine_table.ts
+++ b/src/dispatch/engine_table.ts
@@ -49,13 +49,13 @@
 export class EngineTable {
   readonly #clock: clocks.Clock;
   readonly #states = new Map<registry.LifetimeKey, EngineState>();
-  readonly #failureRates: serverHealth.FailureShares;
+  readonly #failureRates: serverHealth.FailureRates;
   /** Cached median interval, valid for one reading of the clock. */
   #median = { computedAtMs: Number.NaN, intervalMs: DEFAULT_INTERVAL_MS };
 
   constructor(clock: clocks.Clock) {
     this.#clock = clock;
-    this.#failureRates = new serverHealth.FailureShares(clock);
+    this.#failureRates = new serverHealth.FailureRates(clock);
   }
 
   addRun(engine: registry.LifetimeKey): void {
@@ -146,7 +146,7 @@
 
   /** Records whether a run succeeded; not called for runs cancelled here. */
   recordRunResult(engine: registry.LifetimeKey, isSuccess: boolean): void {
-    this.#failureRates.note(engine, isSuccess);
+    this.#failureRates.record(engine, isSuccess);
   }
 
   /** Returns the share of an engine's runs expected to fail, from 0 to 1. */
--- a/src/dispatch/item_crash_tracker.ts
+++ b/src/dispatch/item_crash_tracker.ts
@@ -8,7 +8,11 @@
 export interface ItemCrashTrackerOptions {
   readonly crashGuard: Pick<
     crashGuards.CrashGuard,
-    "judge" | "noteClosed" | "noteEnded" | "noteServed" | "noteHeldBack"
+    | "decideRun"
+    | "recordConnectionLoss"
+    | "recordCrash"
+    | "recordSuccess"
+    | "recordHeldBack"
   >;
 }
 
@@ -37,11 +41,11 @@
    */
   canRun(task: itemTasks.ItemTask): boolean {
     const { crashGuard } = this.#options;
-    const verdict = crashGuard.judge(() => task.getWorkDigest());
+    const verdict = crashGuard.decideRun(() => task.getWorkDigest());
     const isBlocked = verdict.kind === "heldBack" &&
-      verdict.ended >= crashRecords.MAX_ENDED;
+      verdict.ended >= crashRecords.MAX_CONSECUTIVE_CRASHES;
     if (isBlocked && task.markHeldBack()) {
-      crashGuard.noteHeldBack(
+      crashGuard.recordHeldBack(
         task.getWorkDescription(),
         verdict.ended,
         verdict.returnMs,
@@ -60,12 +64,17 @@
     if (end.kind === "notRun") return;
     if (end.kind === "broken" && task.progress.countMade() === eventsBefore) {
       if (end.isClosed) {
-        await crashGuard.noteClosed(engine, task.getWorkDescription());
+        await crashGuard.recordConnectionLoss(
+          engine,
+          task.getWorkDescription(),
+        );
       }
       return;
     }
-    if (crashGuard.judge(() => task.getWorkDigest()).kind === "free") return;
-    crashGuard.noteServed(task.getWorkDescription());
+    if (crashGuard.decideRun(() => task.getWorkDigest()).kind === "free") {
+      return;
+    }
+    crashGuard.recordSuccess(task.getWorkDescription());
   }
 
   /** Records that the engine of a run restarted. */
@@ -75,6 +84,6 @@
     eventsBefore: number,
   ): void {
     if (task.progress.countMade() > eventsBefore) return;
-    this.#options.crashGuard.noteEnded(engine, task.getWorkDescription());
+    this.#options.crashGuard.recordCrash(engine, task.getWorkDescription());
   }
 }
--- a/src/dispatch/item_task.ts
+++ b/src/dispatch/item_task.ts
@@ -101,11 +101,11 @@
   }
 
   /** Returns the item's identification for logs and operators. */
-  getWorkDescription(): crashGuards.WorkName {
+  getWorkDescription(): crashGuards.WorkDescription {
     const { sender, terms } = this.submission;
     return {
       digest: this.getWorkDigest(),
-      carrier: this.item.id,
+      requestId: this.item.id,
       account: accounts.getAccountName(sender),
       service: terms.service,
       target: this.item.path,
