--- a/src/dispatch/dispatcher.ts
+++ b/src/dispatch/dispatcher.ts
@@ -271,7 +271,7 @@
         if (task.countImpossible()) return this.#finisher.giveUp(task);
         break;
       case "notRun":
-        if (end.isOther) this.#options.servers.markAbsent(engine);
+        if (end.isOther) this.#options.servers.markUnavailable(engine);
         this.#options.engines.avoid(engine.lifetime);
         break;
       case "broken":
--- a/src/dispatch/item_crashes.ts
+++ b/src/dispatch/item_crashes.ts
@@ -8,7 +8,11 @@
 export interface ItemCrashesOptions {
   readonly crashGuard: Pick<
     crashGuards.CrashGuard,
-    "judge" | "noteClosed" | "noteEnded" | "noteServed" | "noteHeldBack"
+    | "decideRun"
+    | "recordConnectionLoss"
+    | "recordCrash"
+    | "recordSuccess"
+    | "recordHeldBack"
   >;
 }
 
@@ -37,11 +41,15 @@
    */
   canRun(task: itemTasks.ItemTask): boolean {
     const { crashGuard } = this.#options;
-    const verdict = crashGuard.judge(() => task.getWork());
+    const verdict = crashGuard.decideRun(() => task.getWork());
     const isBarred = verdict.kind === "heldBack" &&
-      verdict.ended >= crashRecords.MAX_ENDED;
+      verdict.ended >= crashRecords.MAX_CONSECUTIVE_CRASHES;
     if (isBarred && task.markHeldBack()) {
-      crashGuard.noteHeldBack(task.getName(), verdict.ended, verdict.returnMs);
+      crashGuard.recordHeldBack(
+        task.getName(),
+        verdict.ended,
+        verdict.returnMs,
+      );
     }
     return !isBarred;
   }
@@ -55,11 +63,13 @@
     const { crashGuard } = this.#options;
     if (end.kind === "notRun") return;
     if (end.kind === "broken" && task.progress.countMade() === madeBefore) {
-      if (end.isClosed) await crashGuard.noteClosed(engine, task.getName());
+      if (end.isClosed) {
+        await crashGuard.recordConnectionLoss(engine, task.getName());
+      }
       return;
     }
-    if (crashGuard.judge(() => task.getWork()).kind === "free") return;
-    crashGuard.noteServed(task.getName());
+    if (crashGuard.decideRun(() => task.getWork()).kind === "free") return;
+    crashGuard.recordSuccess(task.getName());
   }
 
   /** Notes that the engine of a run has started again. */
@@ -69,6 +79,6 @@
     madeBefore: number,
   ): void {
     if (task.progress.countMade() > madeBefore) return;
-    this.#options.crashGuard.noteEnded(engine, task.getName());
+    this.#options.crashGuard.recordCrash(engine, task.getName());
   }
 }
--- a/src/dispatch/item_task.ts
+++ b/src/dispatch/item_task.ts
@@ -101,11 +101,11 @@
   }
 
   /** Names its work for operators. */
-  getName(): crashGuards.WorkName {
+  getName(): crashGuards.WorkDescription {
     const { sender, terms } = this.submission;
     return {
       digest: this.getWork(),
-      carrier: this.item.id,
+      requestId: this.item.id,
       account: accounts.getAccountName(sender),
       service: terms.service,
       target: this.item.path,
--- a/src/forwarding/_job_work.ts
+++ b/src/forwarding/_job_work.ts
@@ -22,7 +22,7 @@
 
 /** Why work is not sent on. */
 export type HeldBack = Extract<
-  crashRecords.WorkVerdict,
+  crashRecords.RunDecision,
   { readonly kind: "heldBack" }
 >;
 
@@ -40,11 +40,11 @@
   readonly clock: clocks.Clock;
   readonly crashGuard: Pick<
     crashGuards.CrashGuard,
-    | "judge"
-    | "noteClosed"
-    | "noteEnded"
-    | "noteServed"
-    | "noteHeldBack"
+    | "decideRun"
+    | "recordConnectionLoss"
+    | "recordCrash"
+    | "recordSuccess"
+    | "recordHeldBack"
     | "askGrant"
     | "endGrant"
   >;
@@ -63,8 +63,8 @@
     this.#job = job;
   }
 
-  judge(): crashRecords.WorkVerdict {
-    return this.#options.crashGuard.judge(() => this.getDigest());
+  judge(): crashRecords.RunDecision {
+    return this.#options.crashGuard.decideRun(() => this.getDigest());
   }
 
   /** Digest of the work; computed where it is asked for, as most is not. */
@@ -152,23 +152,23 @@
   ): Promise<void> {
     const { crashGuard } = this.#options;
     if (outcome.kind === "broken" && outcome.isEnded === true) {
-      crashGuard.noteEnded(server, this.#getName());
+      crashGuard.recordCrash(server, this.#getName());
     } else if (outcome.kind === "broken" && outcome.isClosed) {
-      await crashGuard.noteClosed(server, this.#getName());
+      await crashGuard.recordConnectionLoss(server, this.#getName());
     } else if (outcome.kind === "answered" && this.judge().kind !== "free") {
-      crashGuard.noteServed(this.#getName());
+      crashGuard.recordSuccess(this.#getName());
     }
   }
 
   noteHeldBack(ended: number, returnMs: number): void {
-    this.#options.crashGuard.noteHeldBack(this.#getName(), ended, returnMs);
+    this.#options.crashGuard.recordHeldBack(this.#getName(), ended, returnMs);
   }
 
-  #getName(): crashGuards.WorkName {
+  #getName(): crashGuards.WorkDescription {
     const { requestId, sender, service, target } = this.#job;
     return {
       digest: this.getDigest(),
-      carrier: requestId,
+      requestId: requestId,
       account: accounts.getAccountName(sender),
       service,
       target,
--- a/src/forwarding/_watched_attempt.ts
+++ b/src/forwarding/_watched_attempt.ts
@@ -14,7 +14,7 @@
  * @returns What became of it.
  */
 export async function sendWatched(
-  servers: Pick<registry.ServerRegistry, "watch" | "markAbsent">,
+  servers: Pick<registry.ServerRegistry, "watch" | "markUnavailable">,
   options: attempts.AttemptOptions,
   sendAttempt: typeof attempts.sendAttempt = attempts.sendAttempt,
 ): Promise<jobs.AttemptOutcome> {
@@ -26,7 +26,7 @@
   const outcome = await sendAttempt(options);
   endWatch();
   if (outcome.kind === "notRun" && outcome.isOther === true) {
-    servers.markAbsent(options.server);
+    servers.markUnavailable(options.server);
   }
   if (!isReplaced || outcome.kind !== "broken") return outcome;
   return { ...outcome, reason: STARTED_AGAIN, isEnded: true };
--- a/src/forwarding/crash_replay_test.ts
+++ b/src/forwarding/crash_replay_test.ts
@@ -20,9 +20,9 @@
  * it run at several boxes, and second sends of them, before the first has ended.
  */
 const MOST_ENDED: Readonly<Record<number, number>> = {
-  0.01: crashRecords.MAX_ENDED,
-  0.05: crashRecords.MAX_ENDED,
-  0.2: crashRecords.MAX_ENDED + 1,
+  0.01: crashRecords.MAX_CONSECUTIVE_CRASHES,
+  0.05: crashRecords.MAX_CONSECUTIVE_CRASHES,
+  0.2: crashRecords.MAX_CONSECUTIVE_CRASHES + 1,
 };
 
 const FEW: Omit<crashReplays.CrashPattern, "badShare"> = {
@@ -79,7 +79,7 @@
     const found = await crashReplays.replayCrashes(pattern, 1);
     const unfound = await crashReplays.replayCrashes(pattern, 1, false);
     chai.expect(unfound.mostEnded).to.be.greaterThan(
-      3 * crashRecords.MAX_ENDED,
+      3 * crashRecords.MAX_CONSECUTIVE_CRASHES,
     );
     chai.expect(getShare(unfound)).to.be.lessThan(getShare(found) / 2);
   });
--- a/src/forwarding/crashing_work_test.ts
+++ b/src/forwarding/crashing_work_test.ts
@@ -171,7 +171,7 @@
     chai.expect((await send("good")).kind).to.equal("answered");
     const [record] = table.list();
     chai.expect(record?.ended).to.deep.equal(["s0"]);
-    chai.expect(crashRecords.countEnded(record)).to.equal(0);
+    chai.expect(crashRecords.countConsecutiveCrashes(record)).to.equal(0);
   });
 
   it("says that the work may have run where it was sent before", async () => {
--- a/src/registry/registry_test.ts
+++ b/src/registry/registry_test.ts
@@ -2,8 +2,8 @@
 import * as fastCheck from "fast-check";
 import * as clocks from "../clock/mod.ts";
 import * as logs from "../log/mod.ts";
-import * as checkReport from "./check_report.ts";
-import * as refusedReports from "./refused_reports.ts";
+import * as checkReport from "./validate_report.ts";
+import * as refusedReports from "./refusal_recorder.ts";
 import * as registeredServers from "./registered_server.ts";
 import * as serverFixtures from "../fixtures/create_server.ts";
 import * as serverRegistries from "./server_registry.ts";
@@ -18,12 +18,12 @@
 });
 
 /** A start that is told by its id alone. */
-const UNBORN = { id: "i-1", born: undefined };
+const NO_START_TIME = { id: "i-1", born: undefined };
 
 function report(
   changes: Partial<registeredServers.RegisteredServer>,
 ): registeredServers.RegisteredServer {
-  return registeredServers.registerServer({ ...SERVER, ...changes });
+  return registeredServers.createRegisteredServer({ ...SERVER, ...changes });
 }
 
 describe("registry", () => {
@@ -60,13 +60,13 @@
     servers.merge(report({ sequence: 5, phase: "draining" }));
     servers.merge(report({ sequence: 4 }));
     chai.expect(servers.listReady("lm")).to.deep.equal([]);
-    servers.markGone(UNBORN);
+    servers.markGone(NO_START_TIME);
     servers.merge(report({ sequence: 6 }));
     chai.expect(servers.listReady("lm")).to.deep.equal([]);
   });
 
   it("remembers that a server left before anything else was heard of it", () => {
-    servers.markGone(UNBORN);
+    servers.markGone(NO_START_TIME);
     servers.merge(report({ sequence: 9 }));
     chai.expect(servers.get("i-1")?.phase).to.equal("gone");
   });
@@ -78,7 +78,7 @@
     // and were refused with 421 over 3 s, and a step came 2 s late.
     servers.merge(report({ sequence: 5 }));
     servers.merge(report({ id: "i-2" }));
-    servers.markAbsent(servers.get("i-1")!);
+    servers.markUnavailable(servers.get("i-1")!);
     const listed = servers.listReady("lm").map((item) => item.id);
     chai.expect(listed).to.deep.equal(["i-2"]);
     servers.merge(report({ sequence: 5 }));
@@ -91,7 +91,7 @@
     servers.merge(report({ born: 1 }));
     const former = servers.get("i-1")!;
     servers.merge(report({ born: 2 }));
-    servers.markAbsent(former);
+    servers.markUnavailable(former);
     chai.expect(servers.listReady("lm")).to.have.length(1);
   });
 
@@ -159,7 +159,7 @@
 
     it("takes a notice without a start for one of the start that is known", () => {
       servers.merge(LATER);
-      servers.markGone(UNBORN);
+      servers.markGone(NO_START_TIME);
       chai.expect(servers.listReady("lm")).to.deep.equal([]);
       chai.expect(servers.get("i-1")?.born).to.equal(2_000);
     });
@@ -220,7 +220,7 @@
       changes: Partial<registeredServers.RegisteredServer>,
       check = CHECK,
     ) {
-      return checkReport.findRefusal(report(changes), check)?.reason;
+      return checkReport.validateReport(report(changes), check)?.reason;
     }
 
     it("takes what fits its start, and a start that lies a little ahead", () => {
@@ -240,11 +240,11 @@
       const behind = { ...CHECK, wallMs: -300_000 };
       chai.expect(find({ born: 1_000 }, behind)).to.equal(undefined);
       const unheard = { ...behind, known: undefined };
-      chai.expect(checkReport.findRefusal(report({ born: 1_000 }), unheard))
+      chai.expect(checkReport.validateReport(report({ born: 1_000 }), unheard))
         .to.equal(undefined);
       const days = 86_400_000;
       chai.expect(
-        checkReport.findRefusal(report({ born: days }), unheard)?.reason,
+        checkReport.validateReport(report({ born: days }), unheard)?.reason,
       ).to.equal("start");
     });
 
@@ -261,8 +261,8 @@
     });
 
     it("takes the first report after a notice that came before it", () => {
-      const known = registeredServers.registerServer(
-        registeredServers.createGone({ id: "i-1", born: undefined }),
+      const known = registeredServers.createRegisteredServer(
+        registeredServers.createGoneReport({ id: "i-1", born: undefined }),
       );
       chai.expect(find({}, { ...CHECK, known })).to.equal(undefined);
     });
@@ -272,7 +272,7 @@
     it("counts each, and logs a fault once in a while and few in all", () => {
       const lines: string[] = [];
       const counts: string[] = [];
-      const refused = new refusedReports.RefusedReports({
+      const refused = new refusedReports.RefusalRecorder({
         clock,
         log: new logs.Log("box", "info", (line) => lines.push(line)),
         metrics: { countRefusedReport: (reason) => counts.push(reason) },
@@ -282,20 +282,20 @@
         reason: "field",
         field: "slots",
       } as const;
-      for (let turn = 0; turn < 5; turn += 1) refused.note(refusal);
+      for (let turn = 0; turn < 5; turn += 1) refused.record(refusal);
       chai.expect(lines).to.have.length(1);
       chai.expect(lines[0]).to.contain(
         "event=report.refused box=box server=i-1 reason=field field=slots",
       );
       for (let index = 0; index < 500; index += 1) {
-        refused.note({ ...refusal, server: "x".repeat(index) });
+        refused.record({ ...refusal, server: "x".repeat(index) });
       }
       chai.expect(counts).to.have.length(505);
       chai.expect(lines.length).to.be.lessThan(40);
       chai.expect(Math.max(...lines.map((line) => line.length))).to.be
         .lessThan(250);
       clock.extendBy(10_000);
-      refused.note(refusal);
+      refused.record(refusal);
       chai.expect(lines.at(-1)).to.contain("server=i-1 ");
     });
   });
--- a/src/traffic_config/configuration_service.ts
+++ b/src/traffic_config/configuration_service.ts
@@ -4,7 +4,7 @@
 import type * as machines from "./configuration_machine.ts";
 
 /** Longest wait for a commit, in ms; operators try again after a second. */
-const COMMIT_MS = 850;
+const COMMIT_TIMEOUT_MS = 850;
 
 /** Names of the calls to the leader of the core boxes. */
 export const METHODS = {
@@ -58,7 +58,10 @@
       kind: "putConfiguration",
       stored: request.stored,
     };
-    const result = await group.propose<machines.PutAnswer>(command, COMMIT_MS);
+    const result = await group.propose<machines.PutResult>(
+      command,
+      COMMIT_TIMEOUT_MS,
+    );
     if (result.kind === "ok") {
       return { kind: "done", version: result.value.version };
     }
--- a/src/traffic_config/traffic_config_test.ts
+++ b/src/traffic_config/traffic_config_test.ts
@@ -119,9 +119,9 @@
       () => results.createOk(createConfiguration({})),
       new logs.Log("box", "error", () => {}),
     );
-    chai.expect(holder.offer({ version: 5, text: "five" })).to.equal(true);
-    chai.expect(holder.offer({ version: 5, text: "other" })).to.equal(false);
-    chai.expect(holder.offer({ version: 4, text: "four" })).to.equal(false);
+    chai.expect(holder.update({ version: 5, text: "five" })).to.equal(true);
+    chai.expect(holder.update({ version: 5, text: "other" })).to.equal(false);
+    chai.expect(holder.update({ version: 4, text: "four" })).to.equal(false);
     chai.expect(holder.getStored()).to.deep.equal({ version: 5, text: "five" });
   });
 
--- a/src/weight_orders/engine_starts_test.ts
+++ b/src/weight_orders/engine_starts_test.ts
@@ -106,7 +106,7 @@
       } as unknown as duties.DutyHolder,
       machine,
       engines,
-      refusedReports: { note: () => {} },
+      refusedReports: { record: () => {} },
       isService: () => true,
       onLoading: () => {},
       onLoaded: () => {},
--- a/src/weight_orders/known_engines.ts
+++ b/src/weight_orders/known_engines.ts
@@ -25,7 +25,7 @@
     "hasAuthority" | "getTerm" | "propose"
   >;
   readonly machine: submissions.SubmissionMachine;
-  readonly refusedReports: Pick<registry.RefusedReports, "note">;
+  readonly refusedReports: Pick<registry.RefusalRecorder, "record">;
   readonly isService: listEngines.IsService;
   /** Told when engines were found that no heartbeat had named yet. */
   readonly onFound: () => void;
@@ -81,7 +81,7 @@
     const { dialect, log, servers, refusedReports, onFound } = this.#options;
     const reading = await orderClients.readReport(engine, dialect);
     if (this.#isStopped) return;
-    if (reading.kind === "refused") refusedReports.note(reading.refusal);
+    if (reading.kind === "refused") refusedReports.record(reading.refusal);
     const found = findServer(engine, reading);
     log.write("info", "engine.asked", {
       server: engine.id,
--- a/src/weight_orders/known_engines_test.ts
+++ b/src/weight_orders/known_engines_test.ts
@@ -82,7 +82,7 @@
           Promise.resolve(results.createOk(machine.apply(command) as T)),
       },
       machine,
-      refusedReports: { note: () => {} },
+      refusedReports: { record: () => {} },
       isService: (name) => name !== "unnamed",
       onFound: () => {
         found += 1;
--- a/src/weight_orders/order_client.ts
+++ b/src/weight_orders/order_client.ts
@@ -66,7 +66,7 @@
 
 /** What an engine said of its state. */
 export type EngineReading =
-  | registry.ReportReading<dialects.EngineReport>
+  | registry.ParsedReport<dialects.EngineReport>
   /** A later start of the engine answered. */
   | { readonly kind: "reborn"; readonly server: registry.ServerReport }
   | { readonly kind: "unread"; readonly message: string };
@@ -104,7 +104,7 @@
     case "later":
       return {
         kind: "reborn",
-        server: registry.createReborn(engine, born, models),
+        server: registry.createRestartReport(engine, born, models),
       };
     case "former":
       return { kind: "unread", message: `${engine.id} told a former start` };
--- a/src/weight_orders/weight_orders.ts
+++ b/src/weight_orders/weight_orders.ts
@@ -37,7 +37,7 @@
   readonly duty: duties.DutyHolder;
   readonly machine: submissions.SubmissionMachine;
   readonly engines: dispatch.EngineTable;
-  readonly refusedReports: Pick<registry.RefusedReports, "note">;
+  readonly refusedReports: Pick<registry.RefusalRecorder, "record">;
   readonly isService: listEngines.IsService;
   /** Told when an engine begins to load a model. */
   readonly onLoading: (
@@ -207,7 +207,7 @@
         return false;
       case "refused":
         this.#orders.delete(engine.lifetime);
-        if (outcome.isOther) this.#options.servers.markAbsent(engine);
+        if (outcome.isOther) this.#options.servers.markUnavailable(engine);
         await clocks.sleep(clock, REFUSED_MS);
         return false;
       case "reborn":
@@ -283,7 +283,7 @@
         servers.merge(reading.server);
         return;
       case "refused":
-        return refusedReports.note(reading.refusal);
+        return refusedReports.record(reading.refusal);
       case "unread":
         log.write("info", "engine.unread", {
           server: engine.id,
--- a/tools/bench/bench_dispatch.ts
+++ b/tools/bench/bench_dispatch.ts
@@ -21,7 +21,7 @@
 const SLOW_EVERY = 4;
 
 function createEngine(index: number): registry.RegisteredServer {
-  return registry.registerServer({
+  return registry.createRegisteredServer({
     id: `engine-${index}`,
     born: undefined,
     service: "lm",
