--- a/src/crash_guard/crash_guard.ts
+++ b/src/crash_guard/crash_guard.ts
@@ -6,49 +6,49 @@
 import type * as httpClient from "../http_client/mod.ts";
 import type * as protocol from "./protocol.ts";
 
-/** Characters of a path that a record shows to operators. */
+/** Most characters of a request path that are recorded and logged. */
 const MAX_TARGET_LENGTH = 120;
-/** Between two looks for records that are too old, in ms. */
+/** Interval between removals of expired records, in ms. */
 const CLEANUP_INTERVAL_MS = 10_000;
 
-/** A piece of work, and what operators are told of it. */
+/** Digest of a piece of work, and details of it for records and logs. */
 export interface WorkDescription {
   readonly digest: crashRecords.WorkDigest;
-  /** Request or item that carried it. */
+  /** Id of the request or submission item. */
   readonly requestId: string;
-  /** Client account; empty where none sent it. */
+  /** Client account that sent it; empty for requests without one. */
   readonly account: string;
   readonly service: string;
-  /** Path with its query. */
+  /** Path with query. */
   readonly target: string;
 }
 
-/** What became of a question for a grant. */
+/** Result of asking for a grant. */
 export type GrantResult =
   | Exclude<protocol.GrantReply, { readonly kind: "notLeader" }>
-  /** No leader answered in time. */
+  /** No leader replied within the timeout. */
   | { readonly kind: "unanswered" };
 
-/** What the crash guard needs. */
+/** Dependencies of a `CrashGuard`. */
 export interface CrashGuardOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly metrics: Pick<metrics.FleetMetrics, "countCrash">;
   readonly table: crashRecords.CrashTable;
   readonly servers: Pick<registry.ServerRegistry, "markUnavailable">;
-  /** Tells whether something listens at an address. */
+  /** Checks whether a process listens on an address and port. */
   readonly findPortState: typeof httpClient.findPortState;
-  /** Tells the other boxes. */
+  /** Sends a record to the other boxes. */
   readonly publish: (record: crashRecords.CrashRecord) => void;
-  /** Asks the leader of the stores. */
+  /** Asks the store boxes' leader for a grant; undefined if none replies. */
   readonly askGrant: (
     request: protocol.GrantRequest,
   ) => Promise<protocol.GrantReply | undefined>;
-  /** Tells the leader of the stores, for as long as it takes. */
+  /** Reports the end of a granted run to the store boxes' leader. */
   readonly endGrant: (end: protocol.GrantEnd) => void;
 }
 
-/** What a box knows of work under which servers end. */
+/** Detects work that crashes backend servers, and limits its further runs. */
 export class CrashGuard {
   readonly #options: CrashGuardOptions;
   #lastCleanupMs = Number.NEGATIVE_INFINITY;
@@ -58,10 +58,11 @@
   }
 
   /**
-   * Judges a piece of work.
+   * Decides whether a piece of work may run.
    *
-   * @param computeDigest Computes its digest; not called while nothing is known
-   * against any work, so that this costs nothing then.
+   * @param computeDigest Computes the digest of the work; called only if the
+   * table has records, to keep the usual case cheap.
+   * @returns The decision.
    */
   decideRun(
     computeDigest: () => crashRecords.WorkDigest,
@@ -75,64 +76,64 @@
   }
 
   /**
-   * Notes that a server closed the connection in the midst of a run. A process
-   * that ended listens no more; one that only closed or reset a connection does.
+   * Records a crash if a server that closed its connection during a run no longer
+   * listens on its port. Otherwise only the connection was lost.
    */
   async recordConnectionLoss(
     server: registry.RegisteredServer,
-    name: WorkDescription,
+    work: WorkDescription,
   ): Promise<void> {
     const { findPortState } = this.#options;
     const state = await findPortState(server.address, server.port);
-    if (state === "refused") this.recordCrash(server, name);
+    if (state === "refused") this.recordCrash(server, work);
   }
 
-  /** Notes that a server ended while it ran a piece of work. */
-  recordCrash(server: registry.RegisteredServer, name: WorkDescription): void {
+  /** Records that a server crashed while it ran a piece of work. */
+  recordCrash(server: registry.RegisteredServer, work: WorkDescription): void {
     const { clock, log, metrics, table, publish } = this.#options;
     const nowMs = clock.getWallMs();
     const isNew = table.merge({
-      digest: name.digest,
-      account: name.account,
-      service: name.service,
-      target: name.target.slice(0, MAX_TARGET_LENGTH),
+      digest: work.digest,
+      account: work.account,
+      service: work.service,
+      target: work.target.slice(0, MAX_TARGET_LENGTH),
       ended: [server.lifetime],
       cleared: [],
       notedAtMs: nowMs,
     }, nowMs);
     this.#options.servers.markUnavailable(server);
-    const record = table.get(name.digest);
+    const record = table.get(work.digest);
     if (!isNew || record === undefined) return;
     metrics.countCrash("noted");
     log.write("warn", "crash.noted", {
-      ...createLogFields(name),
+      ...createLogFields(work),
       server: server.id,
       ended: crashRecords.countConsecutiveCrashes(record),
     });
     publish(record);
   }
 
-  /** Notes that a run of a piece of work ended and its server went on. */
-  recordSuccess(name: WorkDescription): void {
+  /** Clears the crashes of work that a server ran without crashing. */
+  recordSuccess(work: WorkDescription): void {
     const { clock, log, metrics, table, publish } = this.#options;
-    const known = table.get(name.digest);
+    const record = table.get(work.digest);
     if (
-      known === undefined || crashRecords.countConsecutiveCrashes(known) === 0
+      record === undefined || crashRecords.countConsecutiveCrashes(record) === 0
     ) return;
-    const cleared = { ...known, cleared: known.ended };
+    const cleared = { ...record, cleared: record.ended };
     table.merge(cleared, clock.getWallMs());
     metrics.countCrash("cleared");
     log.write("info", "crash.cleared", {
-      ...createLogFields(name),
-      ended: crashRecords.countConsecutiveCrashes(known),
+      ...createLogFields(work),
+      ended: crashRecords.countConsecutiveCrashes(record),
     });
-    publish(table.get(name.digest) ?? cleared);
+    publish(table.get(work.digest) ?? cleared);
   }
 
   /**
-   * Takes what another box or the stores' log knows.
+   * Merges a record from another box or from the replicated log.
    *
-   * @returns Whether this box did not know it.
+   * @returns Whether it contained information that was new to this box.
    */
   mergeRemoteRecord(record: crashRecords.CrashRecord): boolean {
     const { clock, log, metrics, table } = this.#options;
@@ -150,7 +151,7 @@
     return true;
   }
 
-  /** Servers that ended elsewhere are passed over here too. */
+  /** Excludes servers whose crash another box detected from selection. */
   #markUnavailable(
     record: crashRecords.CrashRecord,
     before: crashRecords.CrashRecord | undefined,
@@ -163,20 +164,21 @@
   }
 
   /**
-   * Asks the leader of the stores for one run more.
+   * Asks the store boxes' leader for one more run of work that crashed servers.
    *
-   * @param digest Work under which servers ended.
-   * @param question What else the leader needs to know.
+   * @param digest Digest of the work.
+   * @param request The request without the crash record.
+   * @returns The leader's reply, or `unanswered`.
    */
   async askGrant(
     digest: crashRecords.WorkDigest,
-    question: Omit<protocol.GrantRequest, "record">,
+    request: Omit<protocol.GrantRequest, "record">,
   ): Promise<GrantResult> {
     const { table, askGrant, metrics } = this.#options;
     const record = table.get(digest);
     const reply = record === undefined
       ? undefined
-      : await askGrant({ ...question, record });
+      : await askGrant({ ...request, record });
     if (reply === undefined || reply.kind === "notLeader") {
       return { kind: "unanswered" };
     }
@@ -185,17 +187,17 @@
     return reply;
   }
 
-  /** Tells the leader that a granted run has ended, with what is known now. */
+  /** Reports the end of a granted run to the leader, with the current record. */
   endGrant(digest: crashRecords.WorkDigest, run: string): void {
     const record = this.#options.table.get(digest);
     this.#options.endGrant({ run, record });
   }
 
-  /** Counts and logs a request that is answered without being sent. */
-  recordHeldBack(name: WorkDescription, ended: number, returnMs: number): void {
+  /** Counts and logs work that is held back instead of being run. */
+  recordHeldBack(work: WorkDescription, ended: number, returnMs: number): void {
     this.#options.metrics.countCrash("heldBack");
     this.#options.log.write("info", "crash.heldBack", {
-      ...createLogFields(name),
+      ...createLogFields(work),
       ended,
       returnMs: Math.round(returnMs),
     });
@@ -211,12 +213,12 @@
 }
 
 function createLogFields(
-  name: WorkDescription,
+  work: WorkDescription,
 ): Readonly<Record<string, string>> {
-  const { digest, requestId: carrier, account, service, target } = name;
+  const { digest, requestId, account, service, target } = work;
   return {
     work: digest,
-    request: carrier,
+    request: requestId,
     account,
     service,
     target: target.slice(0, MAX_TARGET_LENGTH),
--- a/src/crash_guard/crash_guard_test.ts
+++ b/src/crash_guard/crash_guard_test.ts
@@ -15,7 +15,7 @@
   target: "/x",
 };
 
-describe("the guard against work that ends servers", () => {
+describe("CrashGuard", () => {
   const clock = new clocks.FakeClock(1_000);
   let table = new crashRecords.CrashTable();
   let servers = new registry.ServerRegistry(clock, 1_000_000);
@@ -46,7 +46,7 @@
     return guard.decideRun(() => "d").kind;
   }
 
-  it("tells the fleet of a server that ended, and passes it over", async () => {
+  it("publishes a crash and excludes the server from selection", async () => {
     await guard.recordConnectionLoss(first!, WORK);
     chai.expect(decideRun()).to.equal("suspect");
     chai.expect(published.map(({ ended }) => ended)).to.deep.equal([["i-1"]]);
@@ -56,7 +56,7 @@
   });
 
   for (const state of ["open", "silent"] as const) {
-    it(`holds nothing against work whose server's port is ${state}`, async () => {
+    it(`records no crash when the server's port is ${state}`, async () => {
       portState = state;
       await guard.recordConnectionLoss(first!, WORK);
       chai.expect(decideRun()).to.equal("free");
@@ -65,7 +65,7 @@
     });
   }
 
-  it("counts a server once, however many runs it had of the work", async () => {
+  it("counts a crashed server once per piece of work", async () => {
     await guard.recordConnectionLoss(first!, WORK);
     await guard.recordConnectionLoss(first!, {
       ...WORK,
@@ -77,7 +77,7 @@
     chai.expect(published.length).to.equal(1);
   });
 
-  it("clears work whose run ended well, and tells the fleet", () => {
+  it("clears and publishes work that ran without a crash", () => {
     guard.recordCrash(first!, WORK);
     guard.recordSuccess(WORK);
     chai.expect(decideRun()).to.equal("free");
@@ -86,7 +86,7 @@
     chai.expect(decideRun()).to.equal("suspect");
   });
 
-  it("passes over a server that ended at another box", () => {
+  it("excludes a server whose crash another box detected", () => {
     const { digest, account, service, target } = WORK;
     const record = { digest, account, service, target };
     chai.expect(guard.mergeRemoteRecord({
@@ -100,7 +100,7 @@
     ]);
   });
 
-  it("computes no digest while nothing is known against any work", () => {
+  it("computes no digest while the table is empty", () => {
     guard.decideRun(() => {
       throw new Error("a digest was computed");
     });
--- a/src/crash_guard/crash_replicator.ts
+++ b/src/crash_guard/crash_replicator.ts
@@ -3,14 +3,14 @@
 import type * as replicaGroups from "../replica_group/mod.ts";
 import type * as submissions from "../submission/mod.ts";
 import type * as crashGuards from "./crash_guard.ts";
-import type * as grantDesks from "./grant_service.ts";
+import type * as grantServices from "./grant_service.ts";
 
-/** Between two comparisons with what the stores keep, in ms. */
+/** Interval between comparisons with the replicated records, in ms. */
 const POLL_INTERVAL_MS = 100;
-/** Longest wait until the stores keep a change, in ms. */
+/** Timeout of a proposal to the replicated log, in ms. */
 const COMMIT_TIMEOUT_MS = 2_000;
 
-/** What the crash keeper needs. */
+/** Dependencies of a `CrashReplicator`. */
 export interface CrashReplicatorOptions {
   readonly clock: clocks.Clock;
   readonly group: Pick<
@@ -19,15 +19,15 @@
   >;
   readonly machine: submissions.SubmissionMachine;
   readonly guard: Pick<crashGuards.CrashGuard, "mergeRemoteRecord">;
-  readonly grants: Pick<grantDesks.GrantService, "updateTerm">;
+  readonly grants: Pick<grantServices.GrantService, "updateTerm">;
   readonly table: crashRecords.CrashTable;
-  /** Tells the other boxes. */
+  /** Sends a record to the other boxes. */
   readonly publish: (record: crashRecords.CrashRecord) => void;
 }
 
 /**
- * Has the stores keep which work servers ended under, so that it is not let in
- * again after all boxes lost power.
+ * Copies crash records between this box's table and the store boxes' replicated
+ * log, so that crashing work stays blocked after a restart of all boxes.
  */
 export class CrashReplicator {
   readonly #options: CrashReplicatorOptions;
@@ -39,6 +39,7 @@
     this.#options = options;
   }
 
+  /** Synchronizes immediately, then at a fixed interval until `stop` is called. */
   start(): void {
     if (this.#isStopped) return;
     this.#options.grants.updateTerm();
@@ -51,18 +52,18 @@
     this.#isStopped = true;
   }
 
-  /** Takes what the log has brought to this store. */
+  /** Merges and publishes records that the replicated log delivered. */
   #mergeReplicated(): void {
     const { machine, guard, publish } = this.#options;
-    const kept = machine.getCrashes();
-    if (kept.getContentHash() === this.#mergedHash) return;
-    this.#mergedHash = kept.getContentHash();
-    for (const record of kept.list()) {
+    const replicated = machine.getCrashes();
+    if (replicated.getContentHash() === this.#mergedHash) return;
+    this.#mergedHash = replicated.getContentHash();
+    for (const record of replicated.list()) {
       if (guard.mergeRemoteRecord(record)) publish(record);
     }
   }
 
-  /** Proposes what the fleet knows and the log does not. */
+  /** Proposes records that the replicated log does not have, while leading. */
   async #proposeChanges(): Promise<void> {
     const { clock, group, machine, table } = this.#options;
     if (this.#isProposing || !group.hasAuthority()) return;
--- a/src/crash_guard/create_grant_client.ts
+++ b/src/crash_guard/create_grant_client.ts
@@ -2,19 +2,16 @@
 import type * as crashGuards from "./crash_guard.ts";
 import * as protocol from "./protocol.ts";
 
-/**
- * Longest wait for a grant, in ms: a leader answers within some milliseconds, and
- * the caller of the request waits meanwhile.
- */
+/** Timeouts of asking for a grant; short, as the client waits meanwhile. */
 const ASK_CALL_TIMES: replicaGroups.CallTimes = { totalMs: 200, tryMs: 100 };
-/** The same for the end of a run; without it the grant lasts its whole time. */
+/** Timeouts of reporting the end of a run. */
 const END_CALL_TIMES: replicaGroups.CallTimes = { totalMs: 2_000, tryMs: 500 };
 
 /**
- * Makes the calls about grants to the leader of the stores.
+ * Creates the calls about grants to the store boxes' leader.
  *
- * @param leaderCaller Calls the leader.
- * @returns What a crash guard needs of them.
+ * @param leaderCaller Sends the calls to the current leader.
+ * @returns The calls, as options of a `CrashGuard`.
  */
 export function createGrantClient(
   leaderCaller: Pick<replicaGroups.LeaderCaller, "call">,
@@ -29,7 +26,7 @@
       return reply.kind === "ok" ? reply.value : undefined;
     },
     endGrant: (end) => {
-      // A leader that is not told counts the run until its time is over.
+      // If no leader receives this, the grant expires by its timeout.
       void leaderCaller.call<protocol.GrantEndReply>(
         protocol.METHODS.endGrant,
         end,
--- a/src/crash_guard/grant_service.ts
+++ b/src/crash_guard/grant_service.ts
@@ -6,15 +6,15 @@
 import type * as rpc from "../rpc/mod.ts";
 import * as protocol from "./protocol.ts";
 
-/** How long a run is waited for whose box does not say that it ended, in ms. */
+/** Time until a grant expires whose box reports no end of the run, in ms. */
 const GRANT_TIMEOUT_MS = 10_000;
 /**
- * Time of a reign in which a last run is not granted, in ms: the leader before
- * may have granted it, and such runs last a few seconds.
+ * Time after a leader's election during which it grants no last run, in ms. The
+ * previous leader may have granted one that is still active.
  */
 const NEW_LEADER_DELAY_MS = 2_500;
 
-/** What the grant desk needs. */
+/** Dependencies of a `GrantService`. */
 export interface GrantServiceOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
@@ -26,24 +26,24 @@
   >;
 }
 
-/** A run that was granted. */
+/** A run that was granted and has not ended. */
 interface GrantedRun {
   readonly digest: crashRecords.WorkDigest;
   readonly server: registry.LifetimeKey;
-  /** Until when it counts, in monotonic ms. */
+  /** Monotonic time at which the grant expires, in ms. */
   readonly expiresAtMs: number;
 }
 
 /**
- * Grants runs of work under which servers ended, while this store leads. Copies
- * that come to several boxes at once so end no more servers in sum than one.
+ * Grants runs of work that crashed servers, while this store box leads. Copies of
+ * the same work on several boxes thus share one limit of crashes.
  *
- * A server has one such run at a time: work that ran beside what ended its server
- * would lose the next one to it as well, and could not be told from it.
+ * Each server gets one such run at a time where possible, so that a crash can be
+ * attributed to the work that caused it.
  */
 export class GrantService {
   readonly #options: GrantServiceOptions;
-  /** Runs under way by their names, oldest first. */
+  /** Active runs by id, oldest first. */
   readonly #grants = new Map<string, GrantedRun>();
   #term = 0;
   #termStartMs = 0;
@@ -70,11 +70,11 @@
     const record = table.get(digest) ?? request.record;
     const reply = this.#decide(record, request);
     if (reply.kind === "granted") {
-      const untilMs = clock.getMonotonicMs() + GRANT_TIMEOUT_MS;
+      const expiresAtMs = clock.getMonotonicMs() + GRANT_TIMEOUT_MS;
       this.#grants.set(request.run, {
         digest,
         server: reply.server,
-        expiresAtMs: untilMs,
+        expiresAtMs,
       });
     }
     const level = reply.kind === "busy" ? "debug" : "info";
@@ -97,11 +97,11 @@
       crashRecords.countConsecutiveCrashes(record);
     if (remaining <= 0) return { kind: "barred", record };
     const runs = this.#listActiveRuns();
-    // The question is repeated where its answer was lost on the way.
+    // The client repeats a request whose reply was lost.
     const known = this.#grants.get(run);
     if (known !== undefined) return { kind: "granted", server: known.server };
-    // One after the other: runs that began before the first server had ended are
-    // not known here, and end further ones.
+    // Serializes runs of the same work. Runs that began before its first crash
+    // are unknown here and may crash further servers.
     const isActive = runs.some(({ digest }) => digest === record.digest);
     if (isActive) return { kind: "busy" };
     const termAgeMs = this.#options.clock.getMonotonicMs() - this.#termStartMs;
@@ -118,8 +118,8 @@
 
   #listActiveRuns(): readonly GrantedRun[] {
     const nowMs = this.#options.clock.getMonotonicMs();
-    for (const [run, { expiresAtMs: untilMs }] of this.#grants) {
-      if (untilMs <= nowMs) this.#grants.delete(run);
+    for (const [run, { expiresAtMs }] of this.#grants) {
+      if (expiresAtMs <= nowMs) this.#grants.delete(run);
     }
     return [...this.#grants.values()];
   }
@@ -132,7 +132,7 @@
     return { kind: "done" };
   }
 
-  /** What another leader granted meanwhile is not known here. */
+  /** Discards all grants when this replica becomes leader in a new term. */
   updateTerm(): void {
     const { group, clock } = this.#options;
     const term = group.getTerm();
--- a/src/crash_guard/grant_service_test.ts
+++ b/src/crash_guard/grant_service_test.ts
@@ -2,7 +2,7 @@
 import * as clocks from "../clock/mod.ts";
 import * as crashRecords from "../crash_record/mod.ts";
 import * as logs from "../log/mod.ts";
-import * as grantDesks from "./grant_service.ts";
+import * as grantServices from "./grant_service.ts";
 import * as protocol from "./protocol.ts";
 
 const SERVERS = ["s-1", "s-2", "s-3", "s-4"];
@@ -24,15 +24,15 @@
   };
 }
 
-// Three copies of work that ends servers came to three boxes within some ms. Each
-// box knew of one server that had ended, and each sent its copy on.
-describe("grants of runs of work that ends servers", () => {
+// Guards against copies of crashing work on several boxes that each crash servers
+// up to the limit.
+describe("GrantService", () => {
   let clock = new clocks.FakeClock(1_000);
   let methods = new Map<string, Handler>();
   let table = new crashRecords.CrashTable();
   let term = 1;
   let hasAuthority = true;
-  let service: grantDesks.GrantService;
+  let service: grantServices.GrantService;
 
   beforeEach(() => {
     clock = new clocks.FakeClock(1_000);
@@ -40,7 +40,7 @@
     table = new crashRecords.CrashTable();
     term = 1;
     hasAuthority = true;
-    service = new grantDesks.GrantService({
+    service = new grantServices.GrantService({
       clock,
       log: new logs.Log("box", "error", () => {}),
       server: {
@@ -77,20 +77,20 @@
     methods.get(protocol.METHODS.endGrant)?.(request);
   }
 
-  it("grants one run at a time", () => {
+  it("grants one run of the same work at a time", () => {
     chai.expect(getReplyKind("r1", ["i-1"])).to.equal("granted");
     chai.expect(getReplyKind("r2", ["i-1"])).to.equal("busy");
     endGrant("r1", createRecord(["i-1"]));
     chai.expect(getReplyKind("r2", ["i-1"])).to.equal("granted");
   });
 
-  it("grants a run again whose first answer was lost", () => {
+  it("repeats a grant whose reply was lost", () => {
     chai.expect(getReplyKind("r1", ["i-1"])).to.equal("granted");
     chai.expect(getReplyKind("r1", ["i-1"])).to.equal("granted");
     chai.expect(getReplyKind("r2", ["i-1"])).to.equal("busy");
   });
 
-  it("counts what ended meanwhile, whoever asks and whatever it knows", () => {
+  it("counts crashes that the asking box does not know of", () => {
     chai.expect(getReplyKind("r1", ["i-1"])).to.equal("granted");
     endGrant("r1", createRecord(["i-1", "i-2"]));
     chai.expect(getReplyKind("r2", ["i-1"])).to.equal("granted");
@@ -99,7 +99,7 @@
     chai.expect(getReplyKind("r4", ["i-1"])).to.equal("barred");
   });
 
-  it("frees work again that ended well", () => {
+  it("grants further runs of work whose crashes were cleared", () => {
     chai.expect(getReplyKind("r1", ["i-1", "i-2"])).to.equal("granted");
     endGrant("r1", createRecord(["i-1", "i-2"], ["i-1", "i-2"]));
     for (const run of ["r2", "r3", "r4"]) {
@@ -108,14 +108,14 @@
     }
   });
 
-  it("waits no longer than its time for a run whose box is gone", () => {
+  it("expires the grant of a box that reports no end", () => {
     chai.expect(getReplyKind("r1", ["i-1", "i-2"])).to.equal("granted");
     chai.expect(getReplyKind("r2", ["i-1", "i-2"])).to.equal("busy");
     clock.extendBy(10_001);
     chai.expect(getReplyKind("r2", ["i-1", "i-2"])).to.equal("granted");
   });
 
-  it("grants no last run early in a reign, as the leader before may have", () => {
+  it("grants no last run early in a term, as the previous leader may have", () => {
     chai.expect(getReplyKind("r1", ["i-1", "i-2"])).to.equal("granted");
     term = 2;
     service.updateTerm();
@@ -124,7 +124,7 @@
     chai.expect(getReplyKind("r2", ["i-1", "i-2"])).to.equal("granted");
   });
 
-  it("gives each run a server of its own, as one may end what runs beside it", () => {
+  it("grants each run its own server unless sharing is allowed", () => {
     const other = { ...createRecord(["i-1"]), digest: "e" };
     const third = { ...createRecord(["i-1"]), digest: "f" };
     chai.expect(askGrant(createRecord(["i-1"]), "r1", ["s-1", "s-2"])).to.deep
@@ -142,7 +142,7 @@
     chai.expect(askGrant(third, "r3", ["s-1", "s-2"]).kind).to.equal("granted");
   });
 
-  it("grants nothing while another store may lead", () => {
+  it("grants nothing while another store box may lead", () => {
     hasAuthority = false;
     chai.expect(getReplyKind("r1", ["i-1"])).to.equal("notLeader");
   });
--- a/src/crash_guard/mod.ts
+++ b/src/crash_guard/mod.ts
@@ -1,12 +1,12 @@
 /**
- * Finds out which work ends the servers that run it, tells the fleet, and bounds
- * how many more it may end.
+ * Detects work that crashes the backend servers running it, shares this with the
+ * other boxes, and limits how many more servers it may crash.
  *
  * @example
  * ```ts
  * import * as crashGuards from "../crash_guard/mod.ts";
  * const guard = new crashGuards.CrashGuard(options);
- * guard.judge(() => digest); // { kind: "free" }
+ * guard.decideRun(() => digest); // { kind: "free" }
  * ```
  * @module
  */
--- a/src/crash_guard/protocol.ts
+++ b/src/crash_guard/protocol.ts
@@ -2,40 +2,40 @@
 import type * as registry from "../registry/mod.ts";
 import type * as replicaGroups from "../replica_group/mod.ts";
 
-/** Names of the calls to the leader of the stores. */
+/** RPC method names of the calls to the store boxes' leader. */
 export const METHODS = {
   askGrant: "crash.askGrant",
   endGrant: "crash.endGrant",
 } as const;
 
-/** Asks whether work under which servers ended may run once more. */
+/** Asks for one more run of work that crashed servers. */
 export interface GrantRequest {
   readonly record: crashRecords.CrashRecord;
-  /** Names the run, another one each time. */
+  /** Unique id of the run; repeated only by retries of the same request. */
   readonly run: string;
-  /** Servers that may run it, best first. */
+  /** Candidate servers in order of preference. */
   readonly servers: readonly registry.LifetimeKey[];
-  /** Whether it may run beside another such run where no server is free of one. */
+  /** Whether it may share a server with another granted run if none is free. */
   readonly mayShare: boolean;
 }
 
-/** Says that a run has ended, and what is known of its work then. */
+/** Reports that a granted run has ended. */
 export interface GrantEnd {
   readonly run: string;
-  /** Told with the end, as the leader may hear of it later by the news. */
+  /** Current record of the work, which may not have reached the leader yet. */
   readonly record: crashRecords.CrashRecord | undefined;
 }
 
-/** The leader's answer. */
+/** Reply to a `GrantRequest`. */
 export type GrantReply =
   | replicaGroups.NotLeader
   | { readonly kind: "granted"; readonly server: registry.LifetimeKey }
-  /** Another run of it is under way, or each server has such a run. */
+  /** Retry later: another run of the work is active, or no server is free. */
   | { readonly kind: "busy" }
-  /** As many servers ended as may; what the leader knows of it. */
+  /** The work reached the limit of crashes; contains the leader's record. */
   | { readonly kind: "barred"; readonly record: crashRecords.CrashRecord };
 
-/** The leader's answer to the end of a run. */
+/** Reply to a `GrantEnd`. */
 export type GrantEndReply =
   | replicaGroups.NotLeader
   | { readonly kind: "done" };
--- a/src/crash_record/crash_record.ts
+++ b/src/crash_record/crash_record.ts
@@ -1,35 +1,33 @@
 import type * as registry from "../registry/mod.ts";
 import type * as workDigests from "./work_digest.ts";
 
-/** Lifetimes that a record holds at most; three are enough to hold work back. */
+/** Most server lifetimes that a record keeps. */
 const MAX_LIFETIMES = 16;
 
 /**
- * What the fleet knows of one piece of work under which servers ended. Records of
- * one digest merge in any order, however often: what ended and what was cleared
- * only grow.
+ * Servers that crashed while they ran one piece of work. The sets of ended and
+ * cleared lifetimes only grow, so records of one digest merge in any order.
  */
 export interface CrashRecord {
   readonly digest: workDigests.WorkDigest;
-  /** Client account that sent it; empty where none did. */
+  /** Client account that sent the work; empty for requests without one. */
   readonly account: string;
   readonly service: string;
-  /** Front of the path, for operators. */
+  /** Request path, truncated for display to operators. */
   readonly target: string;
-  /** Starts of servers that ended while they ran it, sorted. */
+  /** Lifetimes of servers that crashed while they ran the work, sorted. */
   readonly ended: readonly registry.LifetimeKey[];
-  /** Those of them after which a server ran it to its end, sorted. */
+  /** Subset of `ended` that a later successful run cleared, sorted. */
   readonly cleared: readonly registry.LifetimeKey[];
-  /** When a server ended under it last, in wall ms of the box that saw it. */
+  /** Wall time of the latest crash on the box that detected it, in ms. */
   readonly notedAtMs: number;
 }
 
 /**
- * Counts the servers that ended under the work in a row, with no end of a run
- * between them.
+ * Counts the servers that the work crashed since its last successful run.
  *
- * @param record What is known; undefined for nothing.
- * @returns Their number.
+ * @param record The record of the work, or undefined if there is none.
+ * @returns The number of servers.
  */
 export function countConsecutiveCrashes(
   record: CrashRecord | undefined,
@@ -40,19 +38,19 @@
 }
 
 /**
- * Joins two records of one piece of work.
+ * Merges two records of one piece of work. The operation is commutative,
+ * associative and idempotent.
  *
- * @param left One record.
- * @param right Another one.
- * @returns What both together say.
+ * @param left A record.
+ * @param right Another record with the same digest.
+ * @returns The merged record.
  */
 export function mergeRecords(
   left: CrashRecord,
   right: CrashRecord,
 ): CrashRecord {
-  // The last ones by name stay, cleared or not: a choice that is the same in any
-  // order of merges. By what is cleared, a mark that was dropped would be lost,
-  // and its server counted again.
+  // Truncates by key alone so that merge order doesn't matter. Dropping cleared
+  // lifetimes first could lose a cleared mark and count its server again.
   const ended = mergeSorted(left.ended, right.ended).slice(-MAX_LIFETIMES);
   const cleared = mergeSorted(left.cleared, right.cleared);
   return {
@@ -64,10 +62,10 @@
 }
 
 /**
- * Describes what a record says, but for when.
+ * Creates a string that identifies the content of a record except its time.
  *
  * @param record The record.
- * @returns A line; two records with the same line say the same.
+ * @returns A line; records with equal content have equal lines.
  */
 export function createRecordKey(record: CrashRecord): string {
   const { digest, ended, cleared } = record;
--- a/src/crash_record/crash_record_test.ts
+++ b/src/crash_record/crash_record_test.ts
@@ -2,7 +2,7 @@
 import * as fastCheck from "fast-check";
 import * as crashRecords from "./crash_record.ts";
 import * as crashTables from "./crash_table.ts";
-import * as decideRun from "./decide_run.ts";
+import * as runDecisions from "./decide_run.ts";
 import * as workDigests from "./work_digest.ts";
 
 const RUNS = 200;
@@ -36,8 +36,8 @@
   return createRecord(names, { cleared: known });
 });
 
-describe("records of work that ends servers", () => {
-  it("merge to the same in any order, however often", () => {
+describe("crash records", () => {
+  it("merge to the same result in any order and when repeated", () => {
     fastCheck.assert(
       fastCheck.property(RECORDS, RECORDS, RECORDS, (a, b, c) => {
         const { mergeRecords } = crashRecords;
@@ -52,14 +52,14 @@
     );
   });
 
-  it("count what ended since a run ended well", () => {
+  it("count only the crashes that no successful run cleared", () => {
     const record = createRecord(["i-1", "i-2"], { cleared: ["i-1"] });
     chai.expect(crashRecords.countConsecutiveCrashes(record)).to.equal(1);
     chai.expect(crashRecords.countConsecutiveCrashes(undefined)).to.equal(0);
   });
 });
 
-describe("the digest of a piece of work", () => {
+describe("work digest", () => {
   const work: workDigests.Work = {
     sender: { kind: "unasked" },
     method: "POST",
@@ -68,7 +68,7 @@
     body: Buffer.from("body"),
   };
 
-  it("is the same for the same work", () => {
+  it("is equal for equal work", () => {
     chai.expect(workDigests.computeWorkDigest({ ...work })).to.equal(
       workDigests.computeWorkDigest(work),
     );
@@ -79,42 +79,44 @@
     "another path": { target: "/x?y=2" },
     "another method": { method: "GET" },
     "another host": { host: "b.example" },
-    "no account asked for": { sender: { kind: "anonymous" } },
-    "an account": { sender: { kind: "account", name: "n", priority: 1 } },
+    "an anonymous sender": { sender: { kind: "anonymous" } },
+    "a client account": { sender: { kind: "account", name: "n", priority: 1 } },
   };
   for (const [name, changes] of Object.entries(others)) {
-    it(`is another one with ${name}`, () => {
+    it(`differs for ${name}`, () => {
       chai.expect(workDigests.computeWorkDigest({ ...work, ...changes })).not
         .to.equal(workDigests.computeWorkDigest(work));
     });
   }
 });
 
-describe("judging work by what ended under it", () => {
-  it("lets it go on after one server, after a pause after two, never after three", () => {
+describe("run decisions", () => {
+  it("allow a run after one crash, after a pause for two, and not after three", () => {
     const two = createRecord(["i-1", "i-2"]);
-    chai.expect(decideRun.decideRun(undefined, 0).kind).to.equal("free");
-    chai.expect(decideRun.decideRun(createRecord(["i-1"]), 0).kind).to.equal(
+    chai.expect(runDecisions.decideRun(undefined, 0).kind).to.equal("free");
+    chai.expect(runDecisions.decideRun(createRecord(["i-1"]), 0).kind).to.equal(
       "suspect",
     );
-    chai.expect(decideRun.decideRun(two, 1_000)).to.deep.equal({
+    chai.expect(runDecisions.decideRun(two, 1_000)).to.deep.equal({
       kind: "heldBack",
       ended: 2,
       returnMs: 4_000,
     });
-    chai.expect(decideRun.decideRun(two, 5_000).kind).to.equal("suspect");
+    chai.expect(runDecisions.decideRun(two, 5_000).kind).to.equal("suspect");
     const three = createRecord(["i-1", "i-2", "i-3"]);
-    chai.expect(decideRun.decideRun(three, DAY_MS).kind).to.equal("heldBack");
+    chai.expect(runDecisions.decideRun(three, DAY_MS).kind).to.equal(
+      "heldBack",
+    );
   });
 
-  it("frees work that ended well once", () => {
+  it("allow work whose crashes were cleared", () => {
     const record = createRecord(["i-1", "i-2"], { cleared: ["i-1", "i-2"] });
-    chai.expect(decideRun.decideRun(record, 0).kind).to.equal("free");
+    chai.expect(runDecisions.decideRun(record, 0).kind).to.equal("free");
   });
 });
 
-describe("the table of work that ends servers", () => {
-  it("says what was news", () => {
+describe("crash table", () => {
+  it("reports whether a merge added information", () => {
     const table = new crashTables.CrashTable();
     chai.expect(table.merge(createRecord(["i-1"]), 0)).to.equal(true);
     chai.expect(table.merge(createRecord(["i-1"]), 0)).to.equal(false);
@@ -122,7 +124,7 @@
     chai.expect(table.get("d")?.ended).to.deep.equal(["i-1", "i-2"]);
   });
 
-  it("describes the same content alike, whatever came first", () => {
+  it("has the same content hash whatever the order of merges", () => {
     const [left, right] = [
       new crashTables.CrashTable(),
       new crashTables.CrashTable(),
@@ -136,7 +138,7 @@
     chai.expect(left.getContentHash()).not.to.equal(right.getContentHash());
   });
 
-  it("keeps work for a day, cleared work for a minute", () => {
+  it("keeps a record for a day and a cleared one for a minute", () => {
     const table = new crashTables.CrashTable();
     table.merge(createRecord(["i-1"]), 0);
     const cleared = { digest: "e", cleared: ["i-1"] };
@@ -148,14 +150,14 @@
     chai.expect(table.merge(createRecord(["i-1"]), DAY_MS + 1)).to.equal(false);
   });
 
-  it("does not believe a clock that is far ahead", () => {
+  it("limits times from a clock that is far ahead", () => {
     const table = new crashTables.CrashTable();
     table.merge(createRecord(["i-1"], { notedAtMs: 10 * DAY_MS }), 0);
     table.removeExpired(DAY_MS + 60_001);
     chai.expect(table.isEmpty()).to.equal(true);
   });
 
-  it("lets no account push out the work of another one", () => {
+  it("does not evict records of another account", () => {
     const table = new crashTables.CrashTable();
     table.merge(createRecord(["i-1"], { digest: "own", account: "b" }), 0);
     for (let index = 0; index < 600; index += 1) {
@@ -167,7 +169,7 @@
     chai.expect(table.get("d-0")).to.equal(undefined);
   });
 
-  it("drops work with the fewest servers first", () => {
+  it("evicts the record with the fewest crashes first", () => {
     const table = new crashTables.CrashTable();
     table.merge(createRecord(["i-1", "i-2", "i-3"], { digest: "bad" }), 0);
     for (let index = 0; index < 600; index += 1) {
--- a/src/crash_record/crash_table.ts
+++ b/src/crash_record/crash_table.ts
@@ -3,21 +3,20 @@
 import type * as workDigests from "./work_digest.ts";
 
 /**
- * How long work under which servers ended is remembered after the last one, in
- * ms: a day, so that one piece of work ends three servers a day at most, and one
- * whose fault was mended meanwhile is served again.
+ * Retention of a record after its latest crash, in ms. Limits one piece of work
+ * to a few crashes a day, and unblocks it once its cause may have been fixed.
  */
 const RETENTION_MS = 24 * 60 * 60 * 1_000;
-/** The same for work that ran to its end since; news of it may come late. */
+/** Retention of a cleared record, in ms, so that delayed updates still merge. */
 const CLEARED_RETENTION_MS = 60_000;
-/** How far ahead the clock of another box may be, in ms; more is not believed. */
+/** Largest accepted lead of another box's wall clock, in ms. */
 const MAX_CLOCK_SKEW_MS = 60_000;
-/** Records of one account at most, so that none pushes out those of others. */
+/** Most records per client account, so that none evicts those of others. */
 const MAX_ACCOUNT_RECORDS = 512;
-/** Records at most: some 250 bytes each, 1 MB in all. */
+/** Most records in total; bounds the table to about 1 MB. */
 const MAX_RECORDS = 4_096;
 
-/** Work under which servers ended, bounded in number and age. */
+/** Crash records by work digest, bounded in number and age. */
 export class CrashTable {
   readonly #records = new Map<
     workDigests.WorkDigest,
@@ -35,12 +34,12 @@
     return this.#records.get(digest);
   }
 
-  /** All records, those of work that was cleared among them. */
+  /** Returns all records, including cleared ones. */
   list(): readonly crashRecords.CrashRecord[] {
     return [...this.#records.values()];
   }
 
-  /** Tells whether a record says something that is not known here. */
+  /** Reports whether merging a record would change the table. */
   hasChanges(record: crashRecords.CrashRecord, nowMs: number): boolean {
     if (isExpired(record, nowMs)) return false;
     const known = this.#records.get(record.digest);
@@ -51,11 +50,11 @@
   }
 
   /**
-   * Takes what another box or the log knows.
+   * Merges a record, and evicts another one if the table exceeds its limits.
    *
-   * @param record What is known of one piece of work.
-   * @param nowMs Wall time, in ms.
-   * @returns Whether something was not known before.
+   * @param record The record to merge.
+   * @param nowMs Current wall time, in ms.
+   * @returns Whether the table now holds new information about the work.
    */
   merge(record: crashRecords.CrashRecord, nowMs: number): boolean {
     if (!this.hasChanges(record, nowMs)) return false;
@@ -69,21 +68,21 @@
     return this.#records.has(record.digest);
   }
 
-  /** Forgets what is too old. */
+  /** Removes expired records. `nowMs` is the current wall time. */
   removeExpired(nowMs: number): void {
     for (const [digest, record] of this.#records) {
       if (isExpired(record, nowMs)) this.#remove(digest);
     }
   }
 
-  /** Takes saved records in the place of all. */
+  /** Replaces all records by those of a snapshot. */
   restore(records: readonly crashRecords.CrashRecord[]): void {
     this.#records.clear();
     for (const record of records) this.#records.set(record.digest, record);
     this.#contentHash = undefined;
   }
 
-  /** Describes all records; tables with the same description hold the same. */
+  /** Returns a hash of all records except their times; empty if none exist. */
   getContentHash(): string {
     this.#contentHash ??= this.#computeContentHash();
     return this.#contentHash;
@@ -105,7 +104,7 @@
     if (this.#records.size > MAX_RECORDS) this.#evictOne(this.list());
   }
 
-  /** Drops the one with the fewest servers, the oldest among such. */
+  /** Evicts the record with the fewest crashes, and of those the oldest. */
   #evictOne(records: readonly crashRecords.CrashRecord[]): void {
     const [evicted] = records.toSorted((a, b) =>
       crashRecords.countConsecutiveCrashes(a) -
--- a/src/crash_record/decide_run.ts
+++ b/src/crash_record/decide_run.ts
@@ -1,29 +1,27 @@
 import * as crashRecords from "./crash_record.ts";
 
 /**
- * Servers that one piece of work may end in a row. Two may be chance: work that
- * runs beside what ends a server loses its own server too, and its next one if
- * both go there again.
+ * Consecutive server crashes after which work is blocked. Work that merely shared
+ * a server with crashing work can see two crashes by coincidence.
  */
 export const MAX_CONSECUTIVE_CRASHES = 3;
-/** Servers after which work waits before it may end another one. */
+/** Consecutive crashes after which work must pause before its next run. */
 const CRASHES_BEFORE_PAUSE = 2;
 /**
- * Pause before the last run that is allowed, in ms: longer than a server takes
- * to be back (3.2 s seen), so that work does not end all servers of a service
- * before the first of them is back.
+ * Pause before the last allowed run, in ms. Longer than a server restart, so
+ * that work can't take down all servers of a service at once.
  */
 const PAUSE_MS = 5_000;
-/** When to come back with work that is held back, in ms. */
+/** Retry delay that callers of blocked work are given, in ms. */
 const BLOCKED_RETURN_MS = 60_000;
 
-/** What may become of a piece of work. */
+/** Whether a piece of work may run. */
 export type RunDecision =
-  /** Nothing is known against it. */
+  /** No uncleared crashes are known; the work runs without a grant. */
   | { readonly kind: "free" }
-  /** Servers ended under it: one run more, if the leader of the stores agrees. */
+  /** The work crashed servers and needs a grant from the store boxes' leader. */
   | { readonly kind: "suspect"; readonly ended: number }
-  /** It runs nowhere until then; `returnMs` from now. */
+  /** The work must not run; the caller may retry after `returnMs`. */
   | {
     readonly kind: "heldBack";
     readonly ended: number;
@@ -33,11 +31,11 @@
 const ALLOWED: RunDecision = { kind: "free" };
 
 /**
- * Judges work by what ended under it.
+ * Decides from its crash record whether a piece of work may run.
  *
- * @param record What is known; undefined for nothing.
- * @param sinceMs Time since the last server was known to have ended, in ms.
- * @returns What may become of it.
+ * @param record The record of the work, or undefined if there is none.
+ * @param sinceMs Time since the latest crash, in ms.
+ * @returns The decision.
  */
 export function decideRun(
   record: crashRecords.CrashRecord | undefined,
--- a/src/crash_record/mod.ts
+++ b/src/crash_record/mod.ts
@@ -1,11 +1,11 @@
 /**
- * Which work servers ended under, and what may become of it.
+ * Records of work that crashed backend servers, and decisions on running it.
  *
  * @example
  * ```ts
  * import * as crashRecords from "../crash_record/mod.ts";
  * const table = new crashRecords.CrashTable();
- * crashRecords.judgeWork(table.get(digest), 0); // { kind: "free" }
+ * crashRecords.decideRun(table.get(digest), 0); // { kind: "free" }
  * ```
  * @module
  */
--- a/src/crash_record/work_digest.ts
+++ b/src/crash_record/work_digest.ts
@@ -1,28 +1,29 @@
 import * as crypto from "node:crypto";
 import * as accounts from "../client_account/mod.ts";
 
-/** Tells one piece of work from all others, whichever request carries it. */
+/** Identifies a piece of work across the requests that repeat it. */
 export type WorkDigest = string;
 
-/** What makes two requests the same work. */
+/** Request properties that identify a piece of work. */
 export interface Work {
   readonly sender: accounts.Sender;
   readonly method: string;
-  /** Host that the caller named. */
+  /** Host from the request. */
   readonly host: string;
-  /** Path with its query. */
+  /** Path with query. */
   readonly target: string;
   readonly body: Buffer;
 }
 
-/** Hexadecimal digits of a digest: 128 bits, which nobody can make collide. */
+/** Hexadecimal digits of a digest; 128 bits resist deliberate collisions. */
 const DIGEST_DIGITS = 32;
 
 /**
- * Computes the digest of a piece of work. The account is part of it, so that no
- * account can have the work of another one held back.
+ * Computes the digest of a piece of work. It covers the client account, so that
+ * no account can block the work of another. It excludes headers, which differ
+ * between attempts.
  *
- * @param work The work; its headers are none of it, as each try has its own.
+ * @param work The work.
  * @returns The digest, in hexadecimal.
  */
 export function computeWorkDigest(work: Work): WorkDigest {
--- a/src/registry/lifetime.ts
+++ b/src/registry/lifetime.ts
@@ -1,36 +1,35 @@
-/** One start of a backend server. */
+/** One lifetime of a backend server's process, from its start to its end. */
 export interface Lifetime {
-  /** Names the server; another start may bear the same name. */
+  /** Server id; a restarted server may keep it. */
   readonly id: string;
   /**
-   * Wall time of the start by the server's own clock, in ms; undefined where
-   * servers tell none, and each start has an id of its own.
+   * Start time by the server's own wall clock, in ms; undefined if the server
+   * reports none and uses a new id for each start.
    */
   readonly born: number | undefined;
 }
 
-/** Tells one start of a server from all others; for maps and sets. */
+/** Identifies a lifetime, for use in maps and sets. */
 export type LifetimeKey = string;
 
-/** How a lifetime stands to another one of the same id. */
+/** Order of a lifetime relative to another one with the same id. */
 export type LifetimeOrder = "former" | "same" | "later";
 
 /**
- * How far the start of a server may lie ahead of a box's own wall clock, in ms.
- * Clocks of boxes and servers may differ by seconds; a start taken from further
- * ahead would hide every true one until then.
+ * Largest accepted lead of a server's start time over this box's wall clock, in
+ * ms. A start time further in the future would hide all restarts until then.
  */
 const MAX_CLOCK_SKEW_MS = 60_000;
-/** The same for an id that hides no other start, in ms. */
+/** The same for an id without a known lifetime, which hides no other, in ms. */
 const MAX_UNKNOWN_CLOCK_SKEW_MS = 1_800_000;
 
 /**
- * Says which of two starts of one server came first. A start that tells its
- * time is later than one that tells none.
+ * Compares two lifetimes of one server by their start times. A lifetime with a
+ * start time is later than one without.
  *
- * @param lifetime The lifetime to place.
- * @param known The one that it is placed against.
- * @returns How the first stands to the second.
+ * @param lifetime The lifetime to compare.
+ * @param known The lifetime to compare it with.
+ * @returns The order of the first relative to the second.
  */
 export function compareLifetimes(
   lifetime: Pick<Lifetime, "born">,
@@ -43,8 +42,8 @@
 }
 
 /**
- * Makes the key of a lifetime. An id holds no space, so no two lifetimes share
- * a key; without a time of start the id alone is the key.
+ * Creates the key of a lifetime. Ids contain no space, so keys are unique.
+ * Without a start time, the key is the id alone.
  *
  * @param lifetime The lifetime.
  * @returns Its key.
@@ -54,10 +53,10 @@
 }
 
 /**
- * Gives the id of the server that a key is of.
+ * Returns the server id in the key of a lifetime.
  *
- * @param lifetime Key of one of its starts.
- * @returns Its id.
+ * @param lifetime The key.
+ * @returns The server id.
  */
 export function getServerId(lifetime: LifetimeKey): string {
   const [id = lifetime] = lifetime.split(" ");
@@ -65,15 +64,14 @@
 }
 
 /**
- * Tells whether a start can be true by a box's own clock. The start that is known
- * is: a box whose clock was set back by minutes would refuse all servers
- * else. One that would replace a known start must fit the clock closely, one of an
- * id that nobody heard of only roughly.
+ * Checks a reported start time against this box's clock. The known start time is
+ * always accepted, so that a clock that was set back doesn't refuse running
+ * servers. For an id without a known lifetime the limit is wider.
  *
- * @param lifetime What a server says of its start.
- * @param known The latest start known under the same id, if any.
- * @param wallMs Wall time of the box, in ms.
- * @returns Whether to take it.
+ * @param lifetime The reported start time.
+ * @param known The latest known lifetime with the same id, if any.
+ * @param wallMs Current wall time of this box, in ms.
+ * @returns Whether the start time is plausible.
  */
 export function isPlausibleStart(
   lifetime: Pick<Lifetime, "born">,
--- a/src/registry/mod.ts
+++ b/src/registry/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Backend servers that register by heartbeats.
+ * Registry of backend servers, kept up to date by their heartbeats.
  *
  * @example
  * ```ts
--- a/src/registry/refusal_recorder.ts
+++ b/src/registry/refusal_recorder.ts
@@ -1,36 +1,36 @@
 import type * as clocks from "../clock/mod.ts";
 import type * as logs from "../log/mod.ts";
 
-/** Why a report names no server to use. */
+/** Why a report was refused. */
 export type RefusalReason =
-  /** Its bytes can't be read. */
+  /** It can't be parsed. */
   | "bytes"
-  /** A field is missing, or of another type. */
+  /** A field is missing or has the wrong type. */
   | "field"
-  /** Its state is none that is known. */
+  /** Its state is unknown. */
   | "state"
-  /** Its service is in no configuration, or not the one of this start. */
+  /** Its service isn't configured, or differs from earlier reports. */
   | "service"
-  /** It names another address than this start has. */
+  /** Its address differs from earlier reports of the same lifetime. */
   | "address"
-  /** Its start lies too far ahead. */
+  /** Its start time is too far in the future. */
   | "start";
 
-/** A report that was not taken. */
+/** A refused report. */
 export interface ReportRefusal {
-  /** Id under which it came, as far as that can be told. */
+  /** Server id from the report, as far as it is known. */
   readonly server: string;
   readonly reason: RefusalReason;
-  /** Field at fault; empty where the whole can't be read. */
+  /** Invalid field; empty if the report can't be parsed. */
   readonly field: string;
 }
 
-/** A report that was read, or why it can't be. */
+/** A parsed report, or why it was refused. */
 export type ParsedReport<T> =
   | { readonly kind: "ok"; readonly value: T }
   | { readonly kind: "refused"; readonly refusal: ReportRefusal };
 
-/** What the note of refused reports needs. */
+/** Dependencies of a `RefusalRecorder`. */
 export interface RefusalRecorderOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
@@ -39,17 +39,14 @@
   };
 }
 
-/** Time in which a server's fault is logged once, in ms. */
+/** Interval in which equal refusals are logged once, in ms. */
 const LOG_INTERVAL_MS = 10_000;
-/** Faults that are logged in that time at most, whatever bears them. */
+/** Most refusals that are logged in that interval. */
 const MAX_LOGGED_REFUSALS = 32;
-/** Characters of an id or a field in a log line at most. */
+/** Most characters of an id or a field in a log line. */
 const MAX_TEXT_LENGTH = 80;
 
-/**
- * Counts reports that were not taken, and logs them within bounds: another
- * writer may send any number under any name.
- */
+/** Counts refused reports and logs them at a limited rate. */
 export class RefusalRecorder {
   readonly #options: RefusalRecorderOptions;
   readonly #logged = new Set<string>();
@@ -59,7 +56,7 @@
     this.#options = options;
   }
 
-  /** Counts a refused report, and logs it where its fault is news. */
+  /** Counts a refused report, and logs it unless it repeats a recent one. */
   record({ server, reason, field }: ReportRefusal): void {
     const { clock, log, metrics } = this.#options;
     metrics.countRefusedReport(reason);
--- a/src/registry/registered_server.ts
+++ b/src/registry/registered_server.ts
@@ -1,38 +1,38 @@
 import * as lifetimes from "./lifetime.ts";
 
-/** A model that an engine holds. */
+/** A model that an engine has loaded. */
 export interface LoadedModel {
   readonly name: string;
   readonly version: number;
 }
 
-/** What a backend server says of itself. */
+/** Phase that a backend server reports. */
 export type ServerPhase = "ready" | "draining" | "gone";
 
-/** One start of a backend server, as it tells of itself. */
+/** Report of a backend server about one of its lifetimes. */
 export interface ServerReport extends lifetimes.Lifetime {
   readonly service: string;
   readonly address: string;
   readonly port: number;
   readonly failureDomain: string;
-  /** Requests that it works on at once. */
+  /** Requests that it can process concurrently. */
   readonly slots: number;
   readonly phase: ServerPhase;
-  /** Whether it is cheaper and may be taken away at short notice. */
+  /** Whether it runs on spot capacity, which may be revoked at short notice. */
   readonly isSpot: boolean;
-  /** Time until it is taken away when it told so, in ms; undefined if unknown. */
+  /** Announced time until its capacity is revoked, in ms, if known. */
   readonly leavesMs: number | undefined;
-  /** How much longer it stays slow from its start, in ms. */
+  /** Remaining warm-up time, in which it is slower, in ms. */
   readonly coldMs: number;
-  /** Rises with each heartbeat of this start. */
+  /** Increases with each heartbeat of this lifetime. */
   readonly sequence: number;
-  /** Empty for servers that are no engines. */
+  /** Loaded models; empty for servers that aren't engines. */
   readonly models: readonly LoadedModel[];
 }
 
-/** One start of a backend server, as this box knows it. */
+/** A server report with the key of its lifetime. */
 export interface RegisteredServer extends ServerReport {
-  /** Key of this start, made once as every decision looks it up. */
+  /** Precomputed key of the lifetime. */
   readonly lifetime: lifetimes.LifetimeKey;
 }
 
@@ -42,19 +42,18 @@
   gone: 2,
 };
 
-/** Sequence of a report made without a heartbeat; any heartbeat is newer. */
+/** Sequence of a report not made from a heartbeat; any heartbeat is newer. */
 const NO_SEQUENCE = -1;
 
 /**
- * Gives a report the key of its lifetime.
+ * Creates a registered server from a report.
  *
  * @param report The report.
- * @returns The server as this box knows it.
+ * @returns The report with the key of its lifetime.
  */
 export function createRegisteredServer(report: ServerReport): RegisteredServer {
   const lifetime = lifetimes.createLifetimeKey(report);
-  // Field by field: with copies by spread, a choice among 1,800 servers took
-  // 495 us instead of 380 (`npm run bench -- load`).
+  // Lists the fields, as objects made by spread slow down server selection.
   return {
     id: report.id,
     born: report.born,
@@ -74,10 +73,11 @@
 }
 
 /**
- * Makes the report of a server that left and was never heard before.
+ * Creates the report of a server that is gone and about which nothing else is
+ * known.
  *
- * @param lifetime The start that has gone.
- * @returns A report that only says so.
+ * @param lifetime The lifetime that ended.
+ * @returns A report in phase `gone` with all other fields empty.
  */
 export function createGoneReport(
   { id, born }: lifetimes.Lifetime,
@@ -100,12 +100,12 @@
 }
 
 /**
- * Makes the report of a start that was learned of without a heartbeat, from
- * what is known of the server before. Its own heartbeats are newer.
+ * Creates the report of a restarted server whose heartbeat has not arrived yet.
+ * Any heartbeat of the new lifetime is newer.
  *
- * @param known The former start, which has the same address and service.
- * @param born The later start.
- * @param models What the later start holds.
+ * @param known Report of the former lifetime, with the same address and service.
+ * @param born Start time of the new lifetime, in ms.
+ * @param models Models that are loaded in the new lifetime.
  * @returns The report.
  */
 export function createRestartReport(
@@ -125,12 +125,12 @@
 }
 
 /**
- * Joins two reports of one start of a server, whichever came first: the newer
- * one holds, but a server never comes back from draining or from having gone.
+ * Merges two reports of one lifetime in any order. The newer report wins, but the
+ * phase never moves back from draining or gone.
  *
- * @param left One report.
- * @param right Another one.
- * @returns What both together say.
+ * @param left A report.
+ * @param right Another report of the same lifetime.
+ * @returns The merged report.
  */
 export function mergeReports(
   left: ServerReport,
@@ -140,16 +140,16 @@
   const phase = PHASE_RANKS[left.phase] >= PHASE_RANKS[right.phase]
     ? left.phase
     : right.phase;
-  // A kind that was told once holds, also for reports that leave it out.
+  // Keeps the spot mark even if the newer report omits it.
   return { ...newer, phase, isSpot: left.isSpot || right.isSpot };
 }
 
 /**
- * Describes what a report says but for its sequence. Reports with the same
- * description need not be told to others at once.
+ * Creates a string that identifies the content of a report relevant to other
+ * boxes. A report with an unchanged key need not be sent to them immediately.
  *
  * @param server The report.
- * @returns A short text.
+ * @returns The key, without the report's sequence.
  */
 export function createContentKey(server: ServerReport): string {
   const { phase, service, address, port, models } = server;
--- a/src/registry/registry_test.ts
+++ b/src/registry/registry_test.ts
@@ -2,8 +2,8 @@
 import * as fastCheck from "fast-check";
 import * as clocks from "../clock/mod.ts";
 import * as logs from "../log/mod.ts";
-import * as checkReport from "./validate_report.ts";
-import * as refusedReports from "./refusal_recorder.ts";
+import * as reportValidation from "./validate_report.ts";
+import * as refusalRecorders from "./refusal_recorder.ts";
 import * as registeredServers from "./registered_server.ts";
 import * as serverFixtures from "../fixtures/create_server.ts";
 import * as serverRegistries from "./server_registry.ts";
@@ -17,7 +17,7 @@
   models: [{ name: "m", version: 1 }],
 });
 
-/** A start that is told by its id alone. */
+/** A lifetime without a start time. */
 const NO_START_TIME = { id: "i-1", born: undefined };
 
 function report(
@@ -26,7 +26,7 @@
   return registeredServers.createRegisteredServer({ ...SERVER, ...changes });
 }
 
-describe("registry", () => {
+describe("ServerRegistry", () => {
   let clock = new clocks.FakeClock();
   let servers = new serverRegistries.ServerRegistry(clock, HEARTBEAT_MS);
 
@@ -35,7 +35,7 @@
     servers = new serverRegistries.ServerRegistry(clock, HEARTBEAT_MS);
   });
 
-  it("comes to the same whatever order reports arrive in, and how often", () => {
+  it("merges reports to the same state in any order and when repeated", () => {
     const reports = [
       report({ sequence: 1 }),
       report({ sequence: 2, models: [{ name: "m", version: 2 }] }),
@@ -56,7 +56,7 @@
     );
   });
 
-  it("never lets a late report bring a leaving server back", () => {
+  it("does not return a leaving server to ready on a late report", () => {
     servers.merge(report({ sequence: 5, phase: "draining" }));
     servers.merge(report({ sequence: 4 }));
     chai.expect(servers.listReady("lm")).to.deep.equal([]);
@@ -65,17 +65,15 @@
     chai.expect(servers.listReady("lm")).to.deep.equal([]);
   });
 
-  it("remembers that a server left before anything else was heard of it", () => {
+  it("keeps an unknown server gone when its report arrives later", () => {
     servers.markGone(NO_START_TIME);
     servers.merge(report({ sequence: 9 }));
     chai.expect(servers.get("i-1")?.phase).to.equal("gone");
   });
 
-  it("passes over a server at whose address another one answered, until it is heard", () => {
-    // After a restart of all boxes the stores' leader asked an engine that had
-    // crashed 13 s before for its state. The server that had its address by then
-    // answered, so the engine was held for ready: 15 runs and 5 orders went there
-    // and were refused with 421 over 3 s, and a step came 2 s late.
+  it("excludes an unavailable server until its next report", () => {
+    // Guards against sending work to the address of a crashed engine after
+    // another server has taken it over.
     servers.merge(report({ sequence: 5 }));
     servers.merge(report({ id: "i-2" }));
     servers.markUnavailable(servers.get("i-1")!);
@@ -87,7 +85,7 @@
     chai.expect(servers.listReady("lm")).to.have.length(2);
   });
 
-  it("holds no later start for absent for what a former one met", () => {
+  it("does not mark a later lifetime unavailable for a former one", () => {
     servers.merge(report({ born: 1 }));
     const former = servers.get("i-1")!;
     servers.merge(report({ born: 2 }));
@@ -95,7 +93,7 @@
     chai.expect(servers.listReady("lm")).to.have.length(1);
   });
 
-  it("passes over a silent server, unless there is no other", () => {
+  it("excludes a silent server unless there is no other", () => {
     servers.merge(report({}));
     clock.extendBy(3 * HEARTBEAT_MS);
     servers.merge(report({ id: "i-2" }));
@@ -111,15 +109,13 @@
     chai.expect(servers.listReady("lm")).to.deep.equal([]);
   });
 
-  describe("where a server starts again under its id", () => {
-    // A server restarted twice within a minute; a report of its first start,
-    // held up by a cut, arrived after the third had registered. Its sequence of
-    // 500 hid the third start's, which began at 1, until the boxes took the
-    // server for silent and sent it nothing.
+  describe("with a server restarted under the same id", () => {
+    // Guards against a delayed report of a former lifetime that hides the current
+    // one by its higher sequence, so that the server seems silent.
     const FIRST = report({ born: 1_000, sequence: 500 });
     const LATER = report({ born: 2_000, sequence: 1, models: [] });
 
-    it("takes the later start at once, whatever its sequence", () => {
+    it("replaces the former lifetime regardless of sequence", () => {
       servers.merge(FIRST);
       chai.expect(servers.merge(LATER)).to.equal("changed");
       chai.expect(servers.get("i-1")?.born).to.equal(2_000);
@@ -127,7 +123,7 @@
       chai.expect(servers.get("i-1")?.models).to.deep.equal([]);
     });
 
-    it("lets a late report of the former start change nothing", () => {
+    it("ignores late reports of the former lifetime", () => {
       servers.merge(FIRST);
       servers.merge(LATER);
       clock.extendBy(2 * HEARTBEAT_MS);
@@ -137,14 +133,14 @@
       }
       chai.expect(servers.listReady("lm").map((item) => item.born)).to.deep
         .equal([2_000]);
-      // Nor does it make the later start look alive.
+      // The late reports do not count as signs of life of the later lifetime.
       clock.extendBy(HEARTBEAT_MS);
       servers.merge(report({ id: "i-2" }));
       chai.expect(servers.listReady("lm").map((item) => item.id)).to.deep
         .equal(["i-2"]);
     });
 
-    it("takes a start that has gone for no other one", () => {
+    it("marks only the lifetime in the notice as gone", () => {
       servers.merge(FIRST);
       servers.markGone({ id: "i-1", born: 1_000 });
       servers.merge(LATER);
@@ -157,14 +153,14 @@
       chai.expect(servers.listReady("lm")).to.have.length(0);
     });
 
-    it("takes a notice without a start for one of the start that is known", () => {
+    it("applies a notice without a start time to the known lifetime", () => {
       servers.merge(LATER);
       servers.markGone(NO_START_TIME);
       chai.expect(servers.listReady("lm")).to.deep.equal([]);
       chai.expect(servers.get("i-1")?.born).to.equal(2_000);
     });
 
-    it("holds a start without a time for former, and a smaller sequence for late", () => {
+    it("ignores reports without a start time or with a lower sequence", () => {
       servers.merge(report({ sequence: 40 }));
       chai.expect(servers.merge(LATER)).to.equal("changed");
       chai.expect(servers.merge(report({ sequence: 41 }))).to.equal("old");
@@ -172,7 +168,7 @@
       chai.expect(servers.get("i-1")?.born).to.equal(2_000);
     });
 
-    it("comes to the latest start whatever order reports arrive in", () => {
+    it("keeps the latest lifetime whatever the order of reports", () => {
       const reports = [1, 2, 3].flatMap((born) => [
         report({ born, sequence: 90 - born }),
         report({ born, sequence: 91 - born, models: [] }),
@@ -194,85 +190,97 @@
       );
     });
 
-    it("tells each watcher of a start once that it is replaced", () => {
-      let told = 0;
+    it("notifies each watcher of a replaced lifetime once", () => {
+      let notifications = 0;
       servers.merge(FIRST);
       const { lifetime } = servers.get("i-1")!;
-      const endWatch = servers.watch(lifetime, () => told += 100);
-      servers.watch(lifetime, () => told += 1);
+      const endWatch = servers.watch(lifetime, () => notifications += 100);
+      servers.watch(lifetime, () => notifications += 1);
       endWatch();
       servers.merge(report({ born: 1_000, sequence: 501 }));
-      chai.expect(told).to.equal(0);
+      chai.expect(notifications).to.equal(0);
       servers.merge(LATER);
       servers.merge(report({ born: 3_000 }));
-      chai.expect(told).to.equal(1);
+      chai.expect(notifications).to.equal(1);
     });
   });
 
-  describe("checks a report that can be read", () => {
-    const CHECK = {
+  describe("report validation", () => {
+    const CONTEXT = {
       known: report({ born: 1_000 }),
       wallMs: 100_000,
       isService: (name: string): boolean => name === "lm",
     };
 
-    function find(
+    function findRefusalReason(
       changes: Partial<registeredServers.RegisteredServer>,
-      check = CHECK,
+      context = CONTEXT,
     ) {
-      return checkReport.validateReport(report(changes), check)?.reason;
+      return reportValidation.validateReport(report(changes), context)?.reason;
     }
 
-    it("takes what fits its start, and a start that lies a little ahead", () => {
-      chai.expect(find({ born: 1_000 })).to.equal(undefined);
-      chai.expect(find({})).to.equal(undefined);
-      chai.expect(find({ born: 130_000 })).to.equal(undefined);
-      chai.expect(find({ born: 2_000, port: 9 })).to.equal(undefined);
+    it("accepts consistent reports and a start time slightly in the future", () => {
+      chai.expect(findRefusalReason({ born: 1_000 })).to.equal(undefined);
+      chai.expect(findRefusalReason({})).to.equal(undefined);
+      chai.expect(findRefusalReason({ born: 130_000 })).to.equal(undefined);
+      chai.expect(findRefusalReason({ born: 2_000, port: 9 })).to.equal(
+        undefined,
+      );
     });
 
-    it("refuses a start far ahead, which would hide the true ones", () => {
-      chai.expect(find({ born: 170_000 })).to.equal("start");
+    it("refuses a start time far in the future", () => {
+      chai.expect(findRefusalReason({ born: 170_000 })).to.equal("start");
     });
 
-    // A box whose time of day had been set back by some minutes refused the reports
-    // and the notices of leaving of all servers that had started since then.
-    it("takes known starts and new servers though this box's clock is behind", () => {
-      const behind = { ...CHECK, wallMs: -300_000 };
-      chai.expect(find({ born: 1_000 }, behind)).to.equal(undefined);
-      const unheard = { ...behind, known: undefined };
-      chai.expect(checkReport.validateReport(report({ born: 1_000 }), unheard))
+    // Guards against a box whose clock was set back refusing all reports of
+    // servers that started since then.
+    it("accepts known lifetimes and new servers while this box's clock is behind", () => {
+      const behind = { ...CONTEXT, wallMs: -300_000 };
+      chai.expect(findRefusalReason({ born: 1_000 }, behind)).to.equal(
+        undefined,
+      );
+      const unknownServer = { ...behind, known: undefined };
+      chai.expect(
+        reportValidation.validateReport(report({ born: 1_000 }), unknownServer),
+      )
         .to.equal(undefined);
       const days = 86_400_000;
       chai.expect(
-        checkReport.validateReport(report({ born: days }), unheard)?.reason,
+        reportValidation.validateReport(report({ born: days }), unknownServer)
+          ?.reason,
       ).to.equal("start");
     });
 
-    it("refuses a service that is not configured, or not that of the start", () => {
-      chai.expect(find({ service: "none" })).to.equal("service");
-      const check = { ...CHECK, isService: () => true };
-      chai.expect(find({ born: 1_000, service: "other" }, check)).to.equal(
-        "service",
-      );
+    it("refuses a service that is not configured or that changes", () => {
+      chai.expect(findRefusalReason({ service: "none" })).to.equal("service");
+      const context = { ...CONTEXT, isService: () => true };
+      chai.expect(findRefusalReason({ born: 1_000, service: "other" }, context))
+        .to.equal(
+          "service",
+        );
     });
 
-    it("refuses another address of the same start", () => {
-      chai.expect(find({ born: 1_000, port: 9 })).to.equal("address");
+    it("refuses another address of the same lifetime", () => {
+      chai.expect(findRefusalReason({ born: 1_000, port: 9 })).to.equal(
+        "address",
+      );
     });
 
-    it("takes the first report after a notice that came before it", () => {
+    it("accepts the first report of a server known only from a notice", () => {
       const known = registeredServers.createRegisteredServer(
         registeredServers.createGoneReport({ id: "i-1", born: undefined }),
       );
-      chai.expect(find({}, { ...CHECK, known })).to.equal(undefined);
+      chai.expect(findRefusalReason({}, { ...CONTEXT, known })).to.equal(
+        undefined,
+      );
     });
   });
 
-  describe("notes refused reports", () => {
-    it("counts each, and logs a fault once in a while and few in all", () => {
+  describe("RefusalRecorder", () => {
+    it("counts every refusal and limits the log lines", () => {
       const lines: string[] = [];
       const counts: string[] = [];
-      const refused = new refusedReports.RefusalRecorder({
+      const refused = new refusalRecorders.RefusalRecorder({
         clock,
         log: new logs.Log("box", "info", (line) => lines.push(line)),
         metrics: { countRefusedReport: (reason) => counts.push(reason) },
--- a/src/registry/server_registry.ts
+++ b/src/registry/server_registry.ts
@@ -2,40 +2,37 @@
 import * as lifetimes from "./lifetime.ts";
 import * as registeredServers from "./registered_server.ts";
 
-/** How long a server that has gone, or fell silent, is remembered, in ms. */
+/** Retention of a server after its last report, in ms. */
 const RETENTION_MS = 60_000;
-/** Heartbeats that may be missed before a server is taken for dead. */
+/** Heartbeat intervals without a report after which a server counts as silent. */
 const MISSED_HEARTBEATS = 2.6;
 
-/** A server silent for longer is not even tried where no other is left, in ms. */
+/** Longest silence, in ms, of a server used when all servers are silent. */
 const FALLBACK_SILENCE_MS = 20_000;
 
-/** What a merged report changed. */
+/** Effect of merging a report. */
 export type MergeOutcome = "old" | "refreshed" | "changed";
 
 interface KnownServer {
   readonly server: registeredServers.RegisteredServer;
   readonly lastReportMs: number;
-  /** Whether another server answered at its address since. */
+  /** Whether the server was found unreachable since its last report. */
   readonly isUnavailable: boolean;
 }
 
-/** Backend servers as their heartbeats tell, wherever these arrived. */
+/** Registry of backend servers, merged from heartbeats that reached any box. */
 export class ServerRegistry {
   readonly #clock: clocks.Clock;
   readonly #silenceMs: number;
-  /**
-   * The latest start known of each server, by its id: a former one is replaced
-   * as soon as a later one is heard of, and is never taken back.
-   */
+  /** Latest known lifetime of each server, by server id. */
   readonly #servers = new Map<string, KnownServer>();
-  /** Told when a start is replaced, by its key. */
+  /** Callbacks to invoke when a lifetime is replaced, by its key. */
   readonly #watchers = new Map<lifetimes.LifetimeKey, Set<() => void>>();
   readonly #onReplaced: (former: registeredServers.RegisteredServer) => void;
 
   /**
-   * @param heartbeatMs Time between two heartbeats of a server, in ms.
-   * @param onReplaced Told of each start that a later one replaces.
+   * @param heartbeatMs Heartbeat interval of the servers, in ms.
+   * @param onReplaced Called with each lifetime that a later one replaces.
    */
   constructor(
     clock: clocks.Clock,
@@ -48,8 +45,9 @@
   }
 
   /**
-   * Takes a report, whatever order reports come in. One of a former start
-   * changes nothing, and one of a later start holds whatever its sequence.
+   * Merges a report; reports may arrive in any order. A report of a former
+   * lifetime is ignored, and one of a later lifetime replaces the known one
+   * regardless of sequence.
    */
   merge(report: registeredServers.ServerReport): MergeOutcome {
     const known = this.#servers.get(report.id);
@@ -93,9 +91,8 @@
   }
 
   /**
-   * Notes that another server answered at the address of a start: it is passed
-   * over until it is heard of again.
-   * A start that is not the latest of its id is ignored.
+   * Excludes a server from selection until its next report, after it crashed or
+   * another server answered at its address. Ignores former lifetimes.
    */
   markUnavailable(
     { id, lifetime }: Pick<
@@ -109,11 +106,10 @@
   }
 
   /**
-   * Notes that a server has gone, even one that was never heard of. A notice
-   * that names no start is of the one that is known.
+   * Marks a server as gone, even one that is unknown. A notice without a start
+   * time applies to the known lifetime; one of a former lifetime is ignored.
    *
-   * @returns What is known of the server now; a notice of a former start
-   * changes nothing.
+   * @returns The latest known state of the server.
    */
   markGone(
     notice: lifetimes.Lifetime,
@@ -129,11 +125,11 @@
   }
 
   /**
-   * Watches one start of a server.
+   * Watches a lifetime for its replacement.
    *
-   * @param lifetime Key of the start.
-   * @param onReplaced Told, once at most, when a later start is known.
-   * @returns Ends the watch.
+   * @param lifetime Key of the lifetime.
+   * @param onReplaced Called at most once, when a later lifetime is known.
+   * @returns A function that ends the watch.
    */
   watch(lifetime: lifetimes.LifetimeKey, onReplaced: () => void): () => void {
     const watchers = this.#watchers.get(lifetime) ?? new Set();
@@ -155,14 +151,14 @@
     for (const onReplaced of watchers ?? []) onReplaced();
   }
 
-  /** Gives the latest start known of a server. */
+  /** Returns the latest known lifetime of a server. */
   get(id: string): registeredServers.RegisteredServer | undefined {
     return this.#servers.get(id)?.server;
   }
 
   /**
-   * Servers of a service that take new work and were heard lately; where none
-   * was, those that may still run though their heartbeats do not arrive.
+   * Returns the ready servers of a service that reported recently. If there are
+   * none, returns those that have been silent for a limited time.
    */
   listReady(service: string): readonly registeredServers.RegisteredServer[] {
     const heard = this.#listReadySince(service, this.#silenceMs);
@@ -183,7 +179,7 @@
       .map(({ server }) => server);
   }
 
-  /** All remembered servers, those that have gone among them. */
+  /** Returns all retained servers, including gone ones. */
   listAll(): readonly registeredServers.RegisteredServer[] {
     const nowMs = this.#clock.getMonotonicMs();
     for (const [id, { lastReportMs: heardAtMs }] of this.#servers) {
--- a/src/registry/validate_report.ts
+++ b/src/registry/validate_report.ts
@@ -1,29 +1,32 @@
 import * as lifetimes from "./lifetime.ts";
-import type * as refusedReports from "./refusal_recorder.ts";
+import type * as refusalRecorders from "./refusal_recorder.ts";
 import type * as registeredServers from "./registered_server.ts";
 
-/** What a report is checked against. */
+/** Known facts that a report is validated against. */
 export interface ReportContext {
-  /** Latest start known under the same id. */
+  /** Report of the latest known lifetime with the same id. */
   readonly known: registeredServers.ServerReport | undefined;
-  /** Wall time of this box, in ms. */
+  /** Current wall time of this box, in ms. */
   readonly wallMs: number;
-  /** Whether a configuration names the service; true while there is none. */
+  /**
+   * Checks whether the configuration contains a service; true for any name while
+   * there is no configuration.
+   */
   readonly isService: (name: string) => boolean;
 }
 
 /**
- * Tells why a report that can be read names no server to use. One start has one
- * service and one address, so a report that changes them is not its own.
+ * Validates a parsed report. A lifetime has one service and one address, so a
+ * report that changes either is refused.
  *
  * @param report The report.
- * @param context What is known.
- * @returns The refusal, or undefined for a report to take.
+ * @param context What is known about the server, the time and the services.
+ * @returns The refusal, or undefined if the report is valid.
  */
 export function validateReport(
   report: registeredServers.ServerReport,
   context: ReportContext,
-): refusedReports.ReportRefusal | undefined {
+): refusalRecorders.ReportRefusal | undefined {
   const { known, wallMs, isService } = context;
   const { id: server } = report;
   if (!lifetimes.isPlausibleStart(report, known, wallMs)) {
@@ -32,7 +35,7 @@
   if (!isService(report.service)) {
     return { server, reason: "service", field: "service" };
   }
-  // A notice of a start that was never heard of tells no service.
+  // A server known only from a notice of its departure has no service.
   if (known === undefined || known.service === "") return undefined;
   if (lifetimes.compareLifetimes(report, known) !== "same") return undefined;
   if (report.service !== known.service) {
--- a/src/traffic_config/check_configuration.ts
+++ b/src/traffic_config/check_configuration.ts
@@ -10,7 +10,9 @@
     const fault = findRouteFault(route, configuration);
     if (fault !== undefined) return `route ${route.name}: ${fault}`;
     const path = `${route.host} ${route.pathPrefix}`;
-    if (paths.has(path)) return `two routes serve ${path}`;
+    if (paths.has(path)) {
+      return `two routes have the same host and prefix: ${path}`;
+    }
     paths.add(path);
   }
   for (const service of configuration.services.values()) {
@@ -25,10 +27,10 @@
 ): string | undefined {
   if (scaling === undefined) return undefined;
   if (scaling.minimum > scaling.maximum) {
-    return `its least number of engines is above the most, ${scaling.maximum}`;
+    return `its minimum number of engines exceeds the maximum, ${scaling.maximum}`;
   }
   const prices = [...scaling.prices.values(), scaling.spotPrice ?? 0];
-  return prices.some((price) => price < 0) ? "a price is below 0" : undefined;
+  return prices.some((price) => price < 0) ? "a price is negative" : undefined;
 }
 
 function findRouteFault(
@@ -43,19 +45,19 @@
   const unknown = targets.find((target) =>
     !configuration.services.has(target.service)
   );
-  if (unknown !== undefined) return `there is no service ${unknown.service}`;
+  if (unknown !== undefined) return `unknown service ${unknown.service}`;
   if (targets.some((target) => target.weight < 0)) {
-    return "a weight is below 0";
+    return "a weight is negative";
   }
   const sum = targets.reduce((total, target) => total + target.weight, 0);
   return sum > 0 ? undefined : "its weights add up to 0";
 }
 
 /**
- * Checks that a configuration can be put in force.
+ * Checks the consistency of a parsed configuration.
  *
  * @param configuration The configuration.
- * @returns The same, or `badParameters` naming the first fault.
+ * @returns The same configuration, or `badParameters` with the first fault.
  */
 export function checkConfiguration(
   configuration: configurations.Configuration,
--- a/src/traffic_config/configuration.ts
+++ b/src/traffic_config/configuration.ts
@@ -1,78 +1,82 @@
 import type * as accounts from "../client_account/mod.ts";
 
-/** How often a route's requests may run, and what they carry. */
+/** Kind of requests on a route, which determines how they may be retried. */
 export type RouteKind =
   | "repeatable"
   | "once"
   | "stream"
-  /** Requests come as submissions of many items, run later. */
+  /** Requests are submissions of many items that run asynchronously. */
   | "submission";
 
-/** A service among those that a route spreads its requests over. */
+/** A service that a route sends requests to, and its share of them. */
 export interface RouteTarget {
   readonly service: string;
   readonly weight: number;
 }
 
-/** Which requests go where, and under which bounds. */
+/** A rule that maps requests to services, with their limits. */
 export interface Route {
   readonly name: string;
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
-  /** Longest that a request may be held, in ms. */
+  /** Total timeout of a request, in ms. */
   readonly timeoutMs: number;
-  /** Time inside which an answer has its full worth, in ms. */
+  /** Target response time of a request, in ms. */
   readonly targetLatencyMs: number;
-  /** Time inside which all results of a submission are due, in ms. */
+  /** Target completion time of a submission with all its items, in ms. */
   readonly targetCompletionMs: number;
-  /** 0 is served first. */
+  /** Lower values are served first; 0 is the highest priority. */
   readonly priority: number;
   readonly targets: readonly RouteTarget[];
-  /** Servers that one request may go to at most. */
+  /** Most servers that one request is sent to. */
   readonly attempts: number;
-  /** Whether another server may go on with a stream. */
+  /** Whether another server may resume an interrupted stream. */
   readonly canResume: boolean;
-  /** Whether one weight version must make a whole text. */
+  /** Whether a text must be generated with a single weight version. */
   readonly isSingleVersion: boolean;
-  /** Time after which an item may be given up, in ms. */
+  /** Time after which an unfinished item may be dropped, in ms. */
   readonly keepMs: number;
-  /** Whether its requests need no key of a client account. */
+  /** Whether requests without a client account's key are accepted. */
   readonly allowsAnonymous: boolean;
 }
 
-/** How many engines of a service the system may order. */
+/** Limits and prices for scaling the engines of a service. */
 export interface Scaling {
-  /** Engines of a failure domain, of all kinds together. */
+  /** Least number of engines per failure domain, spot and on-demand. */
   readonly minimum: number;
+  /** Largest number of engines per failure domain, spot and on-demand. */
   readonly maximum: number;
-  /** Time until a new engine serves, in ms. */
+  /** Time from ordering an engine until it serves, in ms. */
   readonly bootMs: number;
-  /** Price of a spot engine as a share of a lasting one's; undefined for none. */
+  /**
+   * Price of a spot engine relative to an on-demand one; undefined if spot
+   * engines are not used.
+   */
   readonly spotPrice: number | undefined;
-  /** Price of an engine by failure domain, against each other. */
+  /** Relative price of an engine by failure domain. */
   readonly prices: ReadonlyMap<string, number>;
 }
 
-/** A service that routes name. */
+/** A service that routes can send requests to. */
 export interface Service {
   readonly name: string;
   readonly healthPath: string;
-  /** Connections that each server accepts, from all callers together. */
+  /** Most connections that each server accepts from all clients together. */
   readonly connectionLimit: number;
-  /** Models of the service's engines; empty for plain servers. */
+  /** Models of the service's engines; empty if its servers aren't engines. */
   readonly models: readonly string[];
-  /** Undefined where the system orders no engines. */
+  /** Undefined if the number of engines is not scaled automatically. */
   readonly scaling: Scaling | undefined;
 }
 
-/** A service whose engines the system orders. */
+/** A service whose engines are scaled automatically. */
 export interface ScaledService extends Service {
   readonly scaling: Scaling;
 }
 
-/** Bounds on what callers send. */
+/** Limits on client requests. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -80,19 +84,19 @@
   readonly idleTimeoutMs: number;
 }
 
-/** A whole configuration; a higher version replaces a lower one. */
+/** A parsed configuration; a higher version replaces a lower one. */
 export interface Configuration {
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: ReadonlyMap<string, Service>;
   readonly limits: CallerLimits;
-  /** Undefined where requests need no key. */
+  /** Keys of client accounts; undefined if requests need no key. */
   readonly accounts: accounts.AccountKeys | undefined;
 }
 
-/** A configuration as the operator sent it. */
+/** A configuration in the format that the operator sent. */
 export interface StoredConfiguration {
   readonly version: number;
-  /** The operator's text, unchanged. */
+  /** Unmodified text from the operator. */
   readonly text: string;
 }
--- a/src/traffic_config/configuration_holder.ts
+++ b/src/traffic_config/configuration_holder.ts
@@ -2,12 +2,12 @@
 import type * as results from "../results/mod.ts";
 import type * as configurations from "./configuration.ts";
 
-/** Reads a configuration's text. */
+/** Parses and checks the text of a configuration. */
 export type ParseConfiguration = (
   text: string,
 ) => results.Result<configurations.Configuration>;
 
-/** The configuration in force on this box; it only ever moves forward. */
+/** Holds the configuration in force on this box; its version never decreases. */
 export class ConfigurationHolder {
   readonly #parse: ParseConfiguration;
   readonly #log: logs.Log;
@@ -19,7 +19,11 @@
     this.#log = log;
   }
 
-  /** Puts a configuration in force if it is newer; tells whether it is. */
+  /**
+   * Puts a configuration in force if it is newer and its text can be parsed.
+   *
+   * @returns Whether it was put in force.
+   */
   update(stored: configurations.StoredConfiguration): boolean {
     if (stored.version <= this.getVersion()) return false;
     const parsed = this.#parse(stored.text);
@@ -40,7 +44,7 @@
     return true;
   }
 
-  /** Version in force; 0 before the first. */
+  /** Returns the version in force, or 0 before the first configuration. */
   getVersion(): number {
     return this.#stored?.version ?? 0;
   }
--- a/src/traffic_config/configuration_machine.ts
+++ b/src/traffic_config/configuration_machine.ts
@@ -1,28 +1,28 @@
 import type * as consensus from "../consensus/mod.ts";
 import type * as configurations from "./configuration.ts";
 
-/** Replaces the configuration by one of a higher version. */
+/** Command that replaces the configuration by one of a higher version. */
 export interface PutConfiguration {
   readonly kind: "putConfiguration";
   readonly stored: configurations.StoredConfiguration;
 }
 
-/** What became of a command. */
+/** Result of applying a command. */
 export interface PutResult {
-  /** Version held after the command. */
+  /** Version of the configuration after the command. */
   readonly version: number;
 }
 
-/** The newest configuration under the log of the core boxes. */
+/** Replicated state machine that holds the newest configuration. */
 export class ConfigurationMachine implements consensus.Machine {
   readonly #onChange: (stored: configurations.StoredConfiguration) => void;
   #stored: configurations.StoredConfiguration | undefined;
   #notifiedVersion = 0;
 
   /**
-   * @param onChange Told of each configuration that replaces another. What a
-   * restarted replica finds on its disk may long be replaced, so it is told
-   * only once a leader's entry has followed it.
+   * @param onChange Called with each new configuration. One restored from a
+   * snapshot may be outdated, so it is called only once a further log entry is
+   * applied.
    */
   constructor(
     onChange: (stored: configurations.StoredConfiguration) => void,
--- a/src/traffic_config/configuration_service.ts
+++ b/src/traffic_config/configuration_service.ts
@@ -1,29 +1,29 @@
 import type * as replicaGroups from "../replica_group/mod.ts";
 import type * as rpc from "../rpc/mod.ts";
 import type * as configurations from "./configuration.ts";
-import type * as machines from "./configuration_machine.ts";
+import type * as configurationMachines from "./configuration_machine.ts";
 
-/** Longest wait for a commit, in ms; operators try again after a second. */
+/** Commit timeout in ms; below the operators' retry interval. */
 const COMMIT_TIMEOUT_MS = 850;
 
-/** Names of the calls to the leader of the core boxes. */
+/** RPC method names of the calls to the core boxes' leader. */
 export const METHODS = {
   put: "configuration.put",
   read: "configuration.read",
 } as const;
 
-/** Asks to put a configuration in force. */
+/** Request to store a new configuration. */
 export interface PutRequest {
   readonly stored: configurations.StoredConfiguration;
 }
 
-/** What the leader answers. */
+/** Reply to a `PutRequest`, with the version stored afterwards. */
 export type PutReply =
   | replicaGroups.NotLeader
   | replicaGroups.Unsure
   | { readonly kind: "done"; readonly version: number };
 
-/** The newest configuration, from the leader. */
+/** Reply to a read, with the leader's newest configuration. */
 export type ReadReply =
   | replicaGroups.NotLeader
   | {
@@ -31,14 +31,14 @@
     readonly stored: configurations.StoredConfiguration | undefined;
   };
 
-/** What the configuration service needs. */
+/** Dependencies of a `ConfigurationService`. */
 export interface ConfigurationServiceOptions {
   readonly server: rpc.MethodTable;
   readonly group: replicaGroups.ReplicaGroup;
-  readonly machine: machines.ConfigurationMachine;
+  readonly machine: configurationMachines.ConfigurationMachine;
 }
 
-/** Answers for the configuration while this core box leads. */
+/** Serves reads and updates of the configuration while this core box leads. */
 export class ConfigurationService {
   readonly #options: ConfigurationServiceOptions;
 
@@ -54,11 +54,11 @@
   async #put(request: PutRequest): Promise<PutReply> {
     const { group } = this.#options;
     if (!group.hasAuthority()) return group.createNotLeader();
-    const command: machines.PutConfiguration = {
+    const command: configurationMachines.PutConfiguration = {
       kind: "putConfiguration",
       stored: request.stored,
     };
-    const result = await group.propose<machines.PutResult>(
+    const result = await group.propose<configurationMachines.PutResult>(
       command,
       COMMIT_TIMEOUT_MS,
     );
--- a/src/traffic_config/match_route.ts
+++ b/src/traffic_config/match_route.ts
@@ -1,12 +1,12 @@
 import type * as configurations from "./configuration.ts";
 
 /**
- * Finds the route of a request: the longest prefix of its host's routes.
+ * Finds the route with the longest path prefix that matches a request.
  *
  * @param configuration The configuration in force.
  * @param host The request's host, without a port.
  * @param path The request's path, with or without a query.
- * @returns The route, or undefined.
+ * @returns The route, or undefined if none matches.
  */
 export function matchRoute(
   configuration: configurations.Configuration,
@@ -26,10 +26,10 @@
 }
 
 /**
- * Picks the service of one request by the weights of its route.
+ * Picks a service for a request at random, by the weights of its route.
  *
  * @param route The route.
- * @param random A number from 0 up to, but not including, 1.
+ * @param random A random number from 0 (inclusive) to 1 (exclusive).
  * @returns The service's name.
  */
 export function pickService(
--- a/src/traffic_config/mod.ts
+++ b/src/traffic_config/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The operator's configuration: routes, services and limits under one version.
+ * Versioned configuration of routes, services and limits.
  *
  * @example
  * ```ts
--- a/src/traffic_config/traffic_config_test.ts
+++ b/src/traffic_config/traffic_config_test.ts
@@ -50,7 +50,7 @@
 }
 
 describe("traffic configuration", () => {
-  it("accepts a sound one", () => {
+  it("accepts a valid configuration", () => {
     const checked = checkConfiguration.checkConfiguration(
       createConfiguration({}, { name: "q", pathPrefix: "/a/b/" }),
     );
@@ -58,43 +58,47 @@
   });
 
   const faults: Readonly<Record<string, configurations.Configuration>> = {
-    "no service u": createConfiguration({
+    "unknown service u": createConfiguration({
       targets: [{ service: "u", weight: 1 }],
     }),
-    "two routes serve": createConfiguration({}, { name: "q" }),
+    "two routes have the same host and prefix": createConfiguration({}, {
+      name: "q",
+    }),
     "weights add up to 0": createConfiguration({
       targets: [{ service: "s", weight: 0 }],
     }),
-    "weight is below 0": createConfiguration({
+    "weight is negative": createConfiguration({
       targets: [{ service: "s", weight: 2 }, { service: "t", weight: -1 }],
     }),
     "timeout is not above 0": createConfiguration({ timeoutMs: 0 }),
     "begin and end with a slash": createConfiguration({ pathPrefix: "/a" }),
   };
   for (const [fault, configuration] of Object.entries(faults)) {
-    it(`refuses it and says so: ${fault}`, () => {
+    it(`refuses a configuration with the message: ${fault}`, () => {
       const checked = checkConfiguration.checkConfiguration(configuration);
-      if (checked.kind === "ok") throw new Error("it was accepted");
+      if (checked.kind === "ok") {
+        throw new Error("the configuration was accepted");
+      }
       chai.expect(checked.failure.message).to.contain(fault);
     });
   }
 
-  it("takes the longest prefix of the host, whatever the query", () => {
+  it("matches the longest prefix of the host and ignores the query", () => {
     const configuration = createConfiguration(
       {},
       { name: "long", pathPrefix: "/a/b/" },
       { name: "other", host: "b.example", pathPrefix: "/a/b/c/" },
     );
-    function find(host: string, path: string): string | undefined {
+    function findRouteName(host: string, path: string): string | undefined {
       return matchRoute.matchRoute(configuration, host, path)?.name;
     }
-    chai.expect(find("a.example", "/a/b/c/d?x=/a/")).to.equal("long");
-    chai.expect(find("a.example", "/a/c")).to.equal("r");
-    chai.expect(find("a.example", "/a")).to.equal(undefined);
-    chai.expect(find("c.example", "/a/b/")).to.equal(undefined);
+    chai.expect(findRouteName("a.example", "/a/b/c/d?x=/a/")).to.equal("long");
+    chai.expect(findRouteName("a.example", "/a/c")).to.equal("r");
+    chai.expect(findRouteName("a.example", "/a")).to.equal(undefined);
+    chai.expect(findRouteName("c.example", "/a/b/")).to.equal(undefined);
   });
 
-  it("spreads requests by weight and never takes a service of weight 0", () => {
+  it("distributes requests by weight and skips services of weight 0", () => {
     const route = {
       ...ROUTE,
       targets: [
@@ -114,7 +118,7 @@
       ]);
   });
 
-  it("only ever moves forward on a box", () => {
+  it("never puts a lower or equal version in force", () => {
     const holder = new configurationHolders.ConfigurationHolder(
       () => results.createOk(createConfiguration({})),
       new logs.Log("box", "error", () => {}),
@@ -125,10 +129,10 @@
     chai.expect(holder.getStored()).to.deep.equal({ version: 5, text: "five" });
   });
 
-  it("lets the highest version win in the log, over a restart too", () => {
-    const told: number[] = [];
+  it("keeps the highest version, also across a restart", () => {
+    const notifiedVersions: number[] = [];
     const machine = new configurationMachines.ConfigurationMachine((stored) =>
-      told.push(stored.version)
+      notifiedVersions.push(stored.version)
     );
     function put(version: number, text: string) {
       const stored = { version, text };
@@ -146,19 +150,19 @@
       version: 3,
       text: "three",
     });
-    chai.expect(told).to.deep.equal([3]);
+    chai.expect(notifiedVersions).to.deep.equal([3]);
   });
 
-  it("tells of no configuration from the disk before a leader was heard", () => {
-    const told: number[] = [];
+  it("reports a restored configuration only after a further log entry", () => {
+    const notifiedVersions: number[] = [];
     const machine = new configurationMachines.ConfigurationMachine((stored) =>
-      told.push(stored.version)
+      notifiedVersions.push(stored.version)
     );
     machine.restore([{ stored: { version: 4, text: "four" } }]);
-    chai.expect(told).to.deep.equal([]);
+    chai.expect(notifiedVersions).to.deep.equal([]);
     machine.apply({ kind: "noOperation" });
-    chai.expect(told).to.deep.equal([4]);
+    chai.expect(notifiedVersions).to.deep.equal([4]);
     machine.apply({ kind: "noOperation" });
-    chai.expect(told).to.deep.equal([4]);
+    chai.expect(notifiedVersions).to.deep.equal([4]);
   });
 });
