--- a/src/traffic_config/check_configuration.ts
+++ b/src/traffic_config/check_configuration.ts
@@ -45,7 +45,7 @@
   const unknown = targets.find((target) =>
     !configuration.services.has(target.service)
   );
-  if (unknown !== undefined) return `unknown service ${unknown.service}`;
+  if (unknown !== undefined) return `there is no service ${unknown.service}`;
   if (targets.some((target) => target.weight < 0)) {
     return "a weight is negative";
   }
