--- a/src/registry/registered_server.ts
+++ b/src/registry/registered_server.ts
@@ -153,7 +153,7 @@
  */
 export function createContentKey(server: ServerReport): string {
   const { phase, service, address, port, models } = server;
-  const held = models.map((model) => `${model.name}:${model.version}`);
+  const loadedModels = models.map((model) => `${model.name}:${model.version}`);
   const start = server.born === undefined ? [] : [server.born];
-  return [phase, service, address, port, ...start, ...held].join(" ");
+  return [phase, service, address, port, ...start, ...loadedModels].join(" ");
 }
