--- a/src/traffic_config/check_configuration.ts
+++ b/src/traffic_config/check_configuration.ts
@@ -11,7 +11,7 @@
     if (fault !== undefined) return `route ${route.name}: ${fault}`;
     const path = `${route.host} ${route.pathPrefix}`;
     if (paths.has(path)) {
-      return `two routes have the same host and prefix: ${path}`;
+      return `two routes serve ${path}`;
     }
     paths.add(path);
   }
@@ -27,10 +27,10 @@
 ): string | undefined {
   if (scaling === undefined) return undefined;
   if (scaling.minimum > scaling.maximum) {
-    return `its minimum number of engines exceeds the maximum, ${scaling.maximum}`;
+    return `its least number of engines is above the most, ${scaling.maximum}`;
   }
   const prices = [...scaling.prices.values(), scaling.spotPrice ?? 0];
-  return prices.some((price) => price < 0) ? "a price is negative" : undefined;
+  return prices.some((price) => price < 0) ? "a price is below 0" : undefined;
 }
 
 function findRouteFault(
@@ -47,7 +47,7 @@
   );
   if (unknown !== undefined) return `there is no service ${unknown.service}`;
   if (targets.some((target) => target.weight < 0)) {
-    return "a weight is negative";
+    return "a weight is below 0";
   }
   const sum = targets.reduce((total, target) => total + target.weight, 0);
   return sum > 0 ? undefined : "its weights add up to 0";
--- a/src/traffic_config/traffic_config_test.ts
+++ b/src/traffic_config/traffic_config_test.ts
@@ -61,13 +61,13 @@
     "no service u": createConfiguration({
       targets: [{ service: "u", weight: 1 }],
     }),
-    "two routes have the same host and prefix": createConfiguration({}, {
+    "two routes serve": createConfiguration({}, {
       name: "q",
     }),
     "weights add up to 0": createConfiguration({
       targets: [{ service: "s", weight: 0 }],
     }),
-    "weight is negative": createConfiguration({
+    "weight is below 0": createConfiguration({
       targets: [{ service: "s", weight: 2 }, { service: "t", weight: -1 }],
     }),
     "timeout is not above 0": createConfiguration({ timeoutMs: 0 }),
