--- a/src/forwarding/forwarding_test.ts
+++ b/src/forwarding/forwarding_test.ts
@@ -6,7 +6,7 @@
 import * as fixtures from "./server_fixture_test.ts";
 import * as serverLoads from "./server_loads.ts";
 
-function answerCutShort(
+function answerTruncated(
   _request: http.IncomingMessage,
   response: http.ServerResponse,
 ): void {
@@ -26,16 +26,16 @@
   afterEach(() => backends.stop());
 
   it("gives a whole answer unchanged", async () => {
-    backends.scripts = [fixtures.answer(200, { extra: "kept" })];
+    backends.handlers = [fixtures.answer(200, { extra: "kept" })];
     const outcome = await backends.send();
     if (outcome.kind !== "answered") throw new Error(outcome.kind);
     chai.expect(outcome.answer.body.toString()).to.equal("body");
     chai.expect(outcome.answer.headers["extra"]).to.equal("kept");
-    chai.expect(backends.seen).to.deep.equal(["s0"]);
+    chai.expect(backends.receivedBy).to.deep.equal(["s0"]);
   });
 
   it("tells whether a server gave the length of its answer", async () => {
-    backends.scripts = [(request, response) => {
+    backends.handlers = [(request, response) => {
       response.useChunkedEncodingByDefault = false;
       response.writeHead(200, { id: "job", receipt: "r", connection: "close" });
       response.end("body");
@@ -44,19 +44,19 @@
     const unframed = await backends.send();
     if (unframed.kind !== "answered") throw new Error(unframed.kind);
     chai.expect(unframed.answer.isFramed).to.equal(false);
-    backends.scripts = [fixtures.answer(200)];
+    backends.handlers = [fixtures.answer(200)];
     const framed = await backends.send();
     if (framed.kind !== "answered") throw new Error(framed.kind);
     chai.expect(framed.answer.isFramed).to.equal(true);
   });
 
-  const broken: Readonly<Record<string, fixtures.Script>> = {
+  const broken: Readonly<Record<string, fixtures.RequestHandler>> = {
     "an answer to another request": fixtures.answer(200, { id: "other" }),
     "an answer without receipt": (_request, response) => {
       response.writeHead(200, { id: "job" });
       response.end("body");
     },
-    "half an answer": answerCutShort,
+    "half an answer": answerTruncated,
     "bytes that are no answer": (request) => {
       request.socket.end("garbage\r\n\r\n");
     },
@@ -64,59 +64,68 @@
   };
   for (const [name, script] of Object.entries(broken)) {
     it(`asks another server after ${name}, if it may run twice`, async () => {
-      backends.scripts = [script, fixtures.answer(200)];
+      backends.handlers = [script, fixtures.answer(200)];
       const outcome = await backends.send();
       chai.expect(outcome.kind).to.equal("answered");
-      chai.expect(backends.seen).to.deep.equal(["s0", "s1"]);
+      chai.expect(backends.receivedBy).to.deep.equal(["s0", "s1"]);
     });
 
     it(`never runs a request twice that may not, after ${name}`, async () => {
-      backends.scripts = [script, fixtures.answer(200)];
+      backends.handlers = [script, fixtures.answer(200)];
       const outcome = await backends.send({ isRepeatable: false });
       chai.expect(outcome.kind).to.equal("failed");
-      chai.expect(backends.seen).to.deep.equal(["s0"]);
+      chai.expect(backends.receivedBy).to.deep.equal(["s0"]);
     });
   }
 
   it("takes a refusal elsewhere, also of a request that may run only once", async () => {
-    backends.scripts = [REFUSE, REFUSE, fixtures.answer(200)];
-    const outcome = await backends.send({ isRepeatable: false, attempts: 1 });
+    backends.handlers = [REFUSE, REFUSE, fixtures.answer(200)];
+    const outcome = await backends.send({
+      isRepeatable: false,
+      maxAttempts: 1,
+    });
     chai.expect(outcome.kind).to.equal("answered");
-    chai.expect(backends.seen).to.deep.equal(["s0", "s1", "s2"]);
+    chai.expect(backends.receivedBy).to.deep.equal(["s0", "s1", "s2"]);
   });
 
   it("says that nothing ran once every server refused, asking each once", async () => {
-    backends.scripts = [REFUSE, REFUSE, REFUSE];
+    backends.handlers = [REFUSE, REFUSE, REFUSE];
     chai.expect((await backends.send()).kind).to.equal("notRun");
-    chai.expect(backends.seen).to.deep.equal(["s0", "s1", "s2"]);
+    chai.expect(backends.receivedBy).to.deep.equal(["s0", "s1", "s2"]);
   });
 
   it("does not say that nothing ran where one server may have run it", async () => {
-    backends.scripts = [answerCutShort, REFUSE, REFUSE];
+    backends.handlers = [answerTruncated, REFUSE, REFUSE];
     chai.expect((await backends.send()).kind).to.equal("failed");
   });
 
   it("goes to no more servers than it may", async () => {
-    backends.scripts = [answerCutShort, answerCutShort, fixtures.answer(200)];
-    chai.expect((await backends.send({ attempts: 2 })).kind).to.equal("failed");
-    chai.expect(backends.seen).to.deep.equal(["s0", "s1"]);
+    backends.handlers = [
+      answerTruncated,
+      answerTruncated,
+      fixtures.answer(200),
+    ];
+    chai.expect((await backends.send({ maxAttempts: 2 })).kind).to.equal(
+      "failed",
+    );
+    chai.expect(backends.receivedBy).to.deep.equal(["s0", "s1"]);
   });
 
   it("gives a server's own error when no other one does better", async () => {
-    backends.scripts = [
+    backends.handlers = [
       fixtures.answer(500),
       fixtures.answer(500),
       fixtures.answer(500),
     ];
-    const outcome = await backends.send({ attempts: 2 });
+    const outcome = await backends.send({ maxAttempts: 2 });
     if (outcome.kind !== "answered") throw new Error(outcome.kind);
     chai.expect(outcome.answer.status).to.equal(500);
-    chai.expect(backends.seen).to.deep.equal(["s0", "s1"]);
+    chai.expect(backends.receivedBy).to.deep.equal(["s0", "s1"]);
   });
 
   it("asks a second server beside a silent one and cancels the first", async () => {
     const closed = new Promise((resolve) => {
-      backends.scripts = [
+      backends.handlers = [
         (request) => request.socket.once("close", resolve),
         fixtures.answer(200),
       ];
@@ -128,17 +137,17 @@
   });
 
   it("asks no second server beside one, when it may run only once", async () => {
-    backends.scripts = [(request, response) => {
+    backends.handlers = [(request, response) => {
       setTimeout(() => fixtures.answer(200)(request, response), 50);
     }, fixtures.answer(200)];
     await backends.send({ hedgeMs: 1, isRepeatable: false });
-    chai.expect(backends.seen).to.deep.equal(["s0"]);
+    chai.expect(backends.receivedBy).to.deep.equal(["s0"]);
   });
 
   it("cancels the work once the caller has left", async () => {
     const cancellation = new csp.Cancellation();
     const closed = new Promise((resolve) => {
-      backends.scripts = [(request) => {
+      backends.handlers = [(request) => {
         request.socket.once("close", resolve);
         cancellation.cancel();
       }];
@@ -159,7 +168,7 @@
     });
 
     function estimate(id: string): number {
-      return loads.estimateMs(
+      return loads.estimateLatencyMs(
         serverFixtures.createServer(id, { service: "app", slots: 4 }),
       );
     }
@@ -167,16 +176,16 @@
     it("expects more of a server that answers fast than of one that fails fast", () => {
       for (let turn = 0; turn < 4; turn += 1) {
         for (const [id, tookMs] of [["sound", 60], ["failing", 5]] as const) {
-          loads.begin(id);
-          loads.end(id, tookMs);
-          loads.noteOutcome(id, id === "sound");
+          loads.recordStart(id);
+          loads.recordEnd(id, tookMs);
+          loads.recordOutcome(id, id === "sound");
         }
       }
       chai.expect(estimate("failing")).to.be.greaterThan(estimate("sound"));
     });
 
     it("tries a server that failed again after some seconds", () => {
-      loads.noteOutcome("failing", false);
+      loads.recordOutcome("failing", false);
       const before = estimate("failing");
       fake.extendBy(20_000);
       chai.expect(estimate("failing")).to.be.lessThan(before - 70);
@@ -184,31 +193,31 @@
 
     it("learns from a request given up that its server is slow, not that it is fast", () => {
       const first = estimate("a");
-      loads.begin("a");
-      loads.endUnanswered("a", 10);
+      loads.recordStart("a");
+      loads.recordUnanswered("a", 10);
       chai.expect(estimate("a")).to.equal(first);
-      loads.begin("a");
-      loads.endUnanswered("a", 800);
+      loads.recordStart("a");
+      loads.recordUnanswered("a", 800);
       chai.expect(estimate("a")).to.be.greaterThan(first + 100);
     });
   });
 
   it("goes to the sound server after the first one answered errors", async () => {
     const loads = new serverLoads.ServerLoads(clock);
-    backends.scripts = [
+    backends.handlers = [
       fixtures.answer(500),
       fixtures.answer(200),
       fixtures.answer(200),
     ];
     for (let turn = 0; turn < 6; turn += 1) await backends.send({}, loads);
-    chai.expect(backends.seen[0]).to.equal("s0");
-    chai.expect(backends.seen.filter((id) => id === "s0").length).to.be
+    chai.expect(backends.receivedBy[0]).to.equal("s0");
+    chai.expect(backends.receivedBy.filter((id) => id === "s0").length).to.be
       .lessThan(6);
   });
 
   it("refuses at once, and says why, where its turn could only come too late", async () => {
     const loads = new serverLoads.ServerLoads(clock);
-    for (const id of ["s0", "s1", "s2"]) loads.noteFull(id);
+    for (const id of ["s0", "s1", "s2"]) loads.markFull(id);
     const outcome = await backends.send(
       { targetAtMs: clock.getMonotonicMs() },
       loads,
@@ -217,19 +226,19 @@
     if (outcome.kind !== "notRun") throw new Error(outcome.kind);
     chai.expect(outcome.reason).to.contain("full");
     chai.expect(outcome.returnMs).to.be.greaterThan(0);
-    chai.expect(backends.seen).to.deep.equal([]);
+    chai.expect(backends.receivedBy).to.deep.equal([]);
   });
 
   it("waits for a place where all servers refuse, and is answered in its turn", async () => {
     let refusals = 0;
-    function refuseTwice(
+    function refuseAtFirst(
       request: http.IncomingMessage,
       response: http.ServerResponse,
     ): void {
       refusals += 1;
       (refusals <= 6 ? REFUSE : fixtures.answer(200))(request, response);
     }
-    backends.scripts = [refuseTwice, refuseTwice, refuseTwice];
+    backends.handlers = [refuseAtFirst, refuseAtFirst, refuseAtFirst];
     const outcome = await backends.send(
       {},
       new serverLoads.ServerLoads(clock),
@@ -240,7 +249,7 @@
   });
 
   it("ends at its deadline and says whether it was sent", async () => {
-    backends.scripts = [() => {}];
+    backends.handlers = [() => {}];
     const nowMs = clock.getMonotonicMs();
     chai.expect(await backends.send({ deadlineAtMs: nowMs + 50 })).to.deep
       .equal({
--- a/src/forwarding/load_test.ts
+++ b/src/forwarding/load_test.ts
@@ -18,11 +18,13 @@
           attempts: outcome.attempts / outcome.asked,
         };
       }
-      const [old, weighed] = [getShares(before), getShares(after)];
-      chai.expect(weighed.inTarget).to.be.at.least(old.inTarget - NOISE);
-      chai.expect(weighed.served).to.be.at.least(old.served - NOISE);
-      chai.expect(weighed.refusedTwice).to.be.at.most(old.refusedTwice + NOISE);
-      chai.expect(weighed.attempts).to.be.at.most(old.attempts + NOISE);
+      const [unaware, aware] = [getShares(before), getShares(after)];
+      chai.expect(aware.inTarget).to.be.at.least(unaware.inTarget - NOISE);
+      chai.expect(aware.served).to.be.at.least(unaware.served - NOISE);
+      chai.expect(aware.refusedTwice).to.be.at.most(
+        unaware.refusedTwice + NOISE,
+      );
+      chai.expect(aware.attempts).to.be.at.most(unaware.attempts + NOISE);
       // Nobody is held longer than an answer would be in time, and refused then.
       chai.expect(after.longestRefusalMs).to.be.at.most(pattern.targetMs);
     });
@@ -45,9 +47,9 @@
       getSlowness: (server, atMs) =>
         Math.floor(atMs / SPELL_MS) % 5 === server ? 2.5 : 1,
     };
-    const told = { ...pattern, tellsSlowness: true };
+    const reporting = { ...pattern, tellsSlowness: true };
     const before = await loadReplays.replayLoad(pattern, SEED, true);
-    const after = await loadReplays.replayLoad(told, SEED, true);
+    const after = await loadReplays.replayLoad(reporting, SEED, true);
     const lateBefore = 1 - before.inTarget / before.asked;
     const lateAfter = 1 - after.inTarget / after.asked;
     chai.expect(lateAfter).to.be.at.most(lateBefore * 0.9);
@@ -61,11 +63,11 @@
   });
 
   it("serves half as many again in time at twice the capacity, with half the tries", async () => {
-    const twice = loadReplays.LOAD_PATTERNS.find(({ name }) =>
+    const overload = loadReplays.LOAD_PATTERNS.find(({ name }) =>
       name === "twice the capacity"
     )!;
-    const before = await loadReplays.replayLoad(twice, SEED, false);
-    const after = await loadReplays.replayLoad(twice, SEED, true);
+    const before = await loadReplays.replayLoad(overload, SEED, false);
+    const after = await loadReplays.replayLoad(overload, SEED, true);
     const gain = (after.inTarget / after.asked) /
       (before.inTarget / before.asked);
     chai.expect(gain).to.be.at.least(1.5);
--- a/src/forwarding/server_start_test.ts
+++ b/src/forwarding/server_restart_test.ts
@@ -17,49 +17,54 @@
 
   afterEach(() => backends.stop());
 
-  const BORN = { born: 1_000 };
+  const FIRST_START = { born: 1_000 };
 
   beforeEach(() => {
-    const [first] = backends.known.listReady("app");
-    backends.known.merge({ ...first!, ...BORN });
+    const [first] = backends.registry.listReady("app");
+    backends.registry.merge({ ...first!, ...FIRST_START });
   });
 
   /** The first server holds the request in silence and starts again. */
-  function startAgain(): void {
-    const first = backends.known.get("s0");
-    backends.known.merge({ ...first!, born: 2_000, sequence: 0, coldMs: 400 });
+  function restart(): void {
+    const first = backends.registry.get("s0");
+    backends.registry.merge({
+      ...first!,
+      born: 2_000,
+      sequence: 0,
+      coldMs: 400,
+    });
   }
 
   it("has a request that may run twice answered elsewhere at once", async () => {
-    backends.scripts = [startAgain, fixtures.answer(200)];
+    backends.handlers = [restart, fixtures.answer(200)];
     const outcome = await backends.send();
     chai.expect(outcome.kind).to.equal("answered");
-    chai.expect(backends.seen).to.deep.equal(["s0", "s1"]);
+    chai.expect(backends.receivedBy).to.deep.equal(["s0", "s1"]);
   });
 
   it("ends one that may not at once, as it may have run", async () => {
-    backends.scripts = [startAgain, fixtures.answer(200)];
+    backends.handlers = [restart, fixtures.answer(200)];
     const outcome = await backends.send({ isRepeatable: false });
     if (outcome.kind !== "failed") throw new Error(outcome.kind);
     chai.expect(outcome.reason).to.equal("the server started again");
-    chai.expect(backends.seen).to.deep.equal(["s0"]);
+    chai.expect(backends.receivedBy).to.deep.equal(["s0"]);
   });
 
   it("asks no server again at whose address another one answered", async () => {
-    backends.scripts = [fixtures.answer(421), fixtures.answer(200)];
+    backends.handlers = [fixtures.answer(421), fixtures.answer(200)];
     for (let turn = 0; turn < 3; turn += 1) await backends.send();
-    chai.expect(backends.seen).to.deep.equal(["s0", "s1", "s1", "s1"]);
+    chai.expect(backends.receivedBy).to.deep.equal(["s0", "s1", "s1", "s1"]);
   });
 
   it("takes an answer that was whole before the later start was known", async () => {
-    backends.scripts = [fixtures.answer(200)];
+    backends.handlers = [fixtures.answer(200)];
     const outcome = await backends.send();
-    startAgain();
+    restart();
     chai.expect(outcome.kind).to.equal("answered");
   });
 
   it("refuses the rest of an answer that was not whole by then", async () => {
-    backends.scripts = [
+    backends.handlers = [
       (_request, response) => {
         response.writeHead(200, {
           id: "job",
@@ -67,7 +72,7 @@
           "content-length": "8",
         });
         response.write("half");
-        setImmediate(startAgain);
+        setImmediate(restart);
         setTimeout(() => response.end("rest"), 50);
       },
       fixtures.answer(200),
@@ -79,35 +84,39 @@
 
   it("frees the places of the former start once, and fills none of the later", async () => {
     const loads = new serverLoads.ServerLoads(clock);
-    const former = backends.known.get("s0")!;
-    backends.scripts = [startAgain, fixtures.answer(200)];
+    const former = backends.registry.get("s0")!;
+    backends.handlers = [restart, fixtures.answer(200)];
     await backends.send({}, loads);
-    const later = backends.known.get("s0")!;
+    const later = backends.registry.get("s0")!;
     const one = { ...later, slots: 1 };
-    chai.expect(loads.hasPlace(one)).to.equal(true);
-    loads.begin(later.lifetime);
-    chai.expect(loads.hasPlace(one)).to.equal(false);
-    chai.expect(loads.hasPlace({ ...former, slots: 1 })).to.equal(true);
+    chai.expect(loads.hasFreeSlot(one)).to.equal(true);
+    loads.recordStart(later.lifetime);
+    chai.expect(loads.hasFreeSlot(one)).to.equal(false);
+    chai.expect(loads.hasFreeSlot({ ...former, slots: 1 })).to.equal(true);
     chai.expect(loads.isAvoided(later.lifetime)).to.equal(false);
   });
 
   it("sends nothing over a connection that was kept to the former start", async () => {
     let connections = 0;
     backends.servers[0]?.on("connection", () => connections += 1);
-    backends.known = new registry.ServerRegistry(
+    backends.registry = new registry.ServerRegistry(
       clock,
       60_000,
       ({ address, port }) => httpClient.closeIdle(address, port),
     );
     const { port } = backends.servers[0]?.address() as net.AddressInfo;
-    backends.known.merge(
-      serverFixtures.createServer("s0", { service: "app", port, ...BORN }),
+    backends.registry.merge(
+      serverFixtures.createServer("s0", {
+        service: "app",
+        port,
+        ...FIRST_START,
+      }),
     );
-    backends.scripts = [fixtures.answer(200)];
+    backends.handlers = [fixtures.answer(200)];
     await backends.send();
     await backends.send();
     chai.expect(connections).to.equal(1);
-    startAgain();
+    restart();
     await backends.send();
     chai.expect(connections).to.equal(2);
   });
