--- a/src/forwarding/_attempt.ts
+++ b/src/forwarding/_attempt.ts
@@ -4,15 +4,15 @@
 import type * as registry from "../registry/mod.ts";
 import type * as jobs from "./forward_job.ts";
 
-/** Time for a connection to be made, in ms; links take some milliseconds. */
+/** Limit for opening a connection, in ms. */
 const CONNECT_TIMEOUT_MS = 250;
-/** Largest answer that is taken whole, in bytes. */
+/** Maximum size of an answer body, in bytes. */
 const MAX_ANSWER_BYTES = 32 * 1024 * 1024;
 const FIRST_ERROR_STATUS = 500;
-/** Status of a server that is not the one that the request was meant for. */
+/** Misdirected Request: the address now belongs to a different server. */
 const WRONG_SERVER_STATUS = 421;
 
-/** One try of a job at one server. */
+/** One attempt of a job at one server. */
 export interface AttemptOptions {
   readonly job: jobs.ForwardJob;
   readonly server: registry.RegisteredServer;
@@ -21,7 +21,7 @@
   readonly cancellation: csp.Cancellation;
 }
 
-/** Sends a job to one server and judges its answer. */
+/** Sends a job to one server over HTTP and classifies the result. */
 export async function sendAttempt(
   options: AttemptOptions,
 ): Promise<jobs.AttemptOutcome> {
@@ -55,10 +55,11 @@
         isClosed: outcome.isClosed,
       };
     case "answered":
-      return classifyAnswer(options, outcome.head, outcome.body);
+      return evaluateAnswer(options, outcome.head, outcome.body);
   }
 }
 
+/** Returns why an answer head is not acceptable, or undefined if it is. */
 function findHeadProblem(
   { dialect, job }: AttemptOptions,
   { status, headers }: httpClient.HttpHead,
@@ -71,7 +72,7 @@
   return "the answer belongs to another request";
 }
 
-function classifyAnswer(
+function evaluateAnswer(
   options: AttemptOptions,
   { status, headers }: httpClient.HttpHead,
   body: Buffer,
@@ -84,7 +85,7 @@
       kind: "notRun",
       reason,
       isBusy: !isWrongServer,
-      isWrongServer: isWrongServer,
+      isWrongServer,
       load: head.load,
     };
   }
--- a/src/forwarding/_compute_wait_deadline.ts
+++ b/src/forwarding/_compute_wait_deadline.ts
@@ -1,22 +1,20 @@
 import type * as jobs from "./forward_job.ts";
 
 /**
- * Share of the time that a request has left for which it may wait for a place at
- * most; the rest is for its run, or for its caller to come back. It waits no
- * longer than it can still be answered within its target either: a place given
- * to one that is late anyway makes one more late. Waits of half the time left
- * served 0.04 to 0.08 more of a load above the capacity, and 0.08 to 0.14 fewer
- * within their target.
+ * Maximum fraction of the time to the deadline that a request may be queued. The
+ * rest is left for its run, or for a retry by its caller.
  */
 const MAX_WAIT_FRACTION = 0.5;
 
 /**
- * Says until when a request may wait for a place.
+ * Computes until when a request may be queued for a free slot. It is not queued
+ * beyond the point where the fastest server could still meet its latency target,
+ * because a slot given to a late request delays others as well.
  *
  * @param job The request.
- * @param nowMs When it begins to wait, in monotonic ms.
- * @param listMeanMs Lists how long each server takes for a request, in ms.
- * @returns Monotonic ms.
+ * @param nowMs Time at which it is queued, in monotonic ms.
+ * @param listMeanMs Lists the mean request duration of each server, in ms.
+ * @returns The end of the wait, in monotonic ms; not before `nowMs`.
  */
 export function computeWaitDeadline(
   job: Pick<jobs.ForwardJob, "deadlineAtMs" | "targetAtMs">,
--- a/src/forwarding/_job_crash_guard.ts
+++ b/src/forwarding/_job_crash_guard.ts
@@ -6,36 +6,36 @@
 import type * as registry from "../registry/mod.ts";
 import type * as jobs from "./forward_job.ts";
 
-/** Pause before a grant is asked for again while others run, in ms. */
+/** Delay between grant requests while other runs hold the grant, in ms. */
 const GRANT_RETRY_MS = 40;
-/** Servers after which a run without the leader's grant is none too many. */
+/** Maximum crashes of the work with which it may run without a grant. */
 const MAX_ENDED_WITHOUT_GRANT = 1;
 
 /**
- * Time after which work that lost one server may run beside other such work, in
- * ms. Where many servers end at once, as with a failure domain, there is more such
- * work than servers, and nearly all of it lost its server by chance.
+ * Time after which work with one crash may share a server with other such work,
+ * in ms. When a failure domain is lost there is more such work than servers, and
+ * little of it caused a crash.
  */
 const SHARE_AFTER_MS = 80;
-/** When to come back while the same work is tried for others, in ms. */
+/** Delay after which a caller should retry while the work runs elsewhere, in ms. */
 const BUSY_RETRY_AFTER_MS = 500;
 
-/** Why work is not sent on. */
+/** Verdict that the work must not be sent now. */
 export type HeldBack = Extract<
   crashRecords.WorkVerdict,
   { readonly kind: "heldBack" }
 >;
 
-/** Says that work may be sent on. */
+/** Permission to send the work. */
 export interface Permitted {
-  readonly kind: "sentOn";
-  /** Server that the leader chose; undefined where any will do. */
+  readonly kind: "permitted";
+  /** Server chosen by the leader; undefined if any server may be used. */
   readonly server: registry.LifetimeKey | undefined;
 }
 
-const ANY_SERVER: Permitted = { kind: "sentOn", server: undefined };
+const ANY_SERVER: Permitted = { kind: "permitted", server: undefined };
 
-/** What a job's work needs. */
+/** Dependencies of a `JobCrashGuard`. */
 export interface JobCrashGuardOptions {
   readonly clock: clocks.Clock;
   readonly crashGuard: Pick<
@@ -50,12 +50,12 @@
   >;
 }
 
-/** The work that a job carries, which may be one that ends servers. */
+/** Applies the crash guard to the work of one job, which may crash servers. */
 export class JobCrashGuard {
   readonly #options: JobCrashGuardOptions;
   readonly #job: jobs.ForwardJob;
   #digest: crashRecords.WorkDigest | undefined;
-  /** Name of the granted run under way, if any. */
+  /** Id of the granted run in progress, if any. */
   #grantedRun: string | undefined;
 
   constructor(options: JobCrashGuardOptions, job: jobs.ForwardJob) {
@@ -63,11 +63,12 @@
     this.#job = job;
   }
 
+  /** Returns whether the work may be sent, by the crashes known to this box. */
   getVerdict(): crashRecords.WorkVerdict {
     return this.#options.crashGuard.judge(() => this.getDigest());
   }
 
-  /** Digest of the work; computed where it is asked for, as most is not. */
+  /** Returns the digest of the work, computed on first use. */
   getDigest(): crashRecords.WorkDigest {
     const { sender, method, target, headers, body } = this.#job;
     const host = String(headers["host"] ?? "");
@@ -82,13 +83,13 @@
   }
 
   /**
-   * Asks for one run more, again while others run and an answer would still be
-   * in time.
+   * Requests a grant for one more run of suspect work, and retries while other
+   * runs hold it, until the latency target is near. Work with only one crash is
+   * then permitted without a grant, and likewise if no leader answers, because a
+   * single crash is most often unrelated to the work.
    *
-   * @param listServers Servers that may run it, best first.
-   * @returns Whether it may be sent, and where to. Work that lost one server may
-   * also without a leader, and when its time is nearly over: it is most often
-   * chance, and never refused for it.
+   * @param listServers Lists the servers that may run the work, best first.
+   * @returns The permission, or why the work is held back.
    */
   async requestGrant(
     listServers: () => readonly registry.LifetimeKey[],
@@ -100,7 +101,7 @@
       if (verdict.kind === "free") return ANY_SERVER;
       if (verdict.kind === "heldBack") return verdict;
       const servers = listServers();
-      // Without a server the job waits or is given up as any other is.
+      // The caller handles the lack of servers as for any other job.
       if (servers.length === 0) return ANY_SERVER;
       const mayRunWithoutGrant = verdict.ended <= MAX_ENDED_WITHOUT_GRANT;
       const run = crypto.randomUUID();
@@ -113,9 +114,9 @@
       switch (answer.kind) {
         case "granted":
           this.#grantedRun = run;
-          return { kind: "sentOn", server: answer.server };
+          return { kind: "permitted", server: answer.server };
         case "unanswered":
-          // It may have been granted all the same, and would hold others up.
+          // The leader may have granted the run and lost only the reply.
           crashGuard.endGrant(this.getDigest(), run);
           if (mayRunWithoutGrant) return ANY_SERVER;
           break;
@@ -132,20 +133,21 @@
     }
   }
 
+  /** Whether another grant request would miss the target or serve nobody. */
   #isTargetNear(): boolean {
     const nowMs = this.#options.clock.getMonotonicMs();
     return nowMs + GRANT_RETRY_MS >= this.#job.targetAtMs ||
       this.#job.cancellation.isCancelled();
   }
 
-  /** Ends the granted run, if there is one. */
+  /** Releases the grant of the run in progress, if any. */
   releaseGrant(): void {
     if (this.#grantedRun === undefined) return;
     this.#options.crashGuard.endGrant(this.getDigest(), this.#grantedRun);
     this.#grantedRun = undefined;
   }
 
-  /** Notes how a try ended, before the next one is chosen. */
+  /** Records a crash or a success of the work before the next attempt. */
   async recordAttempt(
     outcome: jobs.AttemptOutcome,
     server: registry.RegisteredServer,
@@ -162,6 +164,7 @@
     }
   }
 
+  /** Counts and logs that the job was answered without being sent. */
   recordHeldBack(ended: number, returnMs: number): void {
     this.#options.crashGuard.noteHeldBack(
       this.#describeWork(),
--- a/src/forwarding/_job_run.ts
+++ b/src/forwarding/_job_run.ts
@@ -10,15 +10,15 @@
 import type * as serviceQueues from "./_service_queue.ts";
 import * as watchedAttempts from "./_watched_attempt.ts";
 
-/** When refused callers come back where load is not weighed, in ms. */
+/** Retry delay of refused callers if forwarding is not load-aware, in ms. */
 const DEFAULT_RETRY_AFTER_MS = 150;
-/** Servers that may refuse a request unrun before it waits or is given up. */
+/** Maximum refusals of a request before it is queued or fails. */
 const MAX_REFUSALS = 8;
-/** The same for a request that has waited and whose turn has come. */
+/** Maximum refusals each time that a queued request gets its turn. */
 const MAX_REFUSALS_PER_TURN = 2;
 const FIRST_ERROR_STATUS = 500;
 
-/** Follows one job over all its attempts. */
+/** Runs one job through attempts, retries, hedging and queueing to its outcome. */
 export class JobRun {
   readonly #options: forwarderOptions.ForwarderOptions;
   readonly #queue: serviceQueues.ServiceQueue;
@@ -27,20 +27,20 @@
   readonly #slotWait: slotWaits.SlotWait;
   readonly #resolve: (outcome: jobs.ForwardOutcome) => void;
   readonly #picker: serverPickers.ServerPicker;
-  /** Attempts under way, and when they were sent, in monotonic ms. */
+  /** Attempts in progress, with the times they were sent, in monotonic ms. */
   readonly #runningAttempts = new Map<csp.Cancellation, number>();
   readonly #onAbandon = () => this.#settle({ kind: "abandoned" });
+  /** Attempts sent and not refused. */
   #sentCount = 0;
   #maxRefusals = MAX_REFUSALS;
-  /** Whether a server that runs refused it; one that is gone frees no place. */
+  /** Whether a running server refused the job, so that a slot may become free. */
   #wasRefusedAsBusy = false;
   #mayHaveRun = false;
-  /** When the run that counts was sent, in monotonic ms. */
+  /** Send time of the run reported to `onStarted`, in monotonic ms. */
   #startedAtMs: number | undefined;
   #isSettled = false;
   #lastReason = "no server is ready";
   #errorAnswer: jobs.ServerAnswer | undefined;
-  /** Whether a grant is being asked for. */
   #isRequestingGrant = false;
   #cancelDeadline: clocks.CancelTimer = () => {};
   #cancelHedge: clocks.CancelTimer = () => {};
@@ -61,6 +61,7 @@
     this.#resolve = resolve;
   }
 
+  /** Starts the first attempt and the deadline timer. */
   start(): void {
     const { cancellation, deadlineAtMs } = this.#job;
     cancellation.add(this.#onAbandon);
@@ -84,9 +85,9 @@
   }
 
   /**
-   * Sends the job on, unless servers ended under its work. Such work goes to one
-   * server at a time, and to none once three have ended: sent on as if new, it
-   * ended ten and more, and left its service without any server.
+   * Starts the next attempt. Work under which servers crashed runs on one server
+   * at a time, with a grant, and is held back after too many crashes, so that it
+   * cannot take down all servers of its service.
    */
   #tryNext(): void {
     if (this.#isSettled) return;
@@ -116,11 +117,11 @@
     this.#sendToServer(answer.server);
   }
 
-  /** Answers at once that the work is sent nowhere. */
+  /** Settles the job without sending it again. */
   #holdBack({ ended, returnMs }: jobCrashGuards.HeldBack): void {
     if (this.#runningAttempts.size > 0) return;
     this.#crashGuard.recordHeldBack(ended, returnMs);
-    const reason = `${ended} servers ended while they ran it`;
+    const reason = `${ended} servers ended while they ran the request`;
     if (this.#errorAnswer !== undefined) {
       return this.#settle({ kind: "answered", answer: this.#errorAnswer });
     }
@@ -131,7 +132,7 @@
     );
   }
 
-  /** @param preferred Server that it should be; undefined for the best one. */
+  /** @param preferred Server to send to; undefined for the best one. */
   #sendToServer(preferred?: registry.LifetimeKey): void {
     const server = this.#canTry() ? this.#picker.pick(preferred) : undefined;
     if (server === undefined) {
@@ -144,7 +145,7 @@
     void this.#runAttempt(server);
   }
 
-  /** Asks a second server when the first is silent for long. */
+  /** Schedules a hedged request for when the first server does not answer. */
   #scheduleHedge(): void {
     this.#cancelHedge();
     if (
@@ -159,11 +160,11 @@
   }
 
   /**
-   * A second try goes only to a server with a free place: beside full servers
-   * it would take a place from a request that has none yet.
+   * Whether a hedged request can be sent. It needs a free slot, as it would
+   * otherwise compete with requests that have no server yet.
    */
   #canHedge(): boolean {
-    const { loads, isLoadAware: isLoadAware } = this.#options;
+    const { loads, isLoadAware } = this.#options;
     const server = this.#picker.pick();
     if (server === undefined) return false;
     return !isLoadAware || loads.hasFreeSlot(server);
@@ -186,7 +187,7 @@
     const durationMs = clock.getMonotonicMs() - startMs;
     recordOutcomes.recordAttempt(loads, server.lifetime, {
       outcome,
-      durationMs: durationMs,
+      durationMs,
       isJobPending: !this.#isSettled,
     });
     await this.#crashGuard.recordAttempt(outcome, server);
@@ -198,7 +199,7 @@
     if (outcome.kind === "answered") this.#queue.recordFreedSlot();
   }
 
-  /** The run that was answered counts, else the first that may have been. */
+  /** Keeps the start of the answered run, else of the first that may have run. */
   #recordStart(outcome: jobs.AttemptOutcome, startMs: number): void {
     if (outcome.kind === "answered") this.#startedAtMs = startMs;
     if (outcome.kind === "broken") this.#startedAtMs ??= startMs;
@@ -232,7 +233,7 @@
     if (!mayRetry) return this.#settle({ kind: "answered", answer });
     this.#errorAnswer = answer;
     this.#lastReason = `the server answered ${answer.status}`;
-    this.#tryAnother();
+    this.#retry();
   }
 
   #handleFailure(
@@ -254,15 +255,15 @@
     });
     const mustStop = this.#mayHaveRun && !this.#job.isRepeatable;
     if (mustStop) return this.#giveUp();
-    this.#tryAnother();
+    this.#retry();
   }
 
-  #tryAnother(): void {
+  #retry(): void {
     if (this.#runningAttempts.size === 0) return this.#tryNext();
     if (this.#canTry()) this.#tryNext();
   }
 
-  /** Ends the job unless an attempt is still under way. */
+  /** Settles or queues the job, unless an attempt is still in progress. */
   #giveUp(): void {
     if (this.#runningAttempts.size > 0) return;
     if (this.#errorAnswer !== undefined) {
@@ -276,11 +277,11 @@
     if (!this.#slotWait.hasFullServer()) {
       return this.#refuse(this.#queue.assignRetryAfterMs());
     }
-    this.#lastReason = "every server refused others as full just now";
+    this.#lastReason = "every server recently refused requests as full";
     this.#waitForSlot();
   }
 
-  /** Waits for a place after all servers refused. */
+  /** Queues the job for a free slot after all servers refused. */
   #waitForSlot(): void {
     const { priority, targetAtMs } = this.#job;
     const giveUpAtMs = this.#slotWait.start();
@@ -306,6 +307,7 @@
     });
   }
 
+  /** Calls `onStarted` if the request may have run. */
   #reportStart(): void {
     const [runningSinceMs] = this.#runningAttempts.values();
     const startedAtMs = this.#startedAtMs ?? runningSinceMs;
--- a/src/forwarding/_record_outcome.ts
+++ b/src/forwarding/_record_outcome.ts
@@ -4,26 +4,25 @@
 
 const FIRST_ERROR_STATUS = 500;
 
-/** A try that has ended. */
+/** An attempt that has ended. */
 export interface FinishedAttempt {
   readonly outcome: jobs.AttemptOutcome;
   readonly durationMs: number;
-  /** Whether its job still waited for an answer. */
+  /** Whether the job had not been settled when the attempt ended. */
   readonly isJobPending: boolean;
 }
 
 /**
- * Tells the loads what a try says of its server.
+ * Updates the load and failure rate of a server after an attempt.
  *
  * @param loads Loads of all servers.
- * @param server Start of the server that was tried.
- * @param ended The try.
+ * @param server Lifetime of the server.
+ * @param attempt The attempt.
  */
 export function recordAttempt(
   loads: serverLoads.ServerLoads,
   server: registry.LifetimeKey,
-  { outcome, durationMs: durationMs, isJobPending: isJobPending }:
-    FinishedAttempt,
+  { outcome, durationMs, isJobPending }: FinishedAttempt,
 ): void {
   switch (outcome.kind) {
     case "answered":
@@ -35,8 +34,8 @@
       loads.recordOutcome(server, false);
       return;
     case "broken":
-      // A try that was cancelled because another one answered first, or
-      // because its caller left, says nothing of the server's soundness.
+      // An attempt cancelled because the job was settled is not a failure of
+      // the server.
       loads.recordUnanswered(server, durationMs);
       if (isJobPending) loads.recordOutcome(server, false);
       return;
@@ -44,11 +43,11 @@
 }
 
 /**
- * Notes the load that a server told, with an answer or a refusal.
+ * Records the load that a server reported with an answer or a refusal.
  *
  * @param loads Loads of all servers.
- * @param server Start of the server that was tried.
- * @param outcome What became of the try.
+ * @param server Lifetime of the server.
+ * @param outcome Outcome of the attempt.
  */
 export function recordReportedLoad(
   loads: serverLoads.ServerLoads,
--- a/src/forwarding/_server_picker.ts
+++ b/src/forwarding/_server_picker.ts
@@ -2,13 +2,13 @@
 import * as chooseServer from "./choose_server.ts";
 import type * as forwarderOptions from "./forwarder_options.ts";
 
-/** Picks servers for one job, and remembers those that had or refused it. */
+/** Chooses servers for one job; tracks which were tried and which refused. */
 export class ServerPicker {
   readonly #options: forwarderOptions.ForwarderOptions;
   readonly #service: string;
   readonly #tried = new Set<registry.LifetimeKey>();
   readonly #refused = new Set<registry.LifetimeKey>();
-  /** Whether the job's turn came after a wait. */
+  /** Whether the job was queued and its turn has come. */
   #hasWaited = false;
 
   constructor(
@@ -20,11 +20,10 @@
   }
 
   /**
-   * Picks a server.
+   * Picks a server for the next attempt.
    *
-   * @param preferred The one that it should be; undefined for the best one.
-   * @returns The server, or another one where that has gone meanwhile, or
-   * undefined when there is none.
+   * @param preferred Server to use if it is ready; undefined for the best one.
+   * @returns The preferred or else the best server; undefined if there is none.
    */
   pick(
     preferred?: registry.LifetimeKey,
@@ -36,7 +35,7 @@
     return found ?? chooseServer.chooseServer(options);
   }
 
-  /** Servers that may have the job next, best first. */
+  /** Lists the servers that may run the job next, best first. */
   listCandidates(): readonly registry.LifetimeKey[] {
     return chooseServer.rankServers(this.#createChoiceOptions())
       .map(({ lifetime }) => lifetime);
@@ -54,14 +53,14 @@
     return this.#refused.size;
   }
 
-  /** Begins anew with all servers, as the job's turn has come. */
+  /** Makes all servers eligible again, including those marked as full. */
   startTurn(): void {
     this.#hasWaited = true;
     this.#refused.clear();
   }
 
   #createChoiceOptions(): chooseServer.ServerChoiceOptions {
-    const { servers, isLoadAware: isLoadAware } = this.#options;
+    const { servers, isLoadAware } = this.#options;
     return {
       ...this.#options,
       servers: servers.listReady(this.#service),
--- a/src/forwarding/_service_queue.ts
+++ b/src/forwarding/_service_queue.ts
@@ -2,24 +2,23 @@
 import type * as clocks from "../clock/mod.ts";
 
 /**
- * Between two tries for the first in line while no answer comes, in ms. Places
- * also come free by requests of other boxes, which only a try shows; 25 tries a
- * second are few beside what a full service answers.
+ * Interval at which the head of the queue is retried while no answers arrive, in
+ * ms. Slots freed by requests of other boxes can be found only by an attempt.
  */
 const PROBE_INTERVAL_MS = 40;
 
-/** How long a request may wait, and before whom. */
+/** Priority and time limits of a queued request. */
 export type QueueEntry = Omit<admission.WaitingRequest, "id">;
 
-/** Told what became of a wait; exactly one of both is called, once. */
+/** Callbacks of a queued request; exactly one is called, once, unless it leaves. */
 export interface QueueListener {
-  /** A place may be free. */
+  /** Called when a slot may be free. */
   readonly onTurn: () => void;
-  /** It waited in vain; when its caller should come back, in ms. */
+  /** Called when the wait is over; the caller should retry after `returnMs`. */
   readonly onRefuse: (returnMs: number) => void;
 }
 
-/** Gives the requests of one service their turns as places come free. */
+/** Queues the requests of one service and dispatches them as slots are freed. */
 export class ServiceQueue {
   readonly #clock: clocks.Clock;
   readonly #queue = new admission.WaitingLine();
@@ -32,9 +31,9 @@
   }
 
   /**
-   * Waits for a place, or is refused at once where that would be in vain.
+   * Queues a request, or refuses it at once if its turn would come too late.
    *
-   * @returns Ends the wait without a word to the listener.
+   * @returns Removes the request from the queue without calling the listener.
    */
   enqueue(entry: QueueEntry, listener: QueueListener): () => void {
     this.#sequence += 1;
@@ -53,12 +52,12 @@
     };
   }
 
-  /** Gives the time after which a refused caller should come back, in ms. */
+  /** Assigns the delay after which a refused caller should retry, in ms. */
   assignRetryAfterMs(): number {
     return this.#queue.refuse(this.#clock.getMonotonicMs());
   }
 
-  /** Notes that a server answered, so that a place at it came free. */
+  /** Records that a server answered, and gives its slot to the next request. */
   recordFreedSlot(): void {
     this.#queue.noteFreed(this.#clock.getMonotonicMs());
     this.#notifyNext();
--- a/src/forwarding/_slot_wait.ts
+++ b/src/forwarding/_slot_wait.ts
@@ -3,11 +3,11 @@
 import type * as forwarderOptions from "./forwarder_options.ts";
 import * as waitDeadlines from "./_compute_wait_deadline.ts";
 
-/** The wait of a job for a place at a server. */
+/** Tracks how long one job is queued for a free slot at a server. */
 export class SlotWait {
   readonly #options: forwarderOptions.ForwarderOptions;
   readonly #job: jobs.ForwardJob;
-  /** When it began, in monotonic ms. */
+  /** Start of the wait, in monotonic ms; undefined before `start`. */
   #startedAtMs: number | undefined;
   #giveUpAtMs = 0;
 
@@ -19,16 +19,16 @@
     this.#job = job;
   }
 
-  /** Whether servers of the service run, and were full just now. */
+  /** Whether a ready server of the service is marked as full. */
   hasFullServer(): boolean {
     const { loads } = this.#options;
     return this.#listReady().some((server) => loads.isFull(server.lifetime));
   }
 
   /**
-   * Begins to wait, or goes on where it began before.
+   * Starts the wait. Further calls keep the original start and end.
    *
-   * @returns When it must have got a place, in monotonic ms.
+   * @returns Time by which the job must get a slot, in monotonic ms.
    */
   start(): number {
     if (this.#startedAtMs !== undefined) return this.#giveUpAtMs;
@@ -45,7 +45,7 @@
     return this.#giveUpAtMs;
   }
 
-  /** How long it has waited, in whole ms; 0 if it never did. */
+  /** Returns the time since `start` in whole ms; 0 before it. */
   getWaitedMs(): number {
     const nowMs = this.#options.clock.getMonotonicMs();
     return Math.round(nowMs - (this.#startedAtMs ?? nowMs));
--- a/src/forwarding/_watched_attempt.ts
+++ b/src/forwarding/_watched_attempt.ts
@@ -2,16 +2,16 @@
 import * as attempts from "./_attempt.ts";
 import type * as jobs from "./forward_job.ts";
 
-const RESTART_REASON = "the server started again";
+const RESTART_REASON = "the server restarted";
 
 /**
- * Sends one attempt, and ends it when its server starts again: it is lost then,
- * which a silent connection tells only at the deadline.
+ * Sends one attempt and cancels it if its server restarts. The request is lost
+ * then, but a half-open connection would not fail before the deadline.
  *
- * @param servers Where a later start of the server is learned of.
+ * @param servers Registry that reports restarts and is told of absent servers.
  * @param options The attempt.
- * @param sendAttempt Sends it.
- * @returns What became of it.
+ * @param sendAttempt Sends the attempt; over HTTP by default.
+ * @returns The outcome of the attempt.
  */
 export async function sendWatched(
   servers: Pick<registry.ServerRegistry, "watch" | "markAbsent">,
--- a/src/forwarding/choose_server.ts
+++ b/src/forwarding/choose_server.ts
@@ -1,32 +1,34 @@
 import type * as registry from "../registry/mod.ts";
 import type * as serverLoads from "./server_loads.ts";
 
-/** What a choice goes by. */
+/** Candidate servers and the criteria to choose among them. */
 export interface ServerChoiceOptions {
   readonly servers: readonly registry.RegisteredServer[];
   readonly loads: serverLoads.ServerLoads;
-  /** Servers that had this request already; taken only when there is no other. */
+  /** Servers that were sent this request before; used only as a last resort. */
   readonly tried: ReadonlySet<registry.LifetimeKey>;
-  /** Servers that refused this request unrun; not asked again. */
+  /** Servers that refused this request without running it; excluded. */
   readonly refused: ReadonlySet<registry.LifetimeKey>;
-  /** Whether servers that refused others just now are passed over. */
+  /** Whether servers that recently refused a request as full are excluded. */
   readonly avoidsFull: boolean;
+  /** Failure domain of this box. */
   readonly failureDomain: string;
-  /** Gives a number from 0 up to, but not including, 1. */
+  /** Returns a random number from 0 up to, but not including, 1. */
   readonly draw: () => number;
 }
 
-/** What crossing failure domains costs against an estimate, in ms. */
+/** Latency added to servers in another failure domain, in ms. */
 const CROSS_DOMAIN_COST_MS = 2;
-/** Spread of the tie break, in ms, so that boxes do not all pick the same. */
+/** Maximum random latency added, in ms, so that boxes spread over equal servers. */
 const MAX_JITTER_MS = 3;
 
 /**
- * Picks the server that should answer first. Servers that broke a request
- * lately, or had this one, are taken only when there is no other.
+ * Chooses the server with the lowest estimated latency. Servers that recently
+ * broke a request, or were sent this one before, are used only if there is no
+ * other.
  *
- * @param options The servers and what is known of them.
- * @returns The server, or undefined when there is none.
+ * @param options The candidate servers and their loads.
+ * @returns The server, or undefined if none is eligible.
  */
 export function chooseServer(
   options: ServerChoiceOptions,
@@ -55,15 +57,15 @@
   return best;
 }
 
-/** Servers that are named at most; more are hardly taken at once. */
+/** Maximum number of servers in a ranking. */
 const MAX_RANKED = 8;
 
 /**
- * Names the servers that should answer, best first; of those that had the
- * request already one at most, where there is no other.
+ * Ranks the eligible servers, best first. A server that was sent the request
+ * before is listed only if there is no other, and then alone.
  *
- * @param options The servers and what is known of them.
- * @returns Some of them; none when there is none.
+ * @param options The candidate servers and their loads.
+ * @returns At most eight servers; empty if none is eligible.
  */
 export function rankServers(
   options: ServerChoiceOptions,
--- a/src/forwarding/choose_server_test.ts
+++ b/src/forwarding/choose_server_test.ts
@@ -5,7 +5,7 @@
 import * as chooseServer from "./choose_server.ts";
 import * as serverLoads from "./server_loads.ts";
 
-describe("choice of a server", () => {
+describe("chooseServer", () => {
   const servers = ["a", "b", "c"].map((id) =>
     serverFixtures.createServer(id, { service: "app", slots: 4 })
   );
@@ -32,7 +32,7 @@
     });
   }
 
-  it("passes over a server that refused as full, until it answers or some ms on", () => {
+  it("excludes a server that refused as full until it answers or the mark expires", () => {
     for (const id of ["a", "c"]) loads.avoid(id);
     loads.markFull("b");
     chai.expect(choose()?.id).to.not.equal("b");
@@ -45,7 +45,7 @@
     chai.expect(choose()?.id).to.equal("b");
   });
 
-  it("keeps a server's own speed apart from its neighbours' for a while", () => {
+  it("avoids a temporarily slowed server without raising its mean duration", () => {
     const slow = { running: 0, waiting: 0, slowness: 2.5 };
     for (const { id } of servers) loads.recordStart(id);
     loads.recordEnd("a", 100, slow.slowness);
@@ -57,12 +57,12 @@
     chai.expect(choose()?.id).to.equal("a");
   });
 
-  it("names no server where all refused as full just now", () => {
+  it("returns no server if all are marked as full", () => {
     for (const { id } of servers) loads.markFull(id);
     chai.expect(choose()).to.equal(undefined);
   });
 
-  it("chooses the same whatever the number of full servers among many", () => {
+  it("finds the only server that is not full among many", () => {
     const many = Array.from(
       { length: 1_800 },
       (_, index) =>
--- a/src/forwarding/crash_replay_test.ts
+++ b/src/forwarding/crash_replay_test.ts
@@ -3,11 +3,11 @@
 import * as crashRecords from "../crash_record/mod.ts";
 
 const SEEDS = [1, 2] as const;
-/** Share of good requests that may be held back, as work with two servers. */
+/** Maximum share of good requests that may be held back. */
 const MAX_HELD_BACK = 0.001;
 /**
- * Served in time beside bad work, against the same work without it: where a fifth
- * is bad it has come to several boxes before the first server ends.
+ * Minimum of good requests served in time, relative to a run without crashing
+ * work, by the share of crashing work.
  */
 const MIN_SERVED_BY_SHARE: Readonly<Record<number, number>> = {
   0.01: 0.95,
@@ -16,8 +16,9 @@
 };
 
 /**
- * Servers that one piece of work may end: where a fifth of all is bad, copies of
- * it run at several boxes, and second sends of them, before the first has ended.
+ * Maximum number of servers that one piece of work may crash, by the share of
+ * crashing work. At a high share several boxes send it before the first crash is
+ * known.
  */
 const MAX_ENDED_BY_SHARE: Readonly<Record<number, number>> = {
   0.01: crashRecords.MAX_ENDED,
@@ -34,7 +35,7 @@
   chanceEndsPerMin: 0,
 };
 const MANY: Omit<crashReplays.CrashPattern, "badShare"> = {
-  name: "twelve servers, some of which end by chance",
+  name: "twelve servers with unrelated crashes",
   servers: 12,
   boxes: 9,
   requestsPerS: 60,
@@ -48,10 +49,10 @@
   return inTarget / good;
 }
 
-describe("good work beside work that ends servers", () => {
+describe("good work alongside work that crashes servers", () => {
   for (const pattern of [FEW, MANY]) {
     for (const badShare of [0.01, 0.05, 0.2]) {
-      it(`is served and not held back: ${pattern.name}, ${badShare * 100} % bad`, async () => {
+      it(`is served and not held back: ${pattern.name}, ${badShare * 100} % crashing`, async () => {
         for (const seed of SEEDS) {
           const baseline = await crashReplays.replayCrashes(
             { ...pattern, badShare: 0 },
@@ -76,7 +77,7 @@
     }
   }
 
-  it("is lost with all servers where nobody finds out which work is bad", async () => {
+  it("loses its servers if crashing work is not identified", async () => {
     const pattern = { ...FEW, badShare: 0.05 };
     const guarded = await crashReplays.replayCrashes(pattern, 1);
     const unguarded = await crashReplays.replayCrashes(pattern, 1, false);
@@ -88,7 +89,7 @@
     );
   });
 
-  it("is not held back where servers end by chance only", async () => {
+  it("is not held back if all crashes are unrelated to work", async () => {
     const pattern = { ...MANY, badShare: 0, chanceEndsPerMin: 60 };
     for (const seed of SEEDS) {
       const { heldBack, ended } = await crashReplays.replayCrashes(
--- a/src/forwarding/crashing_work_test.ts
+++ b/src/forwarding/crashing_work_test.ts
@@ -16,14 +16,14 @@
 const CRASHING = "bad";
 const SERVERS = 5;
 
-describe("forwarding of work under which servers end", () => {
+describe("forwarding of work that crashes servers", () => {
   const clock = new clocks.SystemClock();
   let servers: http.Server[] = [];
   let receivedBy: string[] = [];
   let serverRegistry = new registry.ServerRegistry(clock, 60_000);
   let table = new crashRecords.CrashTable();
   let loads = new serverLoads.ServerLoads(clock);
-  /** Whether a server that breaks off bad work ends, or only resets it. */
+  /** Whether crashing work stops the server or only resets its connection. */
   let crashesServers = true;
 
   beforeEach(async () => {
@@ -60,7 +60,7 @@
       service: "app",
       port: (server.address() as net.AddressInfo).port,
       slots: 4,
-      // The servers are chosen in their order.
+      // Makes the choice of servers follow their order.
       coldMs: index * 100,
     }));
   }
@@ -100,7 +100,7 @@
     }));
   }
 
-  /** Lets the pause after the second server pass, as a box would see it. */
+  /** Backdates all crash records so that the pause before the last run is over. */
   function expirePause(): void {
     const records = table.list().map((record) => ({
       ...record,
@@ -109,7 +109,7 @@
     table.restore(records);
   }
 
-  it("stops after two servers, and sends nothing while it pauses", async () => {
+  it("stops after two crashes and sends nothing during the pause", async () => {
     const first = await send(CRASHING);
     chai.expect(first.kind).to.equal("failed");
     chai.expect(receivedBy).to.deep.equal(["s0", "s1"]);
@@ -119,7 +119,7 @@
     chai.expect(receivedBy).to.deep.equal(["s0", "s1"]);
   });
 
-  it("sends it to a third server after the pause, and to no fourth", async () => {
+  it("uses a third server after the pause, and no fourth", async () => {
     await send(CRASHING);
     expirePause();
     chai.expect((await send(CRASHING)).kind).to.equal("failed");
@@ -129,14 +129,14 @@
     chai.expect(receivedBy).to.deep.equal(["s0", "s1", "s2"]);
   });
 
-  it("answers other work meanwhile, by servers that live", async () => {
+  it("answers other work from the remaining servers", async () => {
     await send(CRASHING);
     const outcome = await send("good");
     chai.expect(outcome.kind).to.equal("answered");
     chai.expect(receivedBy).to.deep.equal(["s0", "s1", "s2"]);
   });
 
-  it("asks no second server beside a silent one", async () => {
+  it("sends no hedged request for suspect work", async () => {
     await send(CRASHING, { maxAttempts: 1 });
     let release: (() => void) | undefined;
     const held = new Promise<void>((resolve) => {
@@ -155,7 +155,7 @@
     chai.expect(receivedBy).to.deep.equal(["s0", "s1"]);
   });
 
-  it("holds nothing against work whose connections are reset", async () => {
+  it("records no crash for a connection reset", async () => {
     crashesServers = false;
     for (let turn = 0; turn < 4; turn += 1) {
       chai.expect((await send(CRASHING)).kind).to.equal("failed");
@@ -164,7 +164,7 @@
     chai.expect(table.isEmpty()).to.equal(true);
   });
 
-  it("frees work that a server ran to its end", async () => {
+  it("clears work that a server has completed", async () => {
     const [first] = servers;
     first?.removeAllListeners("request");
     first?.on("request", () => first === undefined || endServer(first));
@@ -174,13 +174,13 @@
     chai.expect(crashRecords.countEnded(record)).to.equal(0);
   });
 
-  it("says that the work may have run where it was sent before", async () => {
+  it("reports work that was sent before as failed, as it may have run", async () => {
     const outcome = await send(CRASHING);
     if (outcome.kind !== "failed") throw new Error(outcome.kind);
     chai.expect(outcome.reason).to.contain("servers ended");
   });
 
-  it("waits while others run the same work, and goes on once it is freed", async () => {
+  it("waits while other boxes run the same work and sends it once it is cleared", async () => {
     await send(CRASHING, { maxAttempts: 1 });
     let asked = 0;
     const outcome = await send("bad", { maxAttempts: 1 }, {
@@ -198,7 +198,7 @@
     chai.expect(receivedBy).to.deep.equal(["s0", "s1"]);
   });
 
-  it("answers in time work that lost a server by chance, where no server is free of such work", async () => {
+  it("lets work with one crash share a server if none is free of suspect work", async () => {
     const [first] = servers;
     first?.removeAllListeners("request");
     first?.on("request", () => first === undefined || endServer(first));
@@ -209,11 +209,11 @@
         ),
     });
     chai.expect(outcome.kind).to.equal("answered");
-    // The server that ended tells nothing of what it saw.
+    // The crashed server does not record its request.
     chai.expect(receivedBy).to.deep.equal(["s1"]);
   });
 
-  it("ends a run whose grant may have been lost on its way", async () => {
+  it("releases a grant whose reply may have been lost", async () => {
     const runs: string[] = [];
     await send(CRASHING, { maxAttempts: 1 });
     await send(CRASHING, { maxAttempts: 1 }, {
@@ -229,7 +229,7 @@
     chai.expect(runs[0]).to.equal(runs[1]);
   });
 
-  it("retries once where no leader answers, as the server may have ended by chance", async () => {
+  it("retries once if no leader answers, as one crash may be unrelated", async () => {
     const unanswered = { askGrant: () => Promise.resolve(undefined) };
     chai.expect((await send(CRASHING, {}, unanswered)).kind).to.equal("failed");
     chai.expect(receivedBy).to.deep.equal(["s0", "s1"]);
--- a/src/forwarding/forward_job.ts
+++ b/src/forwarding/forward_job.ts
@@ -2,94 +2,102 @@
 import type * as csp from "../csp/mod.ts";
 import type * as dialects from "../dialect/mod.ts";
 
-/** A request to be answered by some server of a service. */
+/** A request to forward to one of the servers of a service. */
 export interface ForwardJob {
   readonly requestId: string;
-  /** Whose request it is. */
+  /** Client account or other party that sent the request. */
   readonly sender: accounts.Sender;
   readonly service: string;
   readonly method: string;
+  /** Request target: path and query. */
   readonly target: string;
-  /** Headers as the caller sent them. */
+  /** Headers as received from the caller. */
   readonly headers: dialects.HeaderMap;
   readonly body: Buffer;
-  /** Rank of its kind among requests that wait; 0 goes first. */
+  /** Queue priority; 0 is the highest. */
   readonly priority: number;
-  /** When the answer loses its full worth, in monotonic ms. */
+  /** Latency target: an answer after this time is late, in monotonic ms. */
   readonly targetAtMs: number;
-  /** When the answer is due, in monotonic ms. */
+  /** Deadline, after which the job fails as expired, in monotonic ms. */
   readonly deadlineAtMs: number;
-  /** Servers that may work on it at most. */
+  /** Maximum number of servers that may run the request. */
   readonly maxAttempts: number;
-  /** Whether it may run more than once. */
+  /** Whether the request is idempotent and may run more than once. */
   readonly isRepeatable: boolean;
-  /** Whether an answer of 500 is worth another server. */
+  /** Whether a 5xx answer is retried on another server. */
   readonly retriesErrors: boolean;
-  /** Silence after which a second server is asked as well, in ms. */
+  /** Time without an answer after which a hedged request is sent, in ms. */
   readonly hedgeMs: number;
-  /** Told once, at the end, when the run began; not told if none did. */
-  readonly onStarted?: (beganAtMs: number) => void;
-  /** Cancelled once the caller has left. */
+  /**
+   * Called at most once, when the job ends, with the time at which its run was
+   * sent, in monotonic ms. Not called if the request cannot have run.
+   */
+  readonly onStarted?: (startedAtMs: number) => void;
+  /** Cancelled when the caller disconnects. */
   readonly cancellation: csp.Cancellation;
 }
 
-/** A whole answer of a server. */
+/** A complete answer of a server. */
 export interface ServerAnswer {
+  /** Id of the server. */
   readonly server: string;
   readonly status: number;
   readonly headers: dialects.HeaderMap;
   readonly head: dialects.AnswerHead;
   readonly body: Buffer;
   /**
-   * Whether its length was told. Where it was not, the end of the connection
-   * ended it, and a server that crashed midway ends it as well.
+   * Whether the body is delimited by a length or chunked encoding. If it ends
+   * with the connection instead, a truncated body cannot be detected.
    */
   readonly isFramed: boolean;
 }
 
-/** What became of a job. */
+/** Final outcome of a job. */
 export type ForwardOutcome =
   | { readonly kind: "answered"; readonly answer: ServerAnswer }
-  /** No server ran it, and none will. */
+  /** No server ran the request, and none will. */
   | {
     readonly kind: "notRun";
     readonly reason: string;
-    /** When its caller should come back, in ms. */
+    /** Delay after which the caller should retry, in ms. */
     readonly returnMs: number;
-    /** How long it waited for a place, in ms. */
+    /** Time that the job was queued for a free slot, in ms. */
     readonly waitedMs: number;
   }
-  /** It was not sent, as servers ended while they ran the same work. */
+  /** Not sent, because servers crashed while they ran the same work. */
   | {
     readonly kind: "heldBack";
     readonly reason: string;
-    /** When its caller should come back, in ms. */
+    /** Delay after which the caller should retry, in ms. */
     readonly returnMs: number;
   }
-  /** It may have run, but no whole answer came. */
+  /** The request may have run, but no complete answer arrived. */
   | { readonly kind: "failed"; readonly reason: string }
-  /** The deadline passed; it may have run where it was sent. */
+  /** The deadline passed; if the request was sent, it may have run. */
   | { readonly kind: "expired"; readonly wasSent: boolean }
+  /** The caller disconnected. */
   | { readonly kind: "abandoned" };
 
-/** What became of one attempt at one server. */
+/** Outcome of one attempt at one server. */
 export type AttemptOutcome =
   | { readonly kind: "answered"; readonly answer: ServerAnswer }
+  /** The server did not run the request. */
   | {
     readonly kind: "notRun";
     readonly reason: string;
-    /** Whether the server itself refused, as it does when it is full. */
+    /** Whether the server itself refused, for example because it is full. */
     readonly isBusy: boolean;
-    /** Whether another server than the one that was meant answered. */
+    /** Whether a different server answered at the address. */
     readonly isWrongServer?: boolean;
-    /** Load that the server told with its refusal. */
+    /** Load that the server reported with its refusal. */
     readonly load?: dialects.ServerLoad | undefined;
   }
+  /** The request may have run, but no valid answer arrived. */
   | {
     readonly kind: "broken";
     readonly reason: string;
-    /** Whether the server closed or reset the connection in its midst. */
+    /** Whether the server closed or reset the connection during the exchange. */
     readonly isClosed: boolean;
-    /** Whether its lifetime is known to have ended. */
+    /** Whether the server process that got the request is known to have ended. */
     readonly isLifetimeEnded?: boolean;
   };
--- a/src/forwarding/forwarder.ts
+++ b/src/forwarding/forwarder.ts
@@ -3,7 +3,7 @@
 import * as jobRuns from "./_job_run.ts";
 import * as serviceQueues from "./_service_queue.ts";
 
-/** Sends requests to backend servers, again and beside where that is allowed. */
+/** Sends requests to backend servers, with retries and hedging where allowed. */
 export class Forwarder {
   readonly #options: forwarderOptions.ForwarderOptions;
   readonly #queues = new Map<string, serviceQueues.ServiceQueue>();
@@ -12,7 +12,11 @@
     this.#options = options;
   }
 
-  /** Has a job answered within its bounds. */
+  /**
+   * Forwards a job within its deadline and attempt limits.
+   *
+   * @returns The outcome; the promise never rejects.
+   */
   send(job: jobs.ForwardJob): Promise<jobs.ForwardOutcome> {
     return new Promise((resolve) => {
       const queue = this.#getQueue(job.service);
--- a/src/forwarding/forwarder_options.ts
+++ b/src/forwarding/forwarder_options.ts
@@ -5,20 +5,22 @@
 import type * as jobCrashGuards from "./_job_crash_guard.ts";
 import type * as serverLoads from "./server_loads.ts";
 
-/** What a forwarder needs. */
+/** Options of a `Forwarder`. */
 export interface ForwarderOptions extends jobCrashGuards.JobCrashGuardOptions {
   readonly log: logs.Log;
   readonly servers: registry.ServerRegistry;
   readonly loads: serverLoads.ServerLoads;
   readonly dialect: dialects.Dialect;
+  /** Failure domain of this box; its servers are preferred. */
   readonly failureDomain: string;
+  /** Returns a random number from 0 up to, but not including, 1. */
   readonly draw: () => number;
   /**
-   * Whether load is weighed: requests that full servers refused wait for a
-   * place, full servers are passed over, second tries go only to free places,
-   * and refused callers come back in turn.
+   * Whether forwarding takes load into account: requests refused by full servers
+   * are queued for a free slot, full servers are passed over, hedged requests
+   * need a free slot, and refused callers get staggered retry delays.
    */
   readonly isLoadAware: boolean;
-  /** Sends one attempt; over HTTP unless given. */
+  /** Sends one attempt; sends it over HTTP by default. */
   readonly sendAttempt?: typeof attempts.sendAttempt;
 }
--- a/src/forwarding/forwarding_test.ts
+++ b/src/forwarding/forwarding_test.ts
@@ -18,147 +18,147 @@
 const REFUSE = fixtures.answer(503, { "not-run": "1" });
 
 describe("forwarding", () => {
-  const backends = new fixtures.ScriptedServers();
-  const { clock } = backends;
+  const servers = new fixtures.ScriptedServers();
+  const { clock } = servers;
 
-  beforeEach(() => backends.start());
+  beforeEach(() => servers.start());
 
-  afterEach(() => backends.stop());
+  afterEach(() => servers.stop());
 
-  it("gives a whole answer unchanged", async () => {
-    backends.handlers = [fixtures.answer(200, { extra: "kept" })];
-    const outcome = await backends.send();
+  it("returns a complete answer unchanged", async () => {
+    servers.handlers = [fixtures.answer(200, { extra: "kept" })];
+    const outcome = await servers.send();
     if (outcome.kind !== "answered") throw new Error(outcome.kind);
     chai.expect(outcome.answer.body.toString()).to.equal("body");
     chai.expect(outcome.answer.headers["extra"]).to.equal("kept");
-    chai.expect(backends.receivedBy).to.deep.equal(["s0"]);
+    chai.expect(servers.receivedBy).to.deep.equal(["s0"]);
   });
 
-  it("tells whether a server gave the length of its answer", async () => {
-    backends.handlers = [(request, response) => {
+  it("reports whether an answer body is delimited", async () => {
+    servers.handlers = [(request, response) => {
       response.useChunkedEncodingByDefault = false;
       response.writeHead(200, { id: "job", receipt: "r", connection: "close" });
       response.end("body");
       request.resume();
     }];
-    const unframed = await backends.send();
+    const unframed = await servers.send();
     if (unframed.kind !== "answered") throw new Error(unframed.kind);
     chai.expect(unframed.answer.isFramed).to.equal(false);
-    backends.handlers = [fixtures.answer(200)];
-    const framed = await backends.send();
+    servers.handlers = [fixtures.answer(200)];
+    const framed = await servers.send();
     if (framed.kind !== "answered") throw new Error(framed.kind);
     chai.expect(framed.answer.isFramed).to.equal(true);
   });
 
   const broken: Readonly<Record<string, fixtures.RequestHandler>> = {
     "an answer to another request": fixtures.answer(200, { id: "other" }),
-    "an answer without receipt": (_request, response) => {
+    "an answer without a receipt": (_request, response) => {
       response.writeHead(200, { id: "job" });
       response.end("body");
     },
-    "half an answer": answerTruncated,
-    "bytes that are no answer": (request) => {
+    "a truncated answer": answerTruncated,
+    "a malformed answer": (request) => {
       request.socket.end("garbage\r\n\r\n");
     },
     "a closed connection": (request) => request.socket.destroy(),
   };
   for (const [name, script] of Object.entries(broken)) {
-    it(`asks another server after ${name}, if it may run twice`, async () => {
-      backends.handlers = [script, fixtures.answer(200)];
-      const outcome = await backends.send();
+    it(`retries an idempotent request after ${name}`, async () => {
+      servers.handlers = [script, fixtures.answer(200)];
+      const outcome = await servers.send();
       chai.expect(outcome.kind).to.equal("answered");
-      chai.expect(backends.receivedBy).to.deep.equal(["s0", "s1"]);
+      chai.expect(servers.receivedBy).to.deep.equal(["s0", "s1"]);
     });
 
-    it(`never runs a request twice that may not, after ${name}`, async () => {
-      backends.handlers = [script, fixtures.answer(200)];
-      const outcome = await backends.send({ isRepeatable: false });
+    it(`does not retry a request that may run only once after ${name}`, async () => {
+      servers.handlers = [script, fixtures.answer(200)];
+      const outcome = await servers.send({ isRepeatable: false });
       chai.expect(outcome.kind).to.equal("failed");
-      chai.expect(backends.receivedBy).to.deep.equal(["s0"]);
+      chai.expect(servers.receivedBy).to.deep.equal(["s0"]);
     });
   }
 
-  it("takes a refusal elsewhere, also of a request that may run only once", async () => {
-    backends.handlers = [REFUSE, REFUSE, fixtures.answer(200)];
-    const outcome = await backends.send({
+  it("retries a refused request elsewhere even if it may run only once", async () => {
+    servers.handlers = [REFUSE, REFUSE, fixtures.answer(200)];
+    const outcome = await servers.send({
       isRepeatable: false,
       maxAttempts: 1,
     });
     chai.expect(outcome.kind).to.equal("answered");
-    chai.expect(backends.receivedBy).to.deep.equal(["s0", "s1", "s2"]);
+    chai.expect(servers.receivedBy).to.deep.equal(["s0", "s1", "s2"]);
   });
 
-  it("says that nothing ran once every server refused, asking each once", async () => {
-    backends.handlers = [REFUSE, REFUSE, REFUSE];
-    chai.expect((await backends.send()).kind).to.equal("notRun");
-    chai.expect(backends.receivedBy).to.deep.equal(["s0", "s1", "s2"]);
+  it("reports that nothing ran after every server refused once", async () => {
+    servers.handlers = [REFUSE, REFUSE, REFUSE];
+    chai.expect((await servers.send()).kind).to.equal("notRun");
+    chai.expect(servers.receivedBy).to.deep.equal(["s0", "s1", "s2"]);
   });
 
-  it("does not say that nothing ran where one server may have run it", async () => {
-    backends.handlers = [answerTruncated, REFUSE, REFUSE];
-    chai.expect((await backends.send()).kind).to.equal("failed");
+  it("reports a failure if one server may have run the request", async () => {
+    servers.handlers = [answerTruncated, REFUSE, REFUSE];
+    chai.expect((await servers.send()).kind).to.equal("failed");
   });
 
-  it("goes to no more servers than it may", async () => {
-    backends.handlers = [
+  it("sends no more than the maximum number of attempts", async () => {
+    servers.handlers = [
       answerTruncated,
       answerTruncated,
       fixtures.answer(200),
     ];
-    chai.expect((await backends.send({ maxAttempts: 2 })).kind).to.equal(
+    chai.expect((await servers.send({ maxAttempts: 2 })).kind).to.equal(
       "failed",
     );
-    chai.expect(backends.receivedBy).to.deep.equal(["s0", "s1"]);
+    chai.expect(servers.receivedBy).to.deep.equal(["s0", "s1"]);
   });
 
-  it("gives a server's own error when no other one does better", async () => {
-    backends.handlers = [
+  it("returns a server's 5xx answer if no other server succeeds", async () => {
+    servers.handlers = [
       fixtures.answer(500),
       fixtures.answer(500),
       fixtures.answer(500),
     ];
-    const outcome = await backends.send({ maxAttempts: 2 });
+    const outcome = await servers.send({ maxAttempts: 2 });
     if (outcome.kind !== "answered") throw new Error(outcome.kind);
     chai.expect(outcome.answer.status).to.equal(500);
-    chai.expect(backends.receivedBy).to.deep.equal(["s0", "s1"]);
+    chai.expect(servers.receivedBy).to.deep.equal(["s0", "s1"]);
   });
 
-  it("asks a second server beside a silent one and cancels the first", async () => {
+  it("hedges a request to a silent server and cancels the first attempt", async () => {
     const closed = new Promise((resolve) => {
-      backends.handlers = [
+      servers.handlers = [
         (request) => request.socket.once("close", resolve),
         fixtures.answer(200),
       ];
     });
-    chai.expect((await backends.send({ hedgeMs: 1 })).kind).to.equal(
+    chai.expect((await servers.send({ hedgeMs: 1 })).kind).to.equal(
       "answered",
     );
     await closed;
   });
 
-  it("asks no second server beside one, when it may run only once", async () => {
-    backends.handlers = [(request, response) => {
+  it("does not hedge a request that may run only once", async () => {
+    servers.handlers = [(request, response) => {
       setTimeout(() => fixtures.answer(200)(request, response), 50);
     }, fixtures.answer(200)];
-    await backends.send({ hedgeMs: 1, isRepeatable: false });
-    chai.expect(backends.receivedBy).to.deep.equal(["s0"]);
+    await servers.send({ hedgeMs: 1, isRepeatable: false });
+    chai.expect(servers.receivedBy).to.deep.equal(["s0"]);
   });
 
-  it("cancels the work once the caller has left", async () => {
+  it("cancels the attempt when the caller disconnects", async () => {
     const cancellation = new csp.Cancellation();
     const closed = new Promise((resolve) => {
-      backends.handlers = [(request) => {
+      servers.handlers = [(request) => {
         request.socket.once("close", resolve);
         cancellation.cancel();
       }];
     });
-    chai.expect((await backends.send({ cancellation })).kind).to.equal(
+    chai.expect((await servers.send({ cancellation })).kind).to.equal(
       "abandoned",
     );
     await closed;
   });
 
-  describe("what it learns of servers", () => {
+  describe("latency estimates", () => {
     let fake = new clocks.FakeClock();
     let loads = new serverLoads.ServerLoads(fake);
 
@@ -173,7 +173,7 @@
       );
     }
 
-    it("expects more of a server that answers fast than of one that fails fast", () => {
+    it("are higher for a server that fails fast than for one that answers", () => {
       for (let turn = 0; turn < 4; turn += 1) {
         for (const [id, tookMs] of [["sound", 60], ["failing", 5]] as const) {
           loads.recordStart(id);
@@ -184,14 +184,14 @@
       chai.expect(estimate("failing")).to.be.greaterThan(estimate("sound"));
     });
 
-    it("tries a server that failed again after some seconds", () => {
+    it("recover some seconds after a failure", () => {
       loads.recordOutcome("failing", false);
       const before = estimate("failing");
       fake.extendBy(20_000);
       chai.expect(estimate("failing")).to.be.lessThan(before - 70);
     });
 
-    it("learns from a request given up that its server is slow, not that it is fast", () => {
+    it("rise after a slow unanswered request but never fall after a fast one", () => {
       const first = estimate("a");
       loads.recordStart("a");
       loads.recordUnanswered("a", 10);
@@ -202,23 +202,23 @@
     });
   });
 
-  it("goes to the sound server after the first one answered errors", async () => {
+  it("prefers a healthy server after another one answered with errors", async () => {
     const loads = new serverLoads.ServerLoads(clock);
-    backends.handlers = [
+    servers.handlers = [
       fixtures.answer(500),
       fixtures.answer(200),
       fixtures.answer(200),
     ];
-    for (let turn = 0; turn < 6; turn += 1) await backends.send({}, loads);
-    chai.expect(backends.receivedBy[0]).to.equal("s0");
-    chai.expect(backends.receivedBy.filter((id) => id === "s0").length).to.be
+    for (let turn = 0; turn < 6; turn += 1) await servers.send({}, loads);
+    chai.expect(servers.receivedBy[0]).to.equal("s0");
+    chai.expect(servers.receivedBy.filter((id) => id === "s0").length).to.be
       .lessThan(6);
   });
 
-  it("refuses at once, and says why, where its turn could only come too late", async () => {
+  it("refuses at once, with a reason, if its turn would come too late", async () => {
     const loads = new serverLoads.ServerLoads(clock);
     for (const id of ["s0", "s1", "s2"]) loads.markFull(id);
-    const outcome = await backends.send(
+    const outcome = await servers.send(
       { targetAtMs: clock.getMonotonicMs() },
       loads,
       true,
@@ -226,10 +226,10 @@
     if (outcome.kind !== "notRun") throw new Error(outcome.kind);
     chai.expect(outcome.reason).to.contain("full");
     chai.expect(outcome.returnMs).to.be.greaterThan(0);
-    chai.expect(backends.receivedBy).to.deep.equal([]);
+    chai.expect(servers.receivedBy).to.deep.equal([]);
   });
 
-  it("waits for a place where all servers refuse, and is answered in its turn", async () => {
+  it("queues a request that all servers refuse and sends it in its turn", async () => {
     let refusals = 0;
     function refuseAtFirst(
       request: http.IncomingMessage,
@@ -238,8 +238,8 @@
       refusals += 1;
       (refusals <= 6 ? REFUSE : fixtures.answer(200))(request, response);
     }
-    backends.handlers = [refuseAtFirst, refuseAtFirst, refuseAtFirst];
-    const outcome = await backends.send(
+    servers.handlers = [refuseAtFirst, refuseAtFirst, refuseAtFirst];
+    const outcome = await servers.send(
       {},
       new serverLoads.ServerLoads(clock),
       true,
@@ -248,15 +248,15 @@
     chai.expect(refusals).to.equal(7);
   });
 
-  it("ends at its deadline and says whether it was sent", async () => {
-    backends.handlers = [() => {}];
+  it("expires at its deadline and reports whether it was sent", async () => {
+    servers.handlers = [() => {}];
     const nowMs = clock.getMonotonicMs();
-    chai.expect(await backends.send({ deadlineAtMs: nowMs + 50 })).to.deep
+    chai.expect(await servers.send({ deadlineAtMs: nowMs + 50 })).to.deep
       .equal({
         kind: "expired",
         wasSent: true,
       });
-    const unknown = await backends.send({ service: "none" });
+    const unknown = await servers.send({ service: "none" });
     chai.expect(unknown.kind).to.equal("notRun");
   });
 });
--- a/src/forwarding/load_test.ts
+++ b/src/forwarding/load_test.ts
@@ -2,12 +2,12 @@
 import * as loadReplays from "../fixtures/load_replay.ts";
 
 const SEED = 4;
-/** Share of callers by which two plays of one load differ without a cause. */
+/** Tolerated difference between two replays, as a share of all callers. */
 const NOISE = 0.02;
 
 describe("forwarding under load", () => {
   for (const pattern of loadReplays.LOAD_PATTERNS) {
-    it(`serves more callers where load is weighed: ${pattern.name}`, async () => {
+    it(`serves no fewer callers when load-aware: ${pattern.name}`, async () => {
       const before = await loadReplays.replayLoad(pattern, SEED, false);
       const after = await loadReplays.replayLoad(pattern, SEED, true);
       function getShares(outcome: loadReplays.LoadOutcome) {
@@ -25,14 +25,13 @@
         unaware.refusedTwice + NOISE,
       );
       chai.expect(aware.attempts).to.be.at.most(unaware.attempts + NOISE);
-      // Nobody is held longer than an answer would be in time, and refused then.
+      // A refusal must not take longer than the latency target.
       chai.expect(after.longestRefusalMs).to.be.at.most(pattern.targetMs);
     });
   }
 
-  it("goes round servers that are slow for a moment, where they tell so", async () => {
-    // Servers share machines with others and were 2.5 times slower in spells of
-    // 0.6 s; the mean of their durations says so late, and goes on for long after.
+  it("avoids temporarily slow servers that report their slowness", async () => {
+    // The mean duration alone follows such short slowdowns too late.
     const SPELL_MS = 600;
     const pattern: loadReplays.LoadPattern = {
       ...loadReplays.LOAD_PATTERNS[0]!,
@@ -55,14 +54,14 @@
     chai.expect(lateAfter).to.be.at.most(lateBefore * 0.9);
   });
 
-  it("refuses nobody while there are places for all", async () => {
+  it("refuses no request below capacity", async () => {
     const calm = loadReplays.LOAD_PATTERNS[0]!;
     const outcome = await loadReplays.replayLoad(calm, SEED, true);
     chai.expect(outcome.refusedOnce).to.equal(0);
     chai.expect(outcome.inTarget).to.be.at.least(outcome.asked * 0.99);
   });
 
-  it("serves half as many again in time at twice the capacity, with half the tries", async () => {
+  it("serves 1.5 times as many callers in time at twice the capacity, with half the attempts", async () => {
     const overload = loadReplays.LOAD_PATTERNS.find(({ name }) =>
       name === "twice the capacity"
     )!;
--- a/src/forwarding/mod.ts
+++ b/src/forwarding/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Requests sent on to backend servers, with a true outcome for each.
+ * Forwards requests to backend servers with retries, hedging and queueing, and
+ * reports for each whether it was answered, may have run, or did not run.
  *
  * @example
  * ```ts
--- a/src/forwarding/server_fixture_test.ts
+++ b/src/forwarding/server_fixture_test.ts
@@ -27,13 +27,13 @@
   }),
 } as unknown as dialects.Dialect;
 
-/** What a server does with a request. */
+/** Handles a request at a test server. */
 export type RequestHandler = (
   request: http.IncomingMessage,
   response: http.ServerResponse,
 ) => void;
 
-/** Answers whole, with a receipt. */
+/** Creates a handler that sends a complete answer with a receipt. */
 export function answer(
   status: number,
   headers: Readonly<Record<string, string>> = {},
@@ -48,7 +48,7 @@
 const AMPLE_TIME_MS = 30_000;
 const SERVERS = 3;
 
-/** Makes a job that has plenty of time and may be repeated. */
+/** Creates an idempotent job with ample time. */
 export function createJob(
   clock: clocks.Clock,
   overrides: Partial<jobs.ForwardJob> = {},
@@ -73,17 +73,17 @@
   };
 }
 
-/** Servers on loopback that do what their scripts say, chosen in their order. */
+/** Servers on loopback with scripted handlers, chosen in their order. */
 export class ScriptedServers {
   readonly clock = new clocks.SystemClock();
-  /** What each server does with a request; a test sets them. */
+  /** Handlers by server index, set by each test. */
   handlers: RequestHandler[] = [];
-  /** Names of the servers in the order in which they got requests. */
+  /** Ids of the servers in the order in which they received requests. */
   receivedBy: string[] = [];
   registry = new registry.ServerRegistry(this.clock, 60_000);
   servers: http.Server[] = [];
 
-  /** Starts new ones, with nothing known of any before. */
+  /** Starts new servers with an empty registry. */
   async start(): Promise<void> {
     this.receivedBy = [];
     this.handlers = [];
@@ -100,7 +100,7 @@
         service: "app",
         port: (server.address() as net.AddressInfo).port,
         slots: 4,
-        // The first server is always the first choice, then the second.
+        // Makes the choice of servers follow their order.
         coldMs: index * 100,
       }));
     }
@@ -113,13 +113,13 @@
     }
   }
 
-  /** Sends a job by a forwarder of its own. */
+  /** Sends a job through a new forwarder. */
   send(
     overrides: Partial<jobs.ForwardJob> = {},
     loads = new serverLoads.ServerLoads(this.clock),
     isLoadAware = false,
   ): Promise<jobs.ForwardOutcome> {
-    const forwarder = this.createForwarder({ loads, isLoadAware: isLoadAware });
+    const forwarder = this.createForwarder({ loads, isLoadAware });
     return forwarder.send(createJob(this.clock, overrides));
   }
 
--- a/src/forwarding/server_loads.ts
+++ b/src/forwarding/server_loads.ts
@@ -3,41 +3,43 @@
 import type * as registry from "../registry/mod.ts";
 import * as serverHealth from "../server_health/mod.ts";
 
-/** Weight of the newest duration in a server's mean. */
+/** Weight of the newest duration in a server's moving mean. */
 const SMOOTHING_FACTOR = 0.2;
-/** Duration that a server without history is taken to need, in ms. */
+/** Mean duration assumed for a server without history, in ms. */
 const INITIAL_MEAN_MS = 40;
-/** Age after which a told load says nothing any more, in ms. */
+/** Age after which a reported load is ignored, in ms. */
 const MAX_REPORT_AGE_MS = 1_000;
 /**
- * Time in which a told slowness loses most of its weight, in ms: what neighbours
- * on a machine do changes many times a second.
+ * Time constant with which a reported slowness decays to 1, in ms. Interference
+ * by other processes on a server's box changes within fractions of a second.
  */
 const SLOWNESS_DECAY_MS = 500;
-/** How long a server is passed over after it broke a request, in ms. */
+/** Time for which a server is avoided after it broke a request, in ms. */
 const AVOID_DURATION_MS = 1_500;
 
 /**
- * How long a server that refused because it was full is not asked, in ms, unless
- * it answers something meanwhile; about the time in which one of its places
- * comes free.
+ * Time for which a server counts as full after it refused a request, in ms,
+ * unless it answers another request earlier.
  */
 const FULL_DURATION_MS = 25;
 
-/** What a failed try costs its caller, in ms: a second try on another server. */
+/** Latency that a failed attempt adds for its caller, in ms. */
 const FAILURE_COST_MS = 250;
 
 interface TrackedLoad {
+  /** Requests of this box that the server is running. */
   readonly running: number;
-  /** Mean duration of requests while the server is as fast as usual, in ms. */
+  /** Mean duration of requests at normal speed (slowness 1), in ms. */
   readonly meanMs: number;
-  /** How much longer work took than usual when it told last. */
+  /** Last reported factor by which work takes longer than usual. */
   readonly reportedSlowness: number;
-  /** Requests of others that it told of last. */
+  /** Last reported number of running and waiting requests of other boxes. */
   readonly reportedByOthers: number;
+  /** Time of the last report, in monotonic ms. */
   readonly reportedAtMs: number;
+  /** Time until which the server is avoided, in monotonic ms. */
   readonly avoidUntilMs: number;
-  /** Until when it is taken to be full. */
+  /** Time until which the server counts as full, in monotonic ms. */
   readonly fullUntilMs: number;
 }
 
@@ -52,8 +54,8 @@
 };
 
 /**
- * What this box knows of the load of each start of a backend server: a later
- * start has none of its runs, and proved nothing yet.
+ * Load and latency of backend servers as seen by this box. State is kept per
+ * server lifetime, so a restarted server begins without load or history.
  */
 export class ServerLoads {
   readonly #clock: clocks.Clock;
@@ -65,18 +67,19 @@
     this.#failureRates = new serverHealth.FailureRates(clock);
   }
 
-  /** Notes that a request begins at a server. */
+  /** Records that a request was sent to a server. */
   recordStart(server: registry.LifetimeKey): void {
     const load = this.#get(server);
     this.#loads.set(server, { ...load, running: load.running + 1 });
   }
 
   /**
-   * Notes that a request ended, after how many ms where it was answered. What
-   * the server's neighbours added is taken out, so that it does not look slow
-   * once they rest.
+   * Records that a request to a server ended. The duration is divided by the
+   * slowness, so that temporary interference does not raise the mean duration.
    *
-   * @param slowness How much longer work took than usual, as the answer told.
+   * @param server Lifetime of the server.
+   * @param durationMs Time until the answer, in ms; undefined if unanswered.
+   * @param slowness Factor by which work took longer than usual, as reported.
    */
   recordEnd(
     server: registry.LifetimeKey,
@@ -99,20 +102,20 @@
   }
 
   /**
-   * Notes that a request was given up without an answer. The answer would have
-   * taken longer than `elapsedMs`, which tells of a slow or silent server.
+   * Records that a request ended without an answer. If `elapsedMs` is above the
+   * mean duration it is added to the mean, as a lower bound of the true latency.
    */
   recordUnanswered(server: registry.LifetimeKey, elapsedMs: number): void {
     const isSlow = elapsedMs > this.#get(server).meanMs;
     this.recordEnd(server, isSlow ? elapsedMs : undefined);
   }
 
-  /** Notes whether a try brought an answer that its caller can use. */
+  /** Records whether an attempt produced a usable answer. */
   recordOutcome(server: registry.LifetimeKey, isSuccess: boolean): void {
     this.#failureRates.record(server, isSuccess);
   }
 
-  /** Notes the load that a server told; this box's own part is known better. */
+  /** Records a reported load, less the requests that this box itself has there. */
   recordReport(
     server: registry.LifetimeKey,
     report: dialects.ServerLoad,
@@ -126,19 +129,19 @@
     const reportedSlowness = report.slowness;
     this.#loads.set(server, {
       ...load,
-      reportedByOthers: reportedByOthers,
-      reportedSlowness: reportedSlowness,
-      reportedAtMs: reportedAtMs,
+      reportedByOthers,
+      reportedSlowness,
+      reportedAtMs,
     });
   }
 
-  /** Passes over a server for a while. */
+  /** Avoids a server for a while, after it broke a request. */
   avoid(server: registry.LifetimeKey): void {
     const avoidUntilMs = this.#clock.getMonotonicMs() + AVOID_DURATION_MS;
     this.#loads.set(server, { ...this.#get(server), avoidUntilMs });
   }
 
-  /** Notes that a server refused because it was full. */
+  /** Marks a server that refused a request as full. */
   markFull(server: registry.LifetimeKey): void {
     const fullUntilMs = this.#clock.getMonotonicMs() + FULL_DURATION_MS;
     this.#loads.set(server, { ...this.#get(server), fullUntilMs });
@@ -152,7 +155,7 @@
     return this.#get(server).avoidUntilMs > this.#clock.getMonotonicMs();
   }
 
-  /** Time that a new request is expected to take at a server, in ms. */
+  /** Estimates the latency of a new request at a server, in ms. */
   estimateLatencyMs(server: registry.RegisteredServer): number {
     const load = this.#get(server.lifetime);
     const utilization = this.#countRequests(server) / Math.max(1, server.slots);
@@ -161,21 +164,20 @@
     return workMs + server.coldMs + failureMs;
   }
 
-  /** What was told fades towards as usual. */
+  /** Returns the reported slowness, decayed towards 1 with its age. */
   #getSlowness(
-    { reportedSlowness: reportedSlowness, reportedAtMs: reportedAtMs }:
-      TrackedLoad,
+    { reportedSlowness, reportedAtMs }: TrackedLoad,
   ): number {
     const ageMs = this.#clock.getMonotonicMs() - reportedAtMs;
     return 1 + (reportedSlowness - 1) * Math.exp(-ageMs / SLOWNESS_DECAY_MS);
   }
 
-  /** Whether a server has a place free, as far as is known. */
+  /** Whether a server has a free slot, as far as this box knows. */
   hasFreeSlot(server: registry.RegisteredServer): boolean {
     return this.#countRequests(server) < Math.max(1, server.slots);
   }
 
-  /** Requests at a server: this box's own, and those of others it told of. */
+  /** Counts the requests at a server: this box's own and reported others. */
   #countRequests(server: registry.RegisteredServer): number {
     const load = this.#get(server.lifetime);
     const isReportFresh =
@@ -183,7 +185,7 @@
     return load.running + (isReportFresh ? load.reportedByOthers : 0);
   }
 
-  /** Mean duration of requests at a server, in ms. */
+  /** Returns the mean duration of requests at a server, in ms. */
   getMeanDurationMs(server: registry.LifetimeKey): number {
     return this.#get(server).meanMs;
   }
--- a/src/forwarding/server_restart_test.ts
+++ b/src/forwarding/server_restart_test.ts
@@ -6,28 +6,27 @@
 import * as fixtures from "./server_fixture_test.ts";
 import * as serverLoads from "./server_loads.ts";
 
-describe("forwarding when a server starts again under its id", () => {
-  // A server crashed behind a cut with two requests under way, and started
-  // again 400 ms later. Both were held until their deadline of 30 s, as the
-  // old connections stayed silent.
-  const backends = new fixtures.ScriptedServers();
-  const { clock } = backends;
+describe("forwarding to a server that restarts under the same id", () => {
+  // Guards against requests that hang until their deadline on half-open
+  // connections to a former process of the server.
+  const servers = new fixtures.ScriptedServers();
+  const { clock } = servers;
 
-  beforeEach(() => backends.start());
+  beforeEach(() => servers.start());
 
-  afterEach(() => backends.stop());
+  afterEach(() => servers.stop());
 
   const FIRST_START = { born: 1_000 };
 
   beforeEach(() => {
-    const [first] = backends.registry.listReady("app");
-    backends.registry.merge({ ...first!, ...FIRST_START });
+    const [first] = servers.registry.listReady("app");
+    servers.registry.merge({ ...first!, ...FIRST_START });
   });
 
-  /** The first server holds the request in silence and starts again. */
+  /** Leaves the request unanswered and registers a restart of the server. */
   function restart(): void {
-    const first = backends.registry.get("s0");
-    backends.registry.merge({
+    const first = servers.registry.get("s0");
+    servers.registry.merge({
       ...first!,
       born: 2_000,
       sequence: 0,
@@ -35,36 +34,36 @@
     });
   }
 
-  it("has a request that may run twice answered elsewhere at once", async () => {
-    backends.handlers = [restart, fixtures.answer(200)];
-    const outcome = await backends.send();
+  it("retries an idempotent request elsewhere at once", async () => {
+    servers.handlers = [restart, fixtures.answer(200)];
+    const outcome = await servers.send();
     chai.expect(outcome.kind).to.equal("answered");
-    chai.expect(backends.receivedBy).to.deep.equal(["s0", "s1"]);
+    chai.expect(servers.receivedBy).to.deep.equal(["s0", "s1"]);
   });
 
-  it("ends one that may not at once, as it may have run", async () => {
-    backends.handlers = [restart, fixtures.answer(200)];
-    const outcome = await backends.send({ isRepeatable: false });
+  it("fails a request that may run only once at once, as it may have run", async () => {
+    servers.handlers = [restart, fixtures.answer(200)];
+    const outcome = await servers.send({ isRepeatable: false });
     if (outcome.kind !== "failed") throw new Error(outcome.kind);
-    chai.expect(outcome.reason).to.equal("the server started again");
-    chai.expect(backends.receivedBy).to.deep.equal(["s0"]);
+    chai.expect(outcome.reason).to.equal("the server restarted");
+    chai.expect(servers.receivedBy).to.deep.equal(["s0"]);
   });
 
-  it("asks no server again at whose address another one answered", async () => {
-    backends.handlers = [fixtures.answer(421), fixtures.answer(200)];
-    for (let turn = 0; turn < 3; turn += 1) await backends.send();
-    chai.expect(backends.receivedBy).to.deep.equal(["s0", "s1", "s1", "s1"]);
+  it("does not retry a server at whose address another one answered", async () => {
+    servers.handlers = [fixtures.answer(421), fixtures.answer(200)];
+    for (let turn = 0; turn < 3; turn += 1) await servers.send();
+    chai.expect(servers.receivedBy).to.deep.equal(["s0", "s1", "s1", "s1"]);
   });
 
-  it("takes an answer that was whole before the later start was known", async () => {
-    backends.handlers = [fixtures.answer(200)];
-    const outcome = await backends.send();
+  it("accepts an answer that was complete before the restart was known", async () => {
+    servers.handlers = [fixtures.answer(200)];
+    const outcome = await servers.send();
     restart();
     chai.expect(outcome.kind).to.equal("answered");
   });
 
-  it("refuses the rest of an answer that was not whole by then", async () => {
-    backends.handlers = [
+  it("discards an answer that was incomplete when the restart became known", async () => {
+    servers.handlers = [
       (_request, response) => {
         response.writeHead(200, {
           id: "job",
@@ -77,47 +76,47 @@
       },
       fixtures.answer(200),
     ];
-    const outcome = await backends.send();
+    const outcome = await servers.send();
     if (outcome.kind !== "answered") throw new Error(outcome.kind);
     chai.expect(outcome.answer.body.toString()).to.equal("body");
   });
 
-  it("frees the places of the former start once, and fills none of the later", async () => {
+  it("frees the slots of the former process once and occupies none of the new one", async () => {
     const loads = new serverLoads.ServerLoads(clock);
-    const former = backends.registry.get("s0")!;
-    backends.handlers = [restart, fixtures.answer(200)];
-    await backends.send({}, loads);
-    const later = backends.registry.get("s0")!;
-    const one = { ...later, slots: 1 };
-    chai.expect(loads.hasFreeSlot(one)).to.equal(true);
+    const former = servers.registry.get("s0")!;
+    servers.handlers = [restart, fixtures.answer(200)];
+    await servers.send({}, loads);
+    const later = servers.registry.get("s0")!;
+    const singleSlot = { ...later, slots: 1 };
+    chai.expect(loads.hasFreeSlot(singleSlot)).to.equal(true);
     loads.recordStart(later.lifetime);
-    chai.expect(loads.hasFreeSlot(one)).to.equal(false);
+    chai.expect(loads.hasFreeSlot(singleSlot)).to.equal(false);
     chai.expect(loads.hasFreeSlot({ ...former, slots: 1 })).to.equal(true);
     chai.expect(loads.isAvoided(later.lifetime)).to.equal(false);
   });
 
-  it("sends nothing over a connection that was kept to the former start", async () => {
+  it("does not reuse an idle connection to the former process", async () => {
     let connections = 0;
-    backends.servers[0]?.on("connection", () => connections += 1);
-    backends.registry = new registry.ServerRegistry(
+    servers.servers[0]?.on("connection", () => connections += 1);
+    servers.registry = new registry.ServerRegistry(
       clock,
       60_000,
       ({ address, port }) => httpClient.closeIdle(address, port),
     );
-    const { port } = backends.servers[0]?.address() as net.AddressInfo;
-    backends.registry.merge(
+    const { port } = servers.servers[0]?.address() as net.AddressInfo;
+    servers.registry.merge(
       serverFixtures.createServer("s0", {
         service: "app",
         port,
         ...FIRST_START,
       }),
     );
-    backends.handlers = [fixtures.answer(200)];
-    await backends.send();
-    await backends.send();
+    servers.handlers = [fixtures.answer(200)];
+    await servers.send();
+    await servers.send();
     chai.expect(connections).to.equal(1);
     restart();
-    await backends.send();
+    await servers.send();
     chai.expect(connections).to.equal(2);
   });
 });
--- a/src/server_health/failure_rates_test.ts
+++ b/src/server_health/failure_rates_test.ts
@@ -2,7 +2,7 @@
 import * as clocks from "../clock/mod.ts";
 import * as failureRates from "./failure_rates.ts";
 
-describe("failure shares", () => {
+describe("FailureRates", () => {
   const clock = new clocks.FakeClock();
   let rates = new failureRates.FailureRates(clock);
 
@@ -10,7 +10,7 @@
     rates = new failureRates.FailureRates(clock);
   });
 
-  it("rise with failures, fall with successes, and start at zero", () => {
+  it("starts at zero, rises with failures and falls with successes", () => {
     chai.expect(rates.get("a")).to.equal(0);
     for (let turn = 0; turn < 4; turn += 1) rates.record("a", false);
     const high = rates.get("a");
@@ -20,7 +20,7 @@
     chai.expect(rates.get("b")).to.equal(0);
   });
 
-  it("fade without news, so that a server is tried again", () => {
+  it("decays without new outcomes, so that a server becomes eligible again", () => {
     rates.record("a", false);
     const before = rates.get("a");
     clock.extendBy(2_000);
--- a/src/server_health/mod.ts
+++ b/src/server_health/mod.ts
@@ -1,12 +1,12 @@
 /**
- * How sound backend servers have proved lately, from the outcome of tries.
+ * Recent failure rates of backend servers, computed from request outcomes.
  *
  * @example
  * ```ts
  * import * as serverHealth from "../server_health/mod.ts";
- * const failures = new serverHealth.FailureShares(clock);
- * failures.note("i-1", false);
- * failures.get("i-1"); // 0.3, fading
+ * const failures = new serverHealth.FailureRates(clock);
+ * failures.record("i-1", false);
+ * failures.get("i-1"); // 0.3, decays over time
  * ```
  * @module
  */
