--- a/src/forwarding/_compute_wait_deadline.ts
+++ b/src/forwarding/_compute_wait_deadline.ts
@@ -14,7 +14,7 @@
  * @param job The request.
  * @param nowMs Time at which it is queued, in monotonic ms.
  * @param listMeanMs Lists the mean request duration of each server, in ms.
- * @returns The end of the wait, in monotonic ms; not before `nowMs`.
+ * @returns The end of the wait, in monotonic ms.
  */
 export function computeWaitDeadline(
   job: Pick<jobs.ForwardJob, "deadlineAtMs" | "targetAtMs">,
--- a/src/forwarding/_job_crash_guard.ts
+++ b/src/forwarding/_job_crash_guard.ts
@@ -8,7 +8,7 @@
 
 /** Delay between grant requests while other runs hold the grant, in ms. */
 const GRANT_RETRY_MS = 40;
-/** Maximum crashes of the work with which it may run without a grant. */
+/** Maximum number of crashes with which work may run without a grant. */
 const MAX_ENDED_WITHOUT_GRANT = 1;
 
 /**
@@ -17,7 +17,7 @@
  * little of it caused a crash.
  */
 const SHARE_AFTER_MS = 80;
-/** Delay after which a caller should retry while the work runs elsewhere, in ms. */
+/** Retry delay of the caller while the same work runs elsewhere, in ms. */
 const BUSY_RETRY_AFTER_MS = 500;
 
 /** Verdict that the work must not be sent now. */
@@ -133,7 +133,7 @@
     }
   }
 
-  /** Whether another grant request would miss the target or serve nobody. */
+  /** Whether the next retry would miss the target, or the job was cancelled. */
   #isTargetNear(): boolean {
     const nowMs = this.#options.clock.getMonotonicMs();
     return nowMs + GRANT_RETRY_MS >= this.#job.targetAtMs ||
--- a/src/forwarding/_job_run.ts
+++ b/src/forwarding/_job_run.ts
@@ -18,7 +18,7 @@
 const MAX_REFUSALS_PER_TURN = 2;
 const FIRST_ERROR_STATUS = 500;
 
-/** Runs one job through attempts, retries, hedging and queueing to its outcome. */
+/** Runs one job, with retries, hedging and queueing, until it is settled. */
 export class JobRun {
   readonly #options: forwarderOptions.ForwarderOptions;
   readonly #queue: serviceQueues.ServiceQueue;
--- a/src/forwarding/_service_queue.ts
+++ b/src/forwarding/_service_queue.ts
@@ -10,7 +10,7 @@
 /** Priority and time limits of a queued request. */
 export type QueueEntry = Omit<admission.WaitingRequest, "id">;
 
-/** Callbacks of a queued request; exactly one is called, once, unless it leaves. */
+/** Callbacks of a queued request; at most one of them is called, once. */
 export interface QueueListener {
   /** Called when a slot may be free. */
   readonly onTurn: () => void;
--- a/src/forwarding/choose_server.ts
+++ b/src/forwarding/choose_server.ts
@@ -19,7 +19,7 @@
 
 /** Latency added to servers in another failure domain, in ms. */
 const CROSS_DOMAIN_COST_MS = 2;
-/** Maximum random latency added, in ms, so that boxes spread over equal servers. */
+/** Maximum random latency added, in ms, to spread boxes over equal servers. */
 const MAX_JITTER_MS = 3;
 
 /**
--- a/src/forwarding/crashing_work_test.ts
+++ b/src/forwarding/crashing_work_test.ts
@@ -14,7 +14,7 @@
 import * as serverLoads from "./server_loads.ts";
 
 const CRASHING = "bad";
-const SERVERS = 5;
+const SERVER_COUNT = 5;
 
 describe("forwarding of work that crashes servers", () => {
   const clock = new clocks.SystemClock();
@@ -33,7 +33,9 @@
     table = new crashRecords.CrashTable();
     loads = new serverLoads.ServerLoads(clock);
     servers = [];
-    for (let index = 0; index < SERVERS; index += 1) await startServer(index);
+    for (let index = 0; index < SERVER_COUNT; index += 1) {
+      await startServer(index);
+    }
   });
 
   afterEach(() => {
@@ -100,7 +102,7 @@
     }));
   }
 
-  /** Backdates all crash records so that the pause before the last run is over. */
+  /** Backdates all crash records to end the pause before the last run. */
   function expirePause(): void {
     const records = table.list().map((record) => ({
       ...record,
@@ -157,7 +159,7 @@
 
   it("records no crash for a connection reset", async () => {
     crashesServers = false;
-    for (let turn = 0; turn < 4; turn += 1) {
+    for (let round = 0; round < 4; round += 1) {
       chai.expect((await send(CRASHING)).kind).to.equal("failed");
     }
     chai.expect(receivedBy.length).to.equal(8);
--- a/src/forwarding/forwarding_test.ts
+++ b/src/forwarding/forwarding_test.ts
@@ -62,16 +62,16 @@
     },
     "a closed connection": (request) => request.socket.destroy(),
   };
-  for (const [name, script] of Object.entries(broken)) {
+  for (const [name, handler] of Object.entries(broken)) {
     it(`retries an idempotent request after ${name}`, async () => {
-      servers.handlers = [script, fixtures.answer(200)];
+      servers.handlers = [handler, fixtures.answer(200)];
       const outcome = await servers.send();
       chai.expect(outcome.kind).to.equal("answered");
       chai.expect(servers.receivedBy).to.deep.equal(["s0", "s1"]);
     });
 
     it(`does not retry a request that may run only once after ${name}`, async () => {
-      servers.handlers = [script, fixtures.answer(200)];
+      servers.handlers = [handler, fixtures.answer(200)];
       const outcome = await servers.send({ isRepeatable: false });
       chai.expect(outcome.kind).to.equal("failed");
       chai.expect(servers.receivedBy).to.deep.equal(["s0"]);
@@ -159,12 +159,12 @@
   });
 
   describe("latency estimates", () => {
-    let fake = new clocks.FakeClock();
-    let loads = new serverLoads.ServerLoads(fake);
+    let fakeClock = new clocks.FakeClock();
+    let loads = new serverLoads.ServerLoads(fakeClock);
 
     beforeEach(() => {
-      fake = new clocks.FakeClock();
-      loads = new serverLoads.ServerLoads(fake);
+      fakeClock = new clocks.FakeClock();
+      loads = new serverLoads.ServerLoads(fakeClock);
     });
 
     function estimate(id: string): number {
@@ -174,7 +174,7 @@
     }
 
     it("are higher for a server that fails fast than for one that answers", () => {
-      for (let turn = 0; turn < 4; turn += 1) {
+      for (let round = 0; round < 4; round += 1) {
         for (const [id, tookMs] of [["sound", 60], ["failing", 5]] as const) {
           loads.recordStart(id);
           loads.recordEnd(id, tookMs);
@@ -187,11 +187,11 @@
     it("recover some seconds after a failure", () => {
       loads.recordOutcome("failing", false);
       const before = estimate("failing");
-      fake.extendBy(20_000);
+      fakeClock.extendBy(20_000);
       chai.expect(estimate("failing")).to.be.lessThan(before - 70);
     });
 
-    it("rise after a slow unanswered request but never fall after a fast one", () => {
+    it("rise after a slow unanswered request but do not fall after a fast one", () => {
       const first = estimate("a");
       loads.recordStart("a");
       loads.recordUnanswered("a", 10);
@@ -209,7 +209,7 @@
       fixtures.answer(200),
       fixtures.answer(200),
     ];
-    for (let turn = 0; turn < 6; turn += 1) await servers.send({}, loads);
+    for (let round = 0; round < 6; round += 1) await servers.send({}, loads);
     chai.expect(servers.receivedBy[0]).to.equal("s0");
     chai.expect(servers.receivedBy.filter((id) => id === "s0").length).to.be
       .lessThan(6);
--- a/src/forwarding/load_test.ts
+++ b/src/forwarding/load_test.ts
@@ -3,13 +3,13 @@
 
 const SEED = 4;
 /** Tolerated difference between two replays, as a share of all callers. */
-const NOISE = 0.02;
+const TOLERANCE = 0.02;
 
 describe("forwarding under load", () => {
   for (const pattern of loadReplays.LOAD_PATTERNS) {
     it(`serves no fewer callers when load-aware: ${pattern.name}`, async () => {
-      const before = await loadReplays.replayLoad(pattern, SEED, false);
-      const after = await loadReplays.replayLoad(pattern, SEED, true);
+      const unawareOutcome = await loadReplays.replayLoad(pattern, SEED, false);
+      const awareOutcome = await loadReplays.replayLoad(pattern, SEED, true);
       function getShares(outcome: loadReplays.LoadOutcome) {
         return {
           inTarget: outcome.inTarget / outcome.asked,
@@ -18,24 +18,29 @@
           attempts: outcome.attempts / outcome.asked,
         };
       }
-      const [unaware, aware] = [getShares(before), getShares(after)];
-      chai.expect(aware.inTarget).to.be.at.least(unaware.inTarget - NOISE);
-      chai.expect(aware.served).to.be.at.least(unaware.served - NOISE);
+      const [unaware, aware] = [
+        getShares(unawareOutcome),
+        getShares(awareOutcome),
+      ];
+      chai.expect(aware.inTarget).to.be.at.least(unaware.inTarget - TOLERANCE);
+      chai.expect(aware.served).to.be.at.least(unaware.served - TOLERANCE);
       chai.expect(aware.refusedTwice).to.be.at.most(
-        unaware.refusedTwice + NOISE,
+        unaware.refusedTwice + TOLERANCE,
       );
-      chai.expect(aware.attempts).to.be.at.most(unaware.attempts + NOISE);
+      chai.expect(aware.attempts).to.be.at.most(unaware.attempts + TOLERANCE);
       // A refusal must not take longer than the latency target.
-      chai.expect(after.longestRefusalMs).to.be.at.most(pattern.targetMs);
+      chai.expect(awareOutcome.longestRefusalMs).to.be.at.most(
+        pattern.targetMs,
+      );
     });
   }
 
   it("avoids temporarily slow servers that report their slowness", async () => {
     // The mean duration alone follows such short slowdowns too late.
-    const SPELL_MS = 600;
+    const SLOWDOWN_MS = 600;
     const pattern: loadReplays.LoadPattern = {
       ...loadReplays.LOAD_PATTERNS[0]!,
-      name: "one of five slow in spells",
+      name: "one of five servers slow at a time",
       servers: 5,
       slots: 6,
       workMs: 40,
@@ -44,14 +49,15 @@
       durationMs: 20_000,
       getLoad: () => 0.6,
       getSlowness: (server, atMs) =>
-        Math.floor(atMs / SPELL_MS) % 5 === server ? 2.5 : 1,
+        Math.floor(atMs / SLOWDOWN_MS) % 5 === server ? 2.5 : 1,
     };
     const reporting = { ...pattern, tellsSlowness: true };
-    const before = await loadReplays.replayLoad(pattern, SEED, true);
-    const after = await loadReplays.replayLoad(reporting, SEED, true);
-    const lateBefore = 1 - before.inTarget / before.asked;
-    const lateAfter = 1 - after.inTarget / after.asked;
-    chai.expect(lateAfter).to.be.at.most(lateBefore * 0.9);
+    const withoutReports = await loadReplays.replayLoad(pattern, SEED, true);
+    const withReports = await loadReplays.replayLoad(reporting, SEED, true);
+    const lateWithoutReports = 1 -
+      withoutReports.inTarget / withoutReports.asked;
+    const lateWithReports = 1 - withReports.inTarget / withReports.asked;
+    chai.expect(lateWithReports).to.be.at.most(lateWithoutReports * 0.9);
   });
 
   it("refuses no request below capacity", async () => {
@@ -61,17 +67,17 @@
     chai.expect(outcome.inTarget).to.be.at.least(outcome.asked * 0.99);
   });
 
-  it("serves 1.5 times as many callers in time at twice the capacity, with half the attempts", async () => {
+  it("serves at least 1.5 times as many callers in time at twice the capacity, with at most half the attempts", async () => {
     const overload = loadReplays.LOAD_PATTERNS.find(({ name }) =>
       name === "twice the capacity"
     )!;
-    const before = await loadReplays.replayLoad(overload, SEED, false);
-    const after = await loadReplays.replayLoad(overload, SEED, true);
-    const gain = (after.inTarget / after.asked) /
-      (before.inTarget / before.asked);
+    const unawareOutcome = await loadReplays.replayLoad(overload, SEED, false);
+    const awareOutcome = await loadReplays.replayLoad(overload, SEED, true);
+    const gain = (awareOutcome.inTarget / awareOutcome.asked) /
+      (unawareOutcome.inTarget / unawareOutcome.asked);
     chai.expect(gain).to.be.at.least(1.5);
-    chai.expect(after.attempts / after.asked).to.be.at.most(
-      (before.attempts / before.asked) / 2,
+    chai.expect(awareOutcome.attempts / awareOutcome.asked).to.be.at.most(
+      (unawareOutcome.attempts / unawareOutcome.asked) / 2,
     );
   });
 });
--- a/src/forwarding/server_fixture_test.ts
+++ b/src/forwarding/server_fixture_test.ts
@@ -46,7 +46,7 @@
 }
 
 const AMPLE_TIME_MS = 30_000;
-const SERVERS = 3;
+const SERVER_COUNT = 3;
 
 /** Creates an idempotent job with ample time. */
 export function createJob(
@@ -81,18 +81,18 @@
   /** Ids of the servers in the order in which they received requests. */
   receivedBy: string[] = [];
   registry = new registry.ServerRegistry(this.clock, 60_000);
-  servers: http.Server[] = [];
+  httpServers: http.Server[] = [];
 
   /** Starts new servers with an empty registry. */
   async start(): Promise<void> {
     this.receivedBy = [];
     this.handlers = [];
     this.registry = new registry.ServerRegistry(this.clock, 60_000);
-    this.servers = Array.from(
-      { length: SERVERS },
+    this.httpServers = Array.from(
+      { length: SERVER_COUNT },
       (_, index) => this.#createServer(index),
     );
-    for (const [index, server] of this.servers.entries()) {
+    for (const [index, server] of this.httpServers.entries()) {
       await new Promise<void>((resolve) =>
         server.listen(0, "127.0.0.1", resolve)
       );
@@ -107,7 +107,7 @@
   }
 
   stop(): void {
-    for (const server of this.servers) {
+    for (const server of this.httpServers) {
       server.closeAllConnections();
       server.close();
     }
--- a/src/forwarding/server_loads.ts
+++ b/src/forwarding/server_loads.ts
@@ -115,7 +115,7 @@
     this.#failureRates.record(server, isSuccess);
   }
 
-  /** Records a reported load, less the requests that this box itself has there. */
+  /** Records a reported load, without the requests of this box itself. */
   recordReport(
     server: registry.LifetimeKey,
     report: dialects.ServerLoad,
--- a/src/forwarding/server_restart_test.ts
+++ b/src/forwarding/server_restart_test.ts
@@ -51,7 +51,7 @@
 
   it("does not retry a server at whose address another one answered", async () => {
     servers.handlers = [fixtures.answer(421), fixtures.answer(200)];
-    for (let turn = 0; turn < 3; turn += 1) await servers.send();
+    for (let round = 0; round < 3; round += 1) await servers.send();
     chai.expect(servers.receivedBy).to.deep.equal(["s0", "s1", "s1", "s1"]);
   });
 
@@ -97,13 +97,13 @@
 
   it("does not reuse an idle connection to the former process", async () => {
     let connections = 0;
-    servers.servers[0]?.on("connection", () => connections += 1);
+    servers.httpServers[0]?.on("connection", () => connections += 1);
     servers.registry = new registry.ServerRegistry(
       clock,
       60_000,
       ({ address, port }) => httpClient.closeIdle(address, port),
     );
-    const { port } = servers.servers[0]?.address() as net.AddressInfo;
+    const { port } = servers.httpServers[0]?.address() as net.AddressInfo;
     servers.registry.merge(
       serverFixtures.createServer("s0", {
         service: "app",
--- a/src/server_health/failure_rates_test.ts
+++ b/src/server_health/failure_rates_test.ts
@@ -12,7 +12,7 @@
 
   it("starts at zero, rises with failures and falls with successes", () => {
     chai.expect(rates.get("a")).to.equal(0);
-    for (let turn = 0; turn < 4; turn += 1) rates.record("a", false);
+    for (let round = 0; round < 4; round += 1) rates.record("a", false);
     const high = rates.get("a");
     chai.expect(high).to.be.within(0.7, 0.8);
     rates.record("a", true);
