--- a/src/forwarding/_job_run.ts
+++ b/src/forwarding/_job_run.ts
@@ -121,7 +121,7 @@
   #holdBack({ ended, returnMs }: jobCrashGuards.HeldBack): void {
     if (this.#runningAttempts.size > 0) return;
     this.#crashGuard.recordHeldBack(ended, returnMs);
-    const reason = `${ended} servers ended while they ran the request`;
+    const reason = `${ended} servers ended while they ran it`;
     if (this.#errorAnswer !== undefined) {
       return this.#settle({ kind: "answered", answer: this.#errorAnswer });
     }
@@ -277,7 +277,7 @@
     if (!this.#slotWait.hasFullServer()) {
       return this.#refuse(this.#queue.assignRetryAfterMs());
     }
-    this.#lastReason = "every server recently refused requests as full";
+    this.#lastReason = "every server refused others as full just now";
     this.#waitForSlot();
   }
 
--- a/src/forwarding/_watched_attempt.ts
+++ b/src/forwarding/_watched_attempt.ts
@@ -2,7 +2,7 @@
 import * as attempts from "./_attempt.ts";
 import type * as jobs from "./forward_job.ts";
 
-const RESTART_REASON = "the server restarted";
+const RESTART_REASON = "the server started again";
 
 /**
  * Sends one attempt and cancels it if its server restarts. The request is lost
--- a/src/forwarding/server_restart_test.ts
+++ b/src/forwarding/server_restart_test.ts
@@ -45,7 +45,7 @@
     servers.handlers = [restart, fixtures.answer(200)];
     const outcome = await servers.send({ isRepeatable: false });
     if (outcome.kind !== "failed") throw new Error(outcome.kind);
-    chai.expect(outcome.reason).to.equal("the server restarted");
+    chai.expect(outcome.reason).to.equal("the server started again");
     chai.expect(servers.receivedBy).to.deep.equal(["s0"]);
   });
 
