--- a/src/weight_orders/assign_parities.ts
+++ b/src/weight_orders/assign_parities.ts
@@ -1,33 +1,36 @@
 import type * as assignEngines from "./assign_engines.ts";
 
-/** At which versions an engine loads a model: 0 at even ones, 1 at odd ones. */
+/** Versions of a model that an engine loads: 0 for even, 1 for odd versions. */
 export type VersionParity = 0 | 1;
 
-/** Turns of the engines that share a model, by model and engine id. */
+/** Parity of each engine that loads a model, by model and engine id. */
 export type EngineParities = ReadonlyMap<
   string,
   ReadonlyMap<string, VersionParity>
 >;
 
-/** What turns are assigned by. */
+/** Input of an assignment of parities. */
 export interface ParityInput {
   readonly models: readonly string[];
+  /** Models that each engine loads. */
   readonly engineModels: assignEngines.EngineModels;
+  /** Current assignment, kept as far as possible. */
   readonly previous: EngineParities;
-  /** Version of a model that an engine holds, as far as is known. */
+  /** Last known version of a model on an engine. */
   readonly getVersion: (engine: string, model: string) => number;
 }
 
-/** Version that each engine holds at its start. */
+/** Version that every engine holds when it starts. */
 const INITIAL_VERSION = 1;
 
 /**
- * Assigns the engines that share a model to its even and odd versions, as many
- * to the one as to the other. Engines keep their turn: one that comes or goes
- * must not make the others load the newest version all at once.
+ * Assigns the engines of each model to its even or odd versions, half to each.
+ * Engines keep their parity where possible: if one joining or leaving engine
+ * changed the parity of the others, these would all load the newest version at
+ * once.
  *
- * @param input Engines, models and the turns so far.
- * @returns The new turns.
+ * @param input Engines, models and the previous assignment.
+ * @returns The new assignment.
  */
 export function assignParities(input: ParityInput): EngineParities {
   return new Map(
@@ -39,7 +42,7 @@
 
 function assignModelParities(
   model: string,
-  { engineModels: engineModels, previous: previous, getVersion }: ParityInput,
+  { engineModels, previous, getVersion }: ParityInput,
 ): ReadonlyMap<string, VersionParity> {
   const engineIds = [...engineModels].filter(([, models]) => models.has(model))
     .map(([id]) => id).toSorted();
@@ -56,7 +59,9 @@
   return parities;
 }
 
-/** Where nothing is known, the version that an engine holds tells its turn. */
+/**
+ * Derives the parity from the loaded version; undefined for the initial one.
+ */
 function deriveParity(version: number): VersionParity | undefined {
   if (version <= INITIAL_VERSION) return undefined;
   return version % 2 === 0 ? 0 : 1;
@@ -79,6 +84,9 @@
     : 0;
 }
 
+/**
+ * Moves engines from the larger group, so that the sizes differ by at most one.
+ */
 function rebalanceParities(parities: Map<string, VersionParity>): void {
   const even = listEnginesOf(parities, 0);
   const odd = listEnginesOf(parities, 1);
--- a/src/weight_orders/mod.ts
+++ b/src/weight_orders/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Orders that move engines to the newest weight versions.
+ * Scheduling of the orders by which engines load the newest weight versions.
  *
  * @example
  * ```ts
