--- a/src/capacity/autoscaler.ts
+++ b/src/capacity/autoscaler.ts
@@ -11,23 +11,23 @@
 import * as demandWindows from "./demand_window.ts";
 import * as planCapacity from "./plan_capacity.ts";
 
-/** Between two looks at what the work needs, in ms. */
+/** Interval between readings of the demand, in ms. */
 const CHECK_INTERVAL_MS = 200;
-/** Between two plans of a service, in ms; each call has its price. */
+/** Minimum interval between capacity plans, in ms; limits the orders sent. */
 const PLAN_INTERVAL_MS = 1_000;
-/** Time for which a peak counts, in ms: some rounds of steps 4 s apart. */
+/** Window of the peak demand, in ms; spans several steps. */
 const DEMAND_WINDOW_MS = 15_000;
-/** Longest wait for a commit, in ms. */
+/** Timeout of a proposal to the replicated log, in ms. */
 const COMMIT_TIMEOUT_MS = 1_000;
 /**
- * Time for which a failure domain that refused an order, or took its spot
- * engines back, is passed over, in ms.
+ * Time for which a failure domain is skipped after it has refused an order or
+ * reclaimed its spot engines, in ms.
  */
 const UNAVAILABLE_MS = 10_000;
 /** Time beyond a start-up after which a spot engine counts as lost, in ms. */
 const MISSING_GRACE_MS = 5_000;
 
-/** What capacity orders need. */
+/** Options of an autoscaler. */
 export interface AutoscalerOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
@@ -39,19 +39,25 @@
   readonly duty: duties.DutyLease;
   readonly state: capacityStates.CapacityState;
   readonly policy: planCapacity.CapacityPolicy;
-  /** Address of the infrastructure. */
+  /** Address of the infrastructure's API. */
   readonly endpoint: fleetSettings.Endpoint;
-  /** Places that the open steps of a service need; late ones get the time. */
+  /**
+   * Counts the slots that the open steps of a service need to finish in time; a
+   * late step is given at least `leastMs`, in ms.
+   */
   readonly countNeededSlots: (service: string, leastMs: number) => number;
 }
 
-/** Orders engines as the work needs them; one box at a time does. */
+/**
+ * Orders spot engines according to demand. Sends orders only while this box
+ * holds the duty lease.
+ */
 export class Autoscaler {
   readonly #options: AutoscalerOptions;
   readonly #demandWindows = new Map<string, demandWindows.DemandWindow>();
-  /** When a failure domain was found short, by service and domain. */
+  /** When a domain was last found unavailable, by service and domain. */
   readonly #unavailableAtMs = new Map<string, number>();
-  /** Since when a domain has fewer spot engines than were asked for. */
+  /** Since when a domain has fewer spot engines than ordered. */
   readonly #missingSinceMs = new Map<string, number>();
   #plannedAtMs = Number.NEGATIVE_INFINITY;
   #isOrdering = false;
@@ -90,8 +96,7 @@
   }
 
   #recordDemand({ name, scaling }: trafficConfig.ScaledService): void {
-    const { clock, servers, countNeededSlots: countNeededSlots } =
-      this.#options;
+    const { clock, servers, countNeededSlots } = this.#options;
     const nowMs = clock.getMonotonicMs();
     const demand = this.#demandWindows.get(name) ??
       new demandWindows.DemandWindow(DEMAND_WINDOW_MS);
@@ -116,7 +121,7 @@
   }
 
   async #adjustService(service: trafficConfig.ScaledService): Promise<void> {
-    const { state: state, policy } = this.#options;
+    const { state, policy } = this.#options;
     const { name } = service;
     const engines = this.#options.servers.listReady(name);
     if (engines.length === 0) return;
@@ -126,7 +131,7 @@
     }
     const plans = planCapacity.planCapacity({
       policy,
-      baseline: baseline,
+      baseline,
       limits: service.scaling,
       slots: Math.max(...engines.map((engine) => engine.slots)),
       neededSlots: this.#demandWindows.get(name)?.getPeak() ?? 0,
@@ -164,15 +169,16 @@
   }
 
   /**
-   * Spot engines that were asked for, less those that have been missing for too
-   * long: they were lost without a notice and are asked for again.
+   * Counts the spot engines ordered in a domain. Those that have been missing
+   * for too long are considered lost and not counted, so that they are ordered
+   * again.
    */
   #countOrderedSpot(
     service: string,
     domain: string,
     { present, bootMs }: { readonly present: number; readonly bootMs: number },
   ): number {
-    const { clock, state: state } = this.#options;
+    const { clock, state } = this.#options;
     const nowMs = clock.getMonotonicMs();
     const key = `${service} ${domain}`;
     const ordered = state.getDesiredCount({ service, domain, engines: "spot" });
@@ -185,12 +191,15 @@
     return nowMs - sinceMs > bootMs + MISSING_GRACE_MS ? present : ordered;
   }
 
-  /** Orders once what was agreed on before; what is refused is agreed on, too. */
+  /**
+   * Commits an order to the replicated log and sends it once. If it is not
+   * accepted, the previous order is committed again.
+   */
   async #orderSpotEngines(
     service: string,
     plan: planCapacity.SpotPlan,
   ): Promise<void> {
-    const { dialect, duty, endpoint, log, clock, state: state, metrics } =
+    const { dialect, duty, endpoint, log, clock, state, metrics } =
       this.#options;
     const { domain, desired } = plan;
     const order: capacityStates.CapacityOrder = {
--- a/src/capacity/mod.ts
+++ b/src/capacity/mod.ts
@@ -1,6 +1,6 @@
 /**
- * How many engines run, where and of which kind: planned from the work, ordered
- * by one box at a time.
+ * Autoscaling: plans how many engines should run in each failure domain, and
+ * orders them from the infrastructure, one box at a time.
  *
  * @example
  * ```ts
--- a/src/duty/mod.ts
+++ b/src/duty/mod.ts
@@ -1,13 +1,13 @@
 /**
- * Duties that exactly one box at a time has towards servers and the
- * infrastructure.
+ * Lease on the duties towards servers and the infrastructure, which at most one
+ * box carries out at a time.
  *
  * @example
  * ```ts
  * import * as duties from "../duty/mod.ts";
- * const holder = new duties.DutyHolder(options);
- * holder.start();
- * if (holder.canAct()) send(holder.getFence());
+ * const lease = new duties.DutyLease(options);
+ * lease.start();
+ * if (lease.canAct()) send(lease.getFence());
  * ```
  * @module
  */
--- a/src/weight_orders/assign_parities_test.ts
+++ b/src/weight_orders/assign_parities_test.ts
@@ -10,7 +10,7 @@
   return assignParities.assignParities({
     models: ["m"],
     engineModels: new Map(engines.map((id) => [id, new Set(["m"])] as const)),
-    previous: previous,
+    previous,
     getVersion: () => version,
   });
 }
@@ -22,11 +22,10 @@
   return [...parities.get("m") ?? []];
 }
 
-describe("turns of engines at versions", () => {
-  it("are kept when an engine comes that sorts before the others", () => {
-    // Turns went by the place of an engine among the sorted ids: one engine more
-    // at the front made all others load the newest version at once, 155 loads
-    // instead of 13 on a day on which engines were ordered.
+describe("parity assignment", () => {
+  it("keeps parities when a new engine sorts before the others", () => {
+    // If parity followed the sorted position, one new engine would make all
+    // others load the newest version at once.
     const before = assign(["b", "c", "d", "e"]);
     const after = assign(["a", "b", "c", "d", "e"], before);
     for (const [id, parity] of list(before)) {
@@ -34,7 +33,7 @@
     }
   });
 
-  it("are as many even as odd, and change for as few engines as that needs", () => {
+  it("splits engines evenly with the fewest possible changes", () => {
     const ids = fastCheck.uniqueArray(fastCheck.nat(30).map(String), {
       maxLength: 15,
     });
@@ -58,7 +57,7 @@
     );
   });
 
-  it("are found from the versions held where nothing else is known", () => {
+  it("derives parities from loaded versions without a previous assignment", () => {
     const parities = assignParities.assignParities({
       models: ["m"],
       engineModels: new Map(
--- a/src/weight_orders/plan_loads_test.ts
+++ b/src/weight_orders/plan_loads_test.ts
@@ -21,12 +21,12 @@
   return assignEngines.assignEngines({
     engines,
     engineCounts: new Map(MODELS.map((model) => [model, count])),
-    previous: previous,
+    previous,
   });
 }
 
-describe("weight orders", () => {
-  it("gives each model its engines, evenly, and keeps what it can", () => {
+describe("planning of weight loads", () => {
+  it("gives each model its number of engines, evenly and stably", () => {
     const engine = fastCheck.uniqueArray(fastCheck.nat(20).map(String), {
       maxLength: 12,
     });
@@ -60,7 +60,7 @@
     );
   });
 
-  it("moves as few models as a lost engine needs", () => {
+  it("keeps most assignments when an engine is lost", () => {
     const engines = ["a", "b", "c", "d", "e", "f"];
     const first = assignTo(engines, 1, new Map());
     const second = assignTo(engines.slice(1), 1, first);
@@ -70,14 +70,14 @@
     chai.expect(kept.length).to.be.at.least(8);
   });
 
-  it("has an engine serve two models where it loads every other version", () => {
+  it("assigns two models per engine where steps may lag", () => {
     const count = assignEngines.countDesiredEngines;
     chai.expect([count(8, 3, 0), count(8, 3, 1)]).to.deep.equal([3, 5]);
     chai.expect([count(6, 1, 1), count(6, 2, 1)]).to.deep.equal([6, 6]);
     chai.expect(count(1, 4, 0)).to.equal(1);
   });
 
-  it("assigns nothing while no model is known", () => {
+  it("assigns nothing without models", () => {
     const engineModels = assignEngines.assignEngines({
       engines: ["e"],
       engineCounts: new Map(),
@@ -96,7 +96,7 @@
     const lags = new Map([["m", 1], ["n", 1]]);
     const parities = assignParities.assignParities({
       models: ["m", "n"],
-      engineModels: engineModels,
+      engineModels,
       previous: new Map(),
       getVersion: () => 1,
     });
@@ -107,19 +107,19 @@
     ): readonly string[] {
       return listDueLoads.listDueLoads({
         engines,
-        parities: parities,
+        parities,
         lags,
         versions: new Map(Object.entries(versions)),
         getVersion: (engine, model) => getVersion(engine.id, model),
       }).map((load) => `${load.engine.id} ${load.model} ${load.version}`);
     }
 
-    it("are those of half the engines where steps may lag", () => {
+    it("concern half of the engines where steps may lag", () => {
       const loads = list({ m: 2, n: 1 }, () => 1);
       chai.expect(loads).to.deep.equal(["a m 2", "c m 2"]);
     });
 
-    it("are none once each engine holds the newest or the one before", () => {
+    it("are empty once the engines of its parity hold the newest version", () => {
       chai.expect(list({ m: 2, n: 1 }, (id) => id < "c" ? 2 : 1)).to.have
         .length(1);
       const current = new Set(["a", "c"]);
@@ -127,7 +127,7 @@
         .equal([]);
     });
 
-    it("come first for the model that finds the fewest engines", () => {
+    it("start with the model that the fewest engines can serve", () => {
       const loads = list(
         { m: 3, n: 3 },
         (id, model) => model === "n" && id === "a" ? 1 : 2,
@@ -136,17 +136,17 @@
     });
   });
 
-  it("has each engine load every version where steps may not lag", () => {
+  it("plans every version for each engine where steps may not lag", () => {
     const targets = [0, 1].map((parity) =>
-      planVersion.planVersion({ newest: 7, lag: 0, parity: parity })
+      planVersion.planVersion({ newest: 7, lag: 0, parity })
     );
     chai.expect(targets).to.deep.equal([7, 7]);
   });
 
-  it("has engines take turns where steps may lag, none more than one behind", () => {
+  it("alternates engines where steps may lag, at most one version behind", () => {
     for (let newest = 2; newest < 8; newest += 1) {
       const targets = [0, 1, 2, 3].map((parity) =>
-        planVersion.planVersion({ newest, lag: 1, parity: parity })
+        planVersion.planVersion({ newest, lag: 1, parity })
       );
       chai.expect(targets.filter((version) => version === newest)).to.have
         .length(2);
--- a/src/weight_orders/weight_order_scheduler.ts
+++ b/src/weight_orders/weight_order_scheduler.ts
@@ -13,53 +13,53 @@
 import * as loadTrackers from "./load_tracker.ts";
 import * as orderClients from "./order_client.ts";
 
+/** Interval between checks for due loads, in ms. */
 const CHECK_INTERVAL_MS = 40;
-/**
- * Share of the engines that load at once; more would slow each other down
- * (measured: two of six and two of eight load at full speed).
- */
+/** Share of the engines that may load at once; more slow each other down. */
 const MAX_LOADING_FRACTION = 0.3;
-/** Between two looks at an engine whose load should have ended, in ms. */
+/** Interval between reads of an engine whose load should have ended, in ms. */
 const POLL_INTERVAL_MS = 60;
-/** Time after which an order without effect is given up, in ms. */
+/** Time after which an order whose load has not ended is abandoned, in ms. */
 const LOAD_TIMEOUT_MS = 4_000;
-/** Pause before an engine that refused is asked again, in ms. */
+/** Delay before the next order to an engine that refused one, in ms. */
 const RETRY_DELAY_MS = 500;
 
-/** What the weight orders need. */
+/** Options of a weight order scheduler. */
 export interface WeightOrderSchedulerOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly metrics: metrics.FleetMetrics;
   readonly dialect: dialects.Dialect;
   readonly servers: registry.ServerRegistry;
-  /** Says whether this box is the one that orders. */
+  /** Lease that permits this box to send orders. */
   readonly duty: duties.DutyLease;
   readonly machine: submissions.SubmissionMachine;
   readonly engines: dispatch.EngineTable;
   readonly refusedReports: Pick<registry.RefusalRecorder, "record">;
   readonly isService: listReadyEngines.IsConfiguredService;
-  /** Told when an engine begins to load a model. */
+  /** Called before an engine is ordered to load a model. */
   readonly onLoading: (
     engine: registry.RegisteredServer,
     model: string,
   ) => void;
-  /** Told when an engine has ended a load. */
+  /** Called when a load has ended, has failed or was not ordered after all. */
   readonly onLoaded: () => void;
 }
 
-/** Moves engines to the newest named versions, one box at a time. */
+/**
+ * Assigns models to engines and orders engines to load the newest named
+ * versions. Sends orders only while this box holds the duty lease.
+ */
 export class WeightOrderScheduler {
   readonly #options: WeightOrderSchedulerOptions;
-  /** Starts of engines that are being read or ordered. */
+  /** Lifetimes of engines for which a load is in progress. */
   readonly #busyEngines = new Set<registry.LifetimeKey>();
   readonly #loads: loadTrackers.LoadTracker;
-  /** Orders that each start of an engine has taken, as last read from it. */
+  /** Number of orders that each engine process had accepted when last read. */
   readonly #orderCounts = new Map<registry.LifetimeKey, number>();
-  /** By id alone: an engine that starts again keeps its models. */
+  /** Keyed by id rather than lifetime, so that a restart keeps the models. */
   #engineModels: assignEngines.EngineModels = new Map();
   #parities: assignParities.EngineParities = new Map();
-  /** Loads that may run at once. */
   #maxConcurrentLoads = 1;
   #isStopped = false;
 
@@ -111,7 +111,7 @@
     }
   }
 
-  /** Assigns the engines to the models, by how far steps of each may lag. */
+  /** Updates the models and parities of engines for the permitted lags. */
   #assignModels(
     engines: readonly registry.RegisteredServer[],
     lags: ReadonlyMap<string, number>,
@@ -124,7 +124,7 @@
     );
     this.#engineModels = assignEngines.assignEngines({
       engines: engines.map((engine) => engine.id),
-      engineCounts: engineCounts,
+      engineCounts,
       previous: this.#engineModels,
     });
     const byId = new Map(engines.map((engine) => [engine.id, engine]));
@@ -140,7 +140,7 @@
     });
   }
 
-  /** Engines, those with the fewest runs first. */
+  /** Lists the ready engines, those with the fewest active runs first. */
   #listEngines(): readonly registry.RegisteredServer[] {
     const { servers, engines, isService } = this.#options;
     return listReadyEngines.listReadyEngines(servers, isService)
@@ -149,7 +149,9 @@
       );
   }
 
-  /** Versions that the newest submission of a model allowed to lag. */
+  /**
+   * Version lag that the newest submission of a model permits; 0 without one.
+   */
   #getVersionLag(model: string): number {
     const record = this.#options.machine.listAll().findLast((other) =>
       other.submission.model === model
@@ -172,7 +174,11 @@
     }
   }
 
-  /** @returns Whether the load was seen from its order to its end. */
+  /**
+   * Orders a load and waits for its end.
+   *
+   * @returns Whether the order was accepted and the end of the load observed.
+   */
   async #orderLoad(load: listDueLoads.DueLoad): Promise<boolean> {
     const { clock, dialect, engines, duty, log, metrics } = this.#options;
     const { engine, model, version } = load;
@@ -226,7 +232,7 @@
         await clocks.sleep(clock, RETRY_DELAY_MS);
         return false;
       case "reborn":
-        // The later start tells what it holds by its report.
+        // Its report tells which versions the newer process holds.
         this.#orderCounts.delete(engine.lifetime);
         await this.#refreshReport(load);
         return false;
@@ -236,7 +242,7 @@
     }
   }
 
-  /** Whether an open submission wants texts of one version. */
+  /** Tells whether an open submission needs each text from a single version. */
   #hasSingleVersionSubmission(model: string): boolean {
     return this.#options.machine.listAll().some((record) =>
       !record.isEnded && record.submission.terms.isSingleVersion &&
@@ -244,7 +250,9 @@
     );
   }
 
-  /** Reads the engine's state until it holds the version or patience ends. */
+  /**
+   * Polls the engine until it holds the version; false on timeout or restart.
+   */
   async #awaitLoaded(load: listDueLoads.DueLoad): Promise<boolean> {
     const { clock, engines, servers } = this.#options;
     const endMs = clock.getMonotonicMs() + LOAD_TIMEOUT_MS;
@@ -261,7 +269,9 @@
     return false;
   }
 
-  /** Reads what an engine holds; false when it could not be read. */
+  /**
+   * Updates the known versions from the engine's report; false if unreadable.
+   */
   async #refreshReport(load: listDueLoads.DueLoad): Promise<boolean> {
     const { engines } = this.#options;
     const { engine } = load;
@@ -281,7 +291,7 @@
     return true;
   }
 
-  /** What was known of its orders may not hold any more. */
+  /** Discards the order count, which may be outdated, and logs the failure. */
   #handleReadFailure(
     engine: registry.RegisteredServer,
     reading: Exclude<orderClients.EngineReading, { kind: "ok" }>,
