--- a/src/duty/duty_lease_test.ts
+++ b/src/duty/duty_lease_test.ts
@@ -8,15 +8,15 @@
 import * as dutyLeases from "./duty_lease.ts";
 
 const LEASE_MS = 3_000;
-/** A lease, its margin, and a look at the state. */
+/** Lease, its margin and two check intervals, in ms. */
 const CLAIM_DELAY_MS = LEASE_MS + 250 + 80;
 
-/** A group that one box leads, and what it agreed on. */
+/** A replica group that this box leads, and its replicated state. */
 class FakeGroup {
   readonly #clock: clocks.FakeClock;
   #leaderSinceMs: number;
   isLeader = true;
-  /** Whether a quorum confirms what is proposed. */
+  /** Whether a quorum acknowledges proposals. */
   hasQuorum = true;
   holder: string | undefined;
   term = 7;
@@ -38,7 +38,7 @@
     return this.term;
   }
 
-  /** Begins to lead in a later term. */
+  /** Becomes leader in a new term. */
   startTerm(): void {
     this.term += 1;
     this.isLeader = true;
@@ -74,7 +74,7 @@
   transferTo(): void {}
 }
 
-describe("holder of the duties", () => {
+describe("duty lease", () => {
   let clock = new clocks.FakeClock();
   let group = new FakeGroup(clock);
   let holder = createLease();
@@ -104,7 +104,7 @@
 
   afterEach(() => holder.stop());
 
-  /** Lets time pass in steps, so that timers and promises come in turn. */
+  /** Advances the clock in steps, so that timers and promises alternate. */
   async function wait(ms: number): Promise<void> {
     for (let left = ms; left > 0; left -= 20) {
       clock.extendBy(20);
@@ -112,7 +112,7 @@
     }
   }
 
-  it("acts only once the former holder's lease has passed", async () => {
+  it("permits calls only after the previous holder's lease has expired", async () => {
     group.holder = "box-b";
     await wait(LEASE_MS);
     chai.expect(holder.canAct()).to.equal(false);
@@ -121,7 +121,7 @@
     chai.expect(holder.getFence()).to.equal(7);
   });
 
-  it("acts at once where it was the holder before", async () => {
+  it("permits calls at once if this box was the previous holder", async () => {
     await wait(CLAIM_DELAY_MS);
     group.isLeader = false;
     chai.expect(holder.canAct()).to.equal(false);
@@ -130,7 +130,7 @@
     chai.expect(holder.getFence()).to.equal(8);
   });
 
-  it("does not act while no quorum knows that it is the holder", async () => {
+  it("permits no calls until a quorum has committed the claim", async () => {
     group.holder = "box-b";
     group.hasQuorum = false;
     await wait(2 * CLAIM_DELAY_MS);
@@ -140,7 +140,7 @@
     chai.expect(holder.canAct()).to.equal(true);
   });
 
-  it("does not act after another box has become the holder", async () => {
+  it("permits no calls after another box has claimed the lease", async () => {
     await wait(CLAIM_DELAY_MS);
     group.isLeader = false;
     group.holder = "box-b";
@@ -150,7 +150,7 @@
     chai.expect(holder.canAct()).to.equal(false);
   });
 
-  it("does not act once it is stopped", async () => {
+  it("permits no calls after it is stopped", async () => {
     await wait(CLAIM_DELAY_MS);
     holder.stop();
     chai.expect(holder.canAct()).to.equal(false);
--- a/src/traffic_config/configuration_service.ts
+++ b/src/traffic_config/configuration_service.ts
@@ -3,27 +3,27 @@
 import type * as configurations from "./configuration.ts";
 import type * as configurationMachines from "./configuration_machine.ts";
 
-/** Longest wait for a commit, in ms; operators try again after a second. */
+/** Commit timeout in ms; below the operators' retry interval. */
 const COMMIT_TIMEOUT_MS = 850;
 
-/** Names of the calls to the leader of the core boxes. */
+/** RPC method names of the calls to the core boxes' leader. */
 export const METHODS = {
   put: "configuration.put",
   read: "configuration.read",
 } as const;
 
-/** Asks to put a configuration in force. */
+/** Request to store a new configuration. */
 export interface PutRequest {
   readonly stored: configurations.StoredConfiguration;
 }
 
-/** What the leader answers. */
+/** Reply to a `PutRequest`, with the version stored afterwards. */
 export type PutReply =
   | replicaGroups.NotLeader
   | replicaGroups.Unsure
   | { readonly kind: "done"; readonly version: number };
 
-/** The newest configuration, from the leader. */
+/** Reply to a read, with the leader's newest configuration. */
 export type ReadReply =
   | replicaGroups.NotLeader
   | {
@@ -31,14 +31,14 @@
     readonly stored: configurations.StoredConfiguration | undefined;
   };
 
-/** What the configuration service needs. */
+/** Dependencies of a `ConfigurationService`. */
 export interface ConfigurationServiceOptions {
   readonly server: rpc.MethodTable;
   readonly group: replicaGroups.ReplicaGroup;
   readonly machine: configurationMachines.ConfigurationMachine;
 }
 
-/** Answers for the configuration while this core box leads. */
+/** Serves reads and updates of the configuration while this core box leads. */
 export class ConfigurationService {
   readonly #options: ConfigurationServiceOptions;
 
--- a/src/weight_orders/engine_tracker.ts
+++ b/src/weight_orders/engine_tracker.ts
@@ -7,14 +7,14 @@
 import * as listReadyEngines from "./list_ready_engines.ts";
 import * as orderClients from "./order_client.ts";
 
-/** Between two comparisons of the engines with those kept, in ms. */
+/** Interval between comparisons with the recorded engines, in ms. */
 const COMPARE_INTERVAL_MS = 100;
-/** Longest wait until the other stores keep a change of the engines, in ms. */
+/** Timeout of a change to the replicated list of engines, in ms. */
 const COMMIT_TIMEOUT_MS = 2_000;
-/** Silence after which an engine that said no farewell is forgotten, in ms. */
+/** Time after which an engine that stopped without notice is removed, in ms. */
 const SILENCE_TIMEOUT_MS = 10_000;
 
-/** What the known engines need. */
+/** Options of an engine tracker. */
 export interface EngineTrackerOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
@@ -27,20 +27,20 @@
   readonly machine: submissions.SubmissionMachine;
   readonly refusedReports: Pick<registry.RefusalRecorder, "record">;
   readonly isService: listReadyEngines.IsConfiguredService;
-  /** Told when engines were found that no heartbeat had named yet. */
+  /** Called when a probe has found an engine before its first heartbeat. */
   readonly onDiscovered: () => void;
 }
 
 /**
- * Has the stores keep which engines run. A leader that has not heard them yet,
- * as after a restart of all boxes, asks those kept for their state, instead of
- * waiting up to a heartbeat's time for each.
+ * Records the running engines in the replicated log. A new leader probes the
+ * recorded engines that are not in its registry yet, e.g. after a restart of
+ * all boxes, and so need not wait for their next heartbeats.
  */
 export class EngineTracker {
   readonly #options: EngineTrackerOptions;
   #probedTerm = 0;
   #isProposing = false;
-  /** Kept engines that are not ready, and since when, in monotonic ms. */
+  /** Since when each recorded engine has not been ready, in monotonic ms. */
   #missingSince: ReadonlyMap<string, number> = new Map();
   #isStopped = false;
 
@@ -68,7 +68,7 @@
     void this.#replicateChanges();
   }
 
-  /** Asks the kept engines that were not heard yet. */
+  /** Probes the recorded engines that are not in the registry. */
   async #probeAll(): Promise<void> {
     const { machine, servers } = this.#options;
     const unregistered = machine.listEngines().filter((engine) =>
@@ -83,7 +83,7 @@
       log,
       servers,
       refusedReports,
-      onDiscovered: onDiscovered,
+      onDiscovered,
     } = this.#options;
     const reading = await orderClients.readReport(engine, dialect);
     if (this.#isStopped) return;
@@ -100,7 +100,7 @@
     onDiscovered();
   }
 
-  /** Has the stores keep engines that came, and forget those that went. */
+  /** Proposes to record new engines and to remove those that are gone. */
   async #replicateChanges(): Promise<void> {
     const { machine, group, servers, isService } = this.#options;
     if (this.#isProposing) return;
@@ -121,7 +121,7 @@
     this.#isProposing = false;
   }
 
-  /** Kept engines that are to be forgotten. */
+  /** Lists the recorded engines that are draining, gone or silent too long. */
   #listRemoved(ready: readonly registry.RegisteredServer[]): readonly string[] {
     const nowMs = this.#options.clock.getMonotonicMs();
     const readyIds = new Set(ready.map((engine) => engine.id));
@@ -139,7 +139,7 @@
   }
 }
 
-/** What a kept engine is known to be, if it takes work. */
+/** Creates the report of a probed engine; undefined if it accepts no work. */
 function createReadyReport(
   engine: registry.ServerReport,
   reading: orderClients.EngineReading,
--- a/src/weight_orders/list_ready_engines.ts
+++ b/src/weight_orders/list_ready_engines.ts
@@ -1,14 +1,18 @@
 import type * as registry from "../registry/mod.ts";
 
-/** Tells whether a configuration names a service; true while there is none. */
+/**
+ * Tells whether the configuration names a service; true for every service while
+ * no configuration is in force.
+ */
 export type IsConfiguredService = (name: string) => boolean;
 
 /**
- * Lists the servers that hold models, take work and were heard lately.
+ * Lists the engines, i.e. servers that hold models, which are ready and whose
+ * heartbeats have not expired.
  *
- * @param servers All servers.
- * @param isService Servers of other services are passed over.
- * @returns The engines, service by service.
+ * @param servers Registry of all servers.
+ * @param isService Selects services; servers of others are skipped.
+ * @returns The engines, grouped by service.
  */
 export function listReadyEngines(
   servers: Pick<registry.ServerRegistry, "listAll" | "listReady">,
--- a/src/weight_orders/load_tracker_test.ts
+++ b/src/weight_orders/load_tracker_test.ts
@@ -2,7 +2,7 @@
 import * as clocks from "../clock/mod.ts";
 import * as loadTrackers from "./load_tracker.ts";
 
-describe("loads at once", () => {
+describe("load tracker", () => {
   let clock = new clocks.FakeClock();
   let tracker = new loadTrackers.LoadTracker(clock);
 
@@ -11,7 +11,7 @@
     tracker = new loadTrackers.LoadTracker(clock);
   });
 
-  it("counts a load until it ends", () => {
+  it("counts a load as running until it ends", () => {
     tracker.begin("a");
     tracker.begin("b");
     clock.extendBy(500);
@@ -20,13 +20,13 @@
     chai.expect(tracker.countRunning()).to.equal(1);
   });
 
-  it("counts a load whose end is not seen no longer than loads take", () => {
+  it("stops counting an unobserved load after the expected duration", () => {
     tracker.begin("silent");
     clock.extendBy(901);
     chai.expect(tracker.countRunning()).to.equal(0);
   });
 
-  it("learns how long loads take, from those that were seen to end", () => {
+  it("averages the durations of observed loads only", () => {
     for (let load = 0; load < 40; load += 1) {
       tracker.begin("a");
       clock.extendBy(2_000);
