--- a/src/forwarding/server_restart_test.ts
+++ b/src/forwarding/server_restart_test.ts
@@ -6,10 +6,9 @@
 import * as fixtures from "./server_fixture_test.ts";
 import * as serverLoads from "./server_loads.ts";
 
-describe("forwarding when a server starts again under its id", () => {
-  // A server crashed behind a cut with two requests under way, and started
-  // again 400 ms later. Both were held until their deadline of 30 s, as the
-  // old connections stayed silent.
+describe("forwarding to a server that restarts under the same id", () => {
+  // Guards against requests that hang until their deadline on half-open
+  // connections to a former process of the server.
   const servers = new fixtures.ScriptedServers();
   const { clock } = servers;
 
@@ -24,7 +23,7 @@
     servers.registry.merge({ ...first!, ...FIRST_START });
   });
 
-  /** The first server holds the request in silence and starts again. */
+  /** Leaves the request unanswered and registers a restart of the server. */
   function restart(): void {
     const first = servers.registry.get("s0");
     servers.registry.merge({
@@ -35,14 +34,14 @@
     });
   }
 
-  it("has a request that may run twice answered elsewhere at once", async () => {
+  it("retries an idempotent request elsewhere at once", async () => {
     servers.handlers = [restart, fixtures.answer(200)];
     const outcome = await servers.send();
     chai.expect(outcome.kind).to.equal("answered");
     chai.expect(servers.receivedBy).to.deep.equal(["s0", "s1"]);
   });
 
-  it("ends one that may not at once, as it may have run", async () => {
+  it("fails a request that may run only once at once, as it may have run", async () => {
     servers.handlers = [restart, fixtures.answer(200)];
     const outcome = await servers.send({ isRepeatable: false });
     if (outcome.kind !== "failed") throw new Error(outcome.kind);
@@ -50,20 +49,20 @@
     chai.expect(servers.receivedBy).to.deep.equal(["s0"]);
   });
 
-  it("asks no server again at whose address another one answered", async () => {
+  it("does not retry a server at whose address another one answered", async () => {
     servers.handlers = [fixtures.answer(421), fixtures.answer(200)];
     for (let round = 0; round < 3; round += 1) await servers.send();
     chai.expect(servers.receivedBy).to.deep.equal(["s0", "s1", "s1", "s1"]);
   });
 
-  it("takes an answer that was whole before the later start was known", async () => {
+  it("accepts an answer that was complete before the restart was known", async () => {
     servers.handlers = [fixtures.answer(200)];
     const outcome = await servers.send();
     restart();
     chai.expect(outcome.kind).to.equal("answered");
   });
 
-  it("refuses the rest of an answer that was not whole by then", async () => {
+  it("discards an answer that was incomplete when the restart became known", async () => {
     servers.handlers = [
       (_request, response) => {
         response.writeHead(200, {
@@ -82,7 +81,7 @@
     chai.expect(outcome.answer.body.toString()).to.equal("body");
   });
 
-  it("frees the places of the former start once, and fills none of the later", async () => {
+  it("frees the slots of the former process once and occupies none of the new one", async () => {
     const loads = new serverLoads.ServerLoads(clock);
     const former = servers.registry.get("s0")!;
     servers.handlers = [restart, fixtures.answer(200)];
@@ -96,7 +95,7 @@
     chai.expect(loads.isAvoided(later.lifetime)).to.equal(false);
   });
 
-  it("sends nothing over a connection that was kept to the former start", async () => {
+  it("does not reuse an idle connection to the former process", async () => {
     let connections = 0;
     servers.httpServers[0]?.on("connection", () => connections += 1);
     servers.registry = new registry.ServerRegistry(
--- a/src/step_schedule/admit_groups.ts
+++ b/src/step_schedule/admit_groups.ts
@@ -2,44 +2,45 @@
 import type * as scheduleTypes from "./schedule_types.ts";
 
 /**
- * Share of the places that plans count on: lengths are guesses, and engines stand
- * still while they load weights. What this leaves free goes to late groups.
+ * Share of the capacity that admitted groups may use. The rest absorbs length
+ * estimates that are too low and pauses of engines that load weights, and is
+ * otherwise used by late groups.
  */
 const PLANNED_CAPACITY_SHARE = 0.75;
 
 /**
- * How many times longer than what is left an item may be expected to run before
- * its group counts as late. Lengths are guesses, right in the median only: one
- * half as long is common, and a group that waits for no reason holds up its
- * trainer.
+ * A group is late if its longest item is expected to run longer than this
+ * multiple of the time until the step is due. Above 1, because length estimates
+ * are accurate only in the median and deferring a group delays its trainer.
  */
 const MAX_OVERRUN_FACTOR = 2;
 
-/** Groups of a trainer that are in the plan so far. */
+/** Groups of one trainer that have been admitted so far. */
 interface TrainerAdmission<Work> {
   readonly priority: number;
-  /** Groups that it waits for, whole ones among them. */
+  /** Number of groups that the trainer waits for, including complete ones. */
   readonly wantedGroups: number;
-  /** Whole groups and those planned to be in time. */
+  /** Number of complete and admitted groups. */
   inTimeGroups: number;
-  /** Groups planned to be in time, least work first. */
+  /** Admitted groups, sorted by ascending total remaining time. */
   readonly admitted: groupDemands.GroupDemand<Work>[];
 }
 
 /**
- * Picks the groups that can be whole in time. They are taken by due time; where
- * the work of all of them would end too late, one gives way, whichever step it
- * is of (the rule of Moore and Hodgson for the fewest late jobs, with the places
- * of all engines as one machine).
+ * Selects the groups that can complete before their steps are due. Groups are
+ * admitted by ascending due time; whenever the admitted ones exceed the capacity
+ * available until then, one of them is dropped, from any step. This is the
+ * Moore-Hodgson algorithm for the fewest late jobs, with the slots of all engines
+ * treated as a single processor.
  *
- * @param groups Groups that trainers wait for, by due time.
- * @param situation The time and the room there is.
- * @param dropRule Which group gives way.
- * @returns Those that can be in time.
+ * @param groups Groups that trainers wait for, by ascending due time.
+ * @param input Current time, capacity and open steps.
+ * @param dropRule Which group to drop when capacity is exceeded.
+ * @returns The admitted groups.
  */
 export function admitGroups<Work>(
   groups: readonly groupDemands.GroupDemand<Work>[],
-  { nowMs, capacity: places, steps }: scheduleTypes.ScheduleInput<Work>,
+  { nowMs, capacity, steps }: scheduleTypes.ScheduleInput<Work>,
   dropRule: scheduleTypes.DropRule,
 ): ReadonlySet<groupDemands.GroupDemand<Work>> {
   const trainers = createTrainerAdmissions(steps);
@@ -52,13 +53,13 @@
     if (trainer === undefined) continue;
     addGroup(trainer, group);
     totalMs += group.totalRemainingMs;
-    while (totalMs > availableMs * places * PLANNED_CAPACITY_SHARE) {
+    while (totalMs > availableMs * capacity * PLANNED_CAPACITY_SHARE) {
       const dropped = dropGroup(all, dropRule);
       if (dropped === undefined) break;
       totalMs -= dropped.totalRemainingMs;
     }
   }
-  return new Set(all.flatMap(({ admitted: planned }) => planned));
+  return new Set(all.flatMap(({ admitted }) => admitted));
 }
 
 function createTrainerAdmissions<Work>(
@@ -92,14 +93,14 @@
   trainers: readonly TrainerAdmission<Work>[],
   dropRule: scheduleTypes.DropRule,
 ): groupDemands.GroupDemand<Work> | undefined {
-  const victim = trainers.filter(({ admitted: planned }) => planned.length > 0)
+  const victim = trainers.filter(({ admitted }) => admitted.length > 0)
     .toSorted((a, b) => compareDropOrder(a, b, dropRule))[0];
   if (victim === undefined) return undefined;
   victim.inTimeGroups -= 1;
   return victim.admitted.pop();
 }
 
-/** Compares trainers; the one that gives way comes first. */
+/** Sorts first the trainer whose largest group is dropped next. */
 function compareDropOrder(
   a: TrainerAdmission<unknown>,
   b: TrainerAdmission<unknown>,
@@ -119,9 +120,9 @@
 }
 
 /**
- * Work that its largest group takes from the others, less for a trainer that
- * has few groups in time, more for one whose route is less urgent. The share
- * counts twice over: without it the trainer with the largest groups starves.
+ * Weights the trainer's largest group by the trainer's share of groups in time
+ * and by its priority number. Squaring the share keeps a trainer with large
+ * groups from losing all of them.
  */
 function computeDropWeight(trainer: TrainerAdmission<unknown>): number {
   return getLargestDemandMs(trainer) * computeInTimeShare(trainer) ** 2 *
--- a/src/step_schedule/plan_steps_test.ts
+++ b/src/step_schedule/plan_steps_test.ts
@@ -4,7 +4,7 @@
 
 type Step = scheduleTypes.OpenStep<string>;
 
-/** A group of waiting items that run for so many seconds, named by the group. */
+/** Creates a group of waiting items with the given remaining times, in s. */
 function createGroup(
   name: string,
   seconds: readonly number[],
@@ -38,19 +38,19 @@
   capacity = 1,
   policy = scheduleTypes.DEFAULT_POLICY,
 ): scheduleTypes.StepPlan<string> {
-  return planSteps.planSteps({ nowMs: 0, capacity: capacity, steps }, policy);
+  return planSteps.planSteps({ nowMs: 0, capacity, steps }, policy);
 }
 
 function listStatuses(
   planned: scheduleTypes.StepPlan<string>,
 ): Readonly<Record<string, string>> {
   return Object.fromEntries(
-    planned.items.map(({ work, status: standing }) => [work, standing]),
+    planned.items.map(({ work, status }) => [work, status]),
   );
 }
 
-describe("plan of steps", () => {
-  it("starts items of groups in time by their latest start", () => {
+describe("planSteps", () => {
+  it("orders items of groups in time by their latest start", () => {
     const groups = [createGroup("a", [1, 3]), createGroup("b", [2])];
     const planned = plan([createStep({ groups })]);
     chai.expect(planned.items.map(({ work }) => work)).to.deep.equal(
@@ -59,7 +59,7 @@
     chai.expect(planned.items[0]?.latestStartMs).to.equal(7_000);
   });
 
-  it("lets the group with most work give way where room is short", () => {
+  it("defers the group with the most remaining time when capacity is short", () => {
     const groups = [
       createGroup("a", [4]),
       createGroup("b", [3, 3]),
@@ -75,7 +75,7 @@
     chai.expect(planned.items.at(-1)?.status).to.equal("late");
   });
 
-  it("puts groups last that the trainer does not wait for", () => {
+  it("orders groups last that the trainer does not wait for", () => {
     const groups = [
       createGroup("a", [5]),
       createGroup("b", [2]),
@@ -89,10 +89,9 @@
     });
   });
 
-  it("goes by latest start alone, spare groups too, while there is room", () => {
-    // With the spare groups always last, the longest ones were brought again by
-    // the next step, which had to wait for them: a trainer fell 1.2 s behind on a
-    // day with room enough.
+  it("orders all groups by latest start while capacity suffices", () => {
+    // Guards against always deferring spare groups: the longest ones were then
+    // carried over and delayed the next step although capacity sufficed.
     const groups = [
       createGroup("a", [5]),
       createGroup("b", [1]),
@@ -104,7 +103,7 @@
     );
   });
 
-  it("never takes a carried group for spare, however long it is", () => {
+  it("never treats a carried group as spare, however long it is", () => {
     const groups = [
       createGroup("a", [4], true),
       createGroup("b", [3.2], true),
@@ -118,7 +117,7 @@
     });
   });
 
-  it("lets the less urgent trainer give way among equals", () => {
+  it("defers the trainer with the less urgent priority among equal groups", () => {
     const steps = [0, 1].map((priority) =>
       createStep({
         trainer: `p${priority}`,
@@ -134,7 +133,7 @@
     }
   });
 
-  it("lets a trainer that has most groups whole give way to one that has none", () => {
+  it("defers a trainer with most groups complete in favor of one with none", () => {
     const steps = [
       createStep({
         trainer: "served",
@@ -153,7 +152,7 @@
     });
   });
 
-  it("still lists what can't be in time, the step due first at the front", () => {
+  it("still lists groups that can't complete in time, earliest due step first", () => {
     const steps = [
       createStep({
         trainer: "b",
@@ -173,7 +172,7 @@
     chai.expect(planned.groupCounts.get("a")?.late ?? 1).to.equal(1);
   });
 
-  it("counts runs under way as work, and lists only what waits", () => {
+  it("counts running items as demand but lists only waiting ones", () => {
     const running = {
       isCarried: false,
       items: [{ work: "run", remainingMs: 9_000, isWaiting: false }],
@@ -188,15 +187,15 @@
     });
   });
 
-  it("takes odd figures: nothing missing, no places, no work, hints of a million", () => {
+  it("handles no missing groups, no capacity, empty groups and huge estimates", () => {
     const groups = [
       createGroup("a", [0]),
       createGroup("b", [500000]),
       createGroup("c", []),
     ];
-    for (const places of [0, 1]) {
+    for (const capacity of [0, 1]) {
       for (const missing of [0, 3, 100]) {
-        const planned = plan([createStep({ groups, missing })], places);
+        const planned = plan([createStep({ groups, missing })], capacity);
         chai.expect(planned.items.map(({ work }) => work).toSorted()).to.deep
           .equal(["a0", "b0"]);
       }
--- a/src/step_schedule/schedule_types.ts
+++ b/src/step_schedule/schedule_types.ts
@@ -1,97 +1,101 @@
-/** An unfinished item of a group. */
+/** An item that has not finished yet. */
 export interface OpenItem<Work> {
-  /** What the caller knows the item by. */
+  /** The caller's own object or key for the item, returned in the plan. */
   readonly work: Work;
-  /** Time that it is expected to run still, at an engine of usual speed, in ms. */
+  /** Expected remaining run time on an engine of usual speed, in ms. */
   readonly remainingMs: number;
-  /** Whether it waits for a place; else it has one, or needs none any more. */
+  /** Whether it waits for a slot; false if it runs or no longer needs one. */
   readonly isWaiting: boolean;
 }
 
-/** A group that is not whole yet. */
+/** A group with unfinished items. */
 export interface OpenGroup<Work> {
   /**
-   * Whether an earlier step brought it already. The trainer waits for it
-   * whichever other groups are whole.
+   * Whether the group was carried over from an earlier step. The trainer always
+   * waits for carried groups, however many others are complete.
    */
   readonly isCarried: boolean;
-  /** Its unfinished items. */
+  /** Unfinished items of the group. */
   readonly items: readonly OpenItem<Work>[];
 }
 
-/** A step that its trainer waits for. */
+/** A step whose results its trainer still waits for. */
 export interface OpenStep<Work> {
-  /** Steps of one trainer share this name. */
+  /** Trainer name, shared by all steps of the trainer. */
   readonly trainer: string;
-  /** Urgency of its route; 0 goes first. */
+  /** Priority of its route; 0 is the most urgent. */
   readonly priority: number;
-  /** When its groups are due, in ms of the situation's clock. */
+  /** When its groups are due, in ms on the clock of `ScheduleInput.nowMs`. */
   readonly dueMs: number;
-  /** Groups that are whole. */
+  /** Number of complete groups. */
   readonly whole: number;
-  /** Groups that the trainer still waits for. */
+  /** Number of groups that the trainer still waits for. */
   readonly missing: number;
+  /** Groups that are not complete, spare ones included. */
   readonly groups: readonly OpenGroup<Work>[];
 }
 
-/** What a plan is made from. */
+/** Input of the scheduler. */
 export interface ScheduleInput<Work> {
   readonly nowMs: number;
-  /** Runs that go on at once at the usual speed. */
+  /** Number of items that can run at once, in slots of usual speed. */
   readonly capacity: number;
   readonly steps: readonly OpenStep<Work>[];
 }
 
-/** How a plan sees a group. */
+/** Status of a group in a plan. */
 export type GroupStatus =
-  /** The trainer waits for it, and there is room to have it whole in time. */
+  /** The trainer waits for it, and it is planned to complete in time. */
   | "inTime"
-  /** The trainer waits for it, but room is short: it comes late. */
+  /** The trainer waits for it, but capacity is too short for it. */
   | "late"
   /** The trainer has enough groups without it. */
   | "spare";
 
-/** An item that waits for a place. */
+/** A waiting item in a plan. */
 export interface PlannedItem<Work> {
   readonly work: Work;
   readonly status: GroupStatus;
-  /** When it should start for its group to end as planned, in ms. */
+  /** Latest start at which the item still finishes in time, in ms. */
   readonly latestStartMs: number;
 }
 
-/** In which order items start, and what that means for their groups. */
+/** Start order of the waiting items and the resulting status of groups. */
 export interface StepPlan<Work> {
-  /** Waiting items, first to start first. */
+  /** Waiting items in start order. */
   readonly items: readonly PlannedItem<Work>[];
-  /** Groups by standing, by trainer. */
+  /**
+   * Number of groups by trainer and status; empty if items were ordered by latest
+   * start alone.
+   */
   readonly groupCounts: ReadonlyMap<
     string,
     Readonly<Record<GroupStatus, number>>
   >;
 }
 
-/** Ways to plan; all but the first know groups. */
+/** Scheduling policy. */
 export type SchedulePolicy =
-  /** Single items by their latest start, whatever group they are of. */
+  /** Orders single items by latest start and ignores their groups. */
   | { readonly kind: "latestStart" }
   | {
     readonly kind: "groups";
-    /** Whether groups that can't be in time give way to those that can. */
+    /** Whether groups that can't complete in time start after those that can. */
     readonly admits: boolean;
-    /** Whether groups that the trainer does not wait for come last. */
+    /** Whether groups that the trainer does not wait for start last. */
     readonly defersSpare: boolean;
-    /** Who gives way when room is short. */
+    /** Which group is dropped from the admitted ones if capacity is short. */
     readonly givesWay: DropRule;
   };
 
-/** Which group gives way when room is short. */
+/** Selects the admitted group that is dropped when capacity is exceeded. */
 export type DropRule =
-  /** That with most work, so that as many as possible are in time. */
+  /** The one with the most remaining time, to keep the most groups in time. */
   | "largest"
-  /** The same, weighed by urgency and by how well its trainer is served. */
+  /** As above, weighted by priority and the trainer's share of groups in time. */
   | "weighed";
 
-/** The way that served most groups in replays without starving a trainer. */
+/** Defers late and spare groups when capacity is short; starves no trainer. */
 export const DEFAULT_POLICY: SchedulePolicy = {
   kind: "groups",
   admits: true,
