--- a/src/admission/admission_queue_test.ts
+++ b/src/admission/admission_queue_test.ts
@@ -30,14 +30,14 @@
   }
 }
 
-describe("waiting line", () => {
+describe("AdmissionQueue", () => {
   let queue = new admissionQueues.AdmissionQueue();
 
   beforeEach(() => {
     queue = new admissionQueues.AdmissionQueue();
   });
 
-  it("gives places to urgent kinds first, then to those with least time left", () => {
+  it("dequeues by priority, then by earliest latency target", () => {
     const requests = [
       createRequest("slack", { targetAtMs: NOW_MS + 300 }),
       createRequest("tight", { targetAtMs: NOW_MS + 50 }),
@@ -51,7 +51,7 @@
     ]);
   });
 
-  it("lets late ones wait behind those that can still be in time, newest first", () => {
+  it("dequeues late requests last, latest target first", () => {
     const requests = [
       createRequest("older", { targetAtMs: NOW_MS - 200 }),
       createRequest("old", { targetAtMs: NOW_MS - 100 }),
@@ -65,18 +65,18 @@
     ]);
   });
 
-  it("refuses at once whose turn would come too late", () => {
+  it("refuses a request whose deadline would pass before its turn", () => {
     for (let at = 0; at < 1_000; at += 100) queue.recordFreedSlot(at);
     const deadlineAtMs = NOW_MS + 350;
     const kinds = ["a", "b", "c", "d", "e"].map((id) =>
-      queue.enqueue(createRequest(id, { deadlineAtMs: deadlineAtMs }), NOW_MS)
+      queue.enqueue(createRequest(id, { deadlineAtMs }), NOW_MS)
         .kind
     );
     chai.expect(kinds.slice(0, 2)).to.deep.equal(["waiting", "waiting"]);
     chai.expect(kinds.at(-1)).to.equal("refused");
   });
 
-  it("follows within two seconds when places come free more often", () => {
+  it("adapts within two seconds when slots are freed more often", () => {
     const deadlineAtMs = 60_000;
     for (let at = 0; at <= 2_000; at += 400) queue.recordFreedSlot(at);
     for (let at = 2_000; at <= 4_000; at += 10) queue.recordFreedSlot(at);
@@ -90,13 +90,13 @@
     );
     chai.expect(kinds).to.not.include("refused");
     chai.expect(
-      queue.enqueue(createRequest("x", { deadlineAtMs: deadlineAtMs }), 4_000)
+      queue.enqueue(createRequest("x", { deadlineAtMs }), 4_000)
         .kind,
     ).to
       .equal("waiting");
   });
 
-  it("tells those that it refuses together to come back one after the other", () => {
+  it("spaces the retries of requests that are refused together", () => {
     for (let at = NOW_MS - 5_000; at < NOW_MS; at += 50) {
       queue.recordFreedSlot(at);
     }
@@ -109,7 +109,7 @@
     chai.expect(delaysMs[0]).to.be.greaterThan(0);
   });
 
-  it("names a bounded time to come back, however many are refused", () => {
+  it("bounds the retry delay, however many requests are refused", () => {
     const delaysMs = Array.from(
       { length: 5_000 },
       () => queue.scheduleRetry(NOW_MS),
@@ -117,7 +117,7 @@
     chai.expect(Math.max(...delaysMs)).to.be.at.most(1_000);
   });
 
-  it("bounds how many wait", () => {
+  it("bounds the number of queued requests", () => {
     const kinds = Array.from(
       { length: 600 },
       (_, index) => queue.enqueue(createRequest(`${index}`), NOW_MS).kind,
@@ -127,7 +127,7 @@
     );
   });
 
-  it("loses nobody, answers nobody twice, and keeps nobody past its time", () => {
+  it("never loses, duplicates or keeps requests past their deadline", () => {
     const step = fastCheck.oneof(
       fastCheck.record({
         kind: fastCheck.constant("enter" as const),
@@ -173,11 +173,10 @@
             }
             case "expire":
               for (
-                const { id, retryAfterMs: returnMs } of testedQueue
-                  .removeExpired(nowMs)
+                const { id, retryAfterMs } of testedQueue.removeExpired(nowMs)
               ) {
                 chai.expect(waiting.delete(id)).to.equal(true);
-                chai.expect(returnMs).to.be.within(1, 1_000);
+                chai.expect(retryAfterMs).to.be.within(1, 1_000);
               }
               for (const request of waiting.values()) {
                 chai.expect(request.deadlineAtMs).to.be.greaterThan(nowMs);
--- a/src/routing/server_table_test.ts
+++ b/src/routing/server_table_test.ts
@@ -8,10 +8,10 @@
 import * as serverTables from "./server_table.ts";
 
 const POLL_MS = 100;
-/** Turns of 1 ms in which a poll must be over. */
+/** Most waits of 1 ms for a poll to finish. */
 const MAX_POLL_WAITS = 500;
 
-/** An engine that keeps prompt parts, and forgets them when it starts again. */
+/** Engine stub that reports a start time and serves its prefixes as events. */
 class FakeEngine {
   born = 1_000;
   prefixes: string[] = [];
@@ -39,7 +39,7 @@
   });
 }
 
-describe("server table", () => {
+describe("ServerTable", () => {
   const pair = [new FakeEngine(), new FakeEngine()];
   const [first] = pair;
 
@@ -58,10 +58,9 @@
     }
   });
 
-  it("counts on no prompt part of an engine that started again", async () => {
-    // An engine crashed and was back between two polls. Its events, counted from
-    // 1 again, were asked for after the 3 of before, so that requests went on to
-    // it for parts that it no longer kept, and its new ones were never seen.
+  it("drops the prefixes of an engine that restarted", async () => {
+    // Guards against a restart between two polls: the event sequence restarts at
+    // 1, so reading on from the old position would miss the new events.
     const clock = new clocks.FakeClock();
     const servers = pair.map(({ server }, index): backends.BackendServer => ({
       id: `e-${index}`,
@@ -92,7 +91,7 @@
       await new Promise((resolve) => setTimeout(resolve, 10));
     }
 
-    /** Whether the first engine is chosen for a prompt, asked once for each. */
+    /** Call once for each prompt: a choice records the prefix as held. */
     function isRoutedToFirst(prompt: string): boolean {
       const need = {
         service: "lm",
--- a/src/step_schedule/compute_required_slots.ts
+++ b/src/step_schedule/compute_required_slots.ts
@@ -2,16 +2,16 @@
 import type * as scheduleTypes from "./schedule_types.ts";
 
 /**
- * Counts the runs that must go on at once, at the usual speed, for every group
- * that a trainer waits for to be whole in time.
+ * Computes how many slots of usual speed are required for every group that a
+ * trainer waits for to complete before its step is due.
  *
- * Load it answers: steps that overlap. What is due first must fit into the time
- * until then, and together with it all that is due later.
+ * Steps may overlap: for each due time, all groups due by then must fit into the
+ * time that is left until then.
  *
- * @param situation Open steps.
- * @param minAvailableMs Time that late groups are given, in ms; more places would come
- *   too late for them.
- * @returns The places.
+ * @param input Current time and open steps.
+ * @param minAvailableMs Lower bound for the time available to a group, in ms;
+ *   applies to groups that are due sooner or overdue.
+ * @returns Number of slots, not rounded.
  */
 export function computeRequiredSlots(
   { nowMs, steps }: scheduleTypes.ScheduleInput<unknown>,
@@ -26,12 +26,13 @@
 }
 
 /**
- * Counts the same for groups that are described already.
+ * Computes how many slots of usual speed are required for groups to complete
+ * before their steps are due.
  *
- * @param demands Groups by due time.
- * @param nowMs The time of the situation, in ms.
- * @param minAvailableMs Time that late groups are given, in ms.
- * @returns The places.
+ * @param demands Groups by ascending due time.
+ * @param nowMs Current time on the clock of the due times, in ms.
+ * @param minAvailableMs Lower bound for the time available to a group, in ms.
+ * @returns Number of slots, not rounded.
  */
 export function computeSlotDemand(
   demands: readonly groupDemands.GroupDemand<unknown>[],
--- a/src/step_schedule/group_demand.ts
+++ b/src/step_schedule/group_demand.ts
@@ -1,23 +1,23 @@
 import type * as scheduleTypes from "./schedule_types.ts";
 
-/** A group with what it asks of the engines. */
+/** An open group and the engine time that it still requires. */
 export interface GroupDemand<Work> {
   readonly step: scheduleTypes.OpenStep<Work>;
   readonly group: scheduleTypes.OpenGroup<Work>;
-  /** Time that its items are expected to run still, added up, in ms. */
+  /** Sum of the expected remaining run times of its items, in ms. */
   readonly totalRemainingMs: number;
-  /** Longest time that one of its items is expected to run still, in ms. */
+  /** Longest expected remaining run time of an item, in ms. */
   readonly longestRemainingMs: number;
-  /** Whether its trainer waits for it; the others are spare. */
+  /** Whether the trainer waits for this group; false for a spare group. */
   readonly isNeeded: boolean;
 }
 
 /**
- * Describes the groups of all steps: steps by their due time, and in a step
- * those that are nearest to being whole first.
+ * Lists the demands of the groups of all steps.
  *
  * @param steps Open steps.
- * @returns The groups in that order.
+ * @returns Demands by ascending due time of the step; within a step carried
+ *   groups come first, then those with the least remaining time.
  */
 export function listGroupDemands<Work>(
   steps: readonly scheduleTypes.OpenStep<Work>[],
@@ -32,7 +32,7 @@
   });
 }
 
-/** Carried groups come first: the trainer waits for them whatever else is whole. */
+/** Sorts carried groups first, then by ascending total remaining time. */
 function compareDemands(
   a: Pick<GroupDemand<unknown>, "group" | "totalRemainingMs">,
   b: Pick<GroupDemand<unknown>, "group" | "totalRemainingMs">,
@@ -47,16 +47,11 @@
   step: scheduleTypes.OpenStep<Work>,
   group: scheduleTypes.OpenGroup<Work>,
 ): Omit<GroupDemand<Work>, "isNeeded"> {
-  let workMs = 0;
-  let longestMs = 0;
+  let totalRemainingMs = 0;
+  let longestRemainingMs = 0;
   for (const { remainingMs } of group.items) {
-    workMs += remainingMs;
-    longestMs = Math.max(longestMs, remainingMs);
+    totalRemainingMs += remainingMs;
+    longestRemainingMs = Math.max(longestRemainingMs, remainingMs);
   }
-  return {
-    step,
-    group,
-    totalRemainingMs: workMs,
-    longestRemainingMs: longestMs,
-  };
+  return { step, group, totalRemainingMs, longestRemainingMs };
 }
--- a/src/step_schedule/plan_steps.ts
+++ b/src/step_schedule/plan_steps.ts
@@ -4,14 +4,14 @@
 import type * as scheduleTypes from "./schedule_types.ts";
 
 /**
- * Share of the places from which room counts as short: lengths are guesses, and
- * places come free one at a time.
+ * Capacity counts as short above this share of it. Below 1, because length
+ * estimates may be too low and slots are freed one at a time.
  */
 const SHORTAGE_THRESHOLD = 0.8;
-/** Time in which late groups should still be whole, in ms. */
+/** Time within which overdue groups should complete, in ms. */
 const LATE_GROUP_MS = 2_000;
 
-/** Groups in time go first, those that nobody waits for last. */
+/** Sort rank of each status; lower ranks start first. */
 const STATUS_ORDER: Readonly<Record<scheduleTypes.GroupStatus, number>> = {
   inTime: 0,
   late: 1,
@@ -19,16 +19,15 @@
 };
 
 /**
- * Plans in which order the waiting items of all open steps get places.
+ * Plans the order in which the waiting items of all open steps start.
  *
- * Load it answers: open steps that together need more than the engines have. By
- * latest start alone all groups of all steps become whole together, and a step
- * that lacks a fifth of its room is late as a whole. Here those that can be in
- * time go first, whole, and the others follow.
+ * If the open steps require more slots than there are, ordering items by latest
+ * start alone makes all groups complete late together. The "groups" policy
+ * instead starts the groups that can complete in time first.
  *
- * @param input Open steps and the room there is.
- * @param policy The way to plan.
- * @returns Waiting items, first to start first.
+ * @param input Open steps, capacity and current time.
+ * @param policy Scheduling policy.
+ * @returns Waiting items in start order, with group counts by trainer.
  */
 export function planSteps<Work>(
   input: scheduleTypes.ScheduleInput<Work>,
@@ -47,20 +46,20 @@
 }
 
 /**
- * Tells whether room is short for the open steps with all of their groups. While
- * it is not, all groups run: which of them are whole first is left to chance, and
- * steps end sooner than if some waited.
+ * Tells whether capacity is short for all groups of the open steps, spare ones
+ * included. While it is not, no group is deferred: a step ends with whichever
+ * groups complete first, which is sooner than waiting for selected ones.
  */
 function isCapacityShort(
   groups: readonly groupDemands.GroupDemand<unknown>[],
-  { nowMs, capacity: places }: scheduleTypes.ScheduleInput<unknown>,
+  { nowMs, capacity }: scheduleTypes.ScheduleInput<unknown>,
 ): boolean {
   const requiredSlots = computeRequiredSlots.computeSlotDemand(
     groups,
     nowMs,
     LATE_GROUP_MS,
   );
-  return requiredSlots > SHORTAGE_THRESHOLD * places;
+  return requiredSlots > SHORTAGE_THRESHOLD * capacity;
 }
 
 function planByLatestStart<Work>(
@@ -108,8 +107,8 @@
 ): readonly scheduleTypes.PlannedItem<Work>[] {
   return group.items.filter((item) => item.isWaiting).map((item) => ({
     work: item.work,
-    standing: status,
-    startByMs: step.dueMs - item.remainingMs,
+    status,
+    latestStartMs: step.dueMs - item.remainingMs,
   }));
 }
 
