--- a/src/crash_guard/create_grant_calls.ts
+++ b/src/crash_guard/create_grant_calls.ts
@@ -6,9 +6,9 @@
  * Longest wait for a grant, in ms: a leader answers within some milliseconds, and
  * the caller of the request waits meanwhile.
  */
-const ASK_TIMES: replicaGroups.CallTimes = { totalMs: 200, tryMs: 100 };
+const ASK_TIMES: replicaGroups.CallTimeouts = { totalMs: 200, tryMs: 100 };
 /** The same for the end of a run; without it the grant lasts its whole time. */
-const END_TIMES: replicaGroups.CallTimes = { totalMs: 2_000, tryMs: 500 };
+const END_TIMES: replicaGroups.CallTimeouts = { totalMs: 2_000, tryMs: 500 };
 
 /**
  * Makes the calls about grants to the leader of the stores.
--- a/src/fleet_daemon/_near_reader.ts
+++ b/src/fleet_daemon/_near_reader.ts
@@ -49,7 +49,7 @@
   /** Reads once; the leader is asked where the near replica does not answer. */
   async read(
     wanted: ResultsWanted,
-    times: replicaGroups.CallTimes,
+    times: replicaGroups.CallTimeouts,
   ): Promise<results.Result<submissions.ResultPage>> {
     return await this.#readNear(wanted, times) ??
       await this.#readAtLeader(wanted, times);
@@ -57,7 +57,7 @@
 
   async #readNear(
     wanted: ResultsWanted,
-    times: replicaGroups.CallTimes,
+    times: replicaGroups.CallTimeouts,
   ): Promise<results.Result<submissions.ResultPage> | undefined> {
     const near = this.#findNear();
     if (near === undefined) return undefined;
@@ -91,7 +91,7 @@
 
   async #readAtLeader(
     wanted: ResultsWanted,
-    times: replicaGroups.CallTimes,
+    times: replicaGroups.CallTimeouts,
   ): Promise<results.Result<submissions.ResultPage>> {
     const { clock, stores } = this.#options;
     const reply = await controlCalls.callStores<submissions.ReadReply>(
--- a/src/fleet_daemon/control_calls.ts
+++ b/src/fleet_daemon/control_calls.ts
@@ -246,7 +246,7 @@
 export async function callStores<T>(
   stores: replicaGroups.LeaderCaller,
   call: StoreCall,
-  times: replicaGroups.CallTimes,
+  times: replicaGroups.CallTimeouts,
 ): Promise<results.Result<T>> {
   const reply = await stores.call<submissions.LeaderReply<T>>(
     call.method,
--- a/src/fleet_daemon/entry_box.ts
+++ b/src/fleet_daemon/entry_box.ts
@@ -40,7 +40,7 @@
 
   constructor(parts: boxParts.BoxParts) {
     this.#parts = parts;
-    new replicaGroups.FoundingDesk({
+    new replicaGroups.BootstrapService({
       ...parts,
       isFirstStart: parts.settings.isFirstStart,
     });
@@ -139,11 +139,11 @@
       failureDomain: settings.box.failureDomain,
       dataFolder: settings.dataFolder,
       isFirstStart: settings.isFirstStart,
-      wanted: MAX_CORE_VOTERS,
-      least: 2 * settings.lossesToBear + 1,
+      maxVoters: MAX_CORE_VOTERS,
+      minVoters: 2 * settings.lossesToBear + 1,
       snapshotEntries: CORE_SNAPSHOT_ENTRIES,
       seeds: settings.seeds.map((seed) => seed.address),
-      machine,
+      stateMachine: machine,
       canVote: boxParts.isCoreBox,
       listRetiring: () => [],
     });
--- a/src/replica_group/leader_caller.ts
+++ b/src/replica_group/leader_caller.ts
@@ -4,217 +4,242 @@
 import type * as rpc from "../rpc/mod.ts";
 import * as notLeaders from "./not_leader.ts";
 
-/** Pause between two tries, in ms; an election takes some hundred. */
-const RETRY_MS = 40;
+/** Pause between two attempts, in ms; well below the time of an election. */
+const RETRY_INTERVAL_MS = 40;
 
-/** Tries that the log tells of a call without an answer. */
-const TOLD_TRIES = 4;
-/** Replicas of which the log tells what they said last. */
-const TOLD_REPLICAS = 12;
+/** Last attempts of a failed call that its log line shows. */
+const MAX_LOGGED_ATTEMPTS = 4;
+/** Replicas of a failed call whose last answer its log line shows. */
+const MAX_LOGGED_REPLICAS = 12;
 
-/** The answer of a leader whose change no quorum confirmed in time. */
-export interface Unsure {
+/** Answer of a leader whose change was not confirmed by a quorum in time. */
+export interface UnconfirmedChange {
   readonly kind: "unsure";
+  /** Whether the change may still be applied. */
   readonly mayHaveRun: boolean;
 }
 
-/** An answer after which the call is tried again. */
-type NotDone = notLeaders.NotLeader | Unsure;
+/** An answer after which the call is retried. */
+type RetryableAnswer = notLeaders.NotLeader | UnconfirmedChange;
 
-/** What a leader caller needs. */
+/** Options of a leader caller. */
 export interface LeaderCallerOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   /** Ids of the replicas to try, best first. */
   readonly listReplicas: () => readonly string[];
-  /** Id of the replica that the fleet's news name as the leader, if any. */
+  /** Id of the leader as last published in the fleet, if known. */
   readonly findLeader: () => string | undefined;
+  /** Returns the RPC client of a replica, by id. */
   readonly getClient: (id: string) => rpc.Peer;
 }
 
-/** How long a call is tried. */
-export interface CallTimes {
-  /** For all tries together, in ms. */
+/** Timeouts of a call. */
+export interface CallTimeouts {
+  /** Total time for all attempts, in ms. */
   readonly totalMs: number;
-  /** For one replica, which may be frozen, in ms. */
+  /** Time for one attempt, in ms; a suspended replica never answers. */
   readonly tryMs: number;
 }
 
+/** The attempts of one call so far. */
 interface CallState {
+  /** Whether any attempt may have been carried out. */
   readonly mayHaveRun: boolean;
-  readonly tries: number;
-  /** Replicas that were asked last, in order, with what they said. */
-  readonly lastTried: readonly string[];
-  /** What each of the replicas asked last said, the one asked last at the end. */
-  readonly said: ReadonlyMap<string, string>;
+  readonly attempts: number;
+  /** Last attempts as `replica:answer`, oldest first. */
+  readonly lastAttempts: readonly string[];
+  /** Last answer of each replica, by id, least recently asked first. */
+  readonly lastAnswers: ReadonlyMap<string, string>;
 }
 
-const NO_TRIES: CallState = {
+const INITIAL_CALL_STATE: CallState = {
   mayHaveRun: false,
-  tries: 0,
-  lastTried: [],
-  said: new Map(),
+  attempts: 0,
+  lastAttempts: [],
+  lastAnswers: new Map(),
 };
 
-/** Calls the leader of a replica group, whichever replica that is. */
+/** Calls the leader of a replica group, and finds it by trying replicas. */
 export class LeaderCaller {
   readonly #options: LeaderCallerOptions;
   #leader: string | undefined;
-  /** Replica that was asked last and did not take the call. */
-  #doubted: string | undefined;
-  /** Turns of the round; asks that a name steered are none. */
-  #turn = 0;
+  /** Replica of the last attempt that failed or was refused. */
+  #lastNonLeader: string | undefined;
+  /** Round-robin counter; attempts at a reported leader do not advance it. */
+  #nextReplicaIndex = 0;
 
   constructor(options: LeaderCallerOptions) {
     this.#options = options;
   }
 
   /**
-   * Calls a method of the leader until it answers or the time is over. The
-   * call may be carried out more than once.
+   * Calls a method of the leader, with retries until it answers or the total
+   * time is over. The call may be carried out more than once.
    *
-   * @returns The answer; `noLeader` if it surely did not run, else
-   * `changeUnknown`.
+   * @param method Name of the RPC method.
+   * @param params Its parameters.
+   * @param timeouts Limits on the whole call and on each attempt.
+   * @returns The answer; a failure `noLeader` if the call certainly did not run,
+   * or `changeUnknown` if it may have.
    */
   async call<T extends { readonly kind: string }>(
     method: string,
     params: object,
-    times: CallTimes,
-  ): Promise<results.Result<Exclude<T, NotDone>>> {
+    timeouts: CallTimeouts,
+  ): Promise<results.Result<Exclude<T, RetryableAnswer>>> {
     const { clock } = this.#options;
-    const endMs = clock.getMonotonicMs() + times.totalMs;
-    let state = NO_TRIES;
+    const deadlineMs = clock.getMonotonicMs() + timeouts.totalMs;
+    let state = INITIAL_CALL_STATE;
     for (;;) {
-      const leftMs = endMs - clock.getMonotonicMs();
-      if (leftMs <= 0) return this.#giveUp(method, state);
+      const remainingMs = deadlineMs - clock.getMonotonicMs();
+      if (remainingMs <= 0) return this.#reportFailure(method, state);
       const replica = this.#pickReplica();
       const answer = await this.#callOnce<T>(replica, method, params, {
-        timeoutMs: Math.min(times.tryMs, leftMs),
+        timeoutMs: Math.min(timeouts.tryMs, remainingMs),
       });
-      if (answer.kind === "ok" && isDone(answer.value)) {
-        return results.createOk(answer.value as Exclude<T, NotDone>);
+      if (answer.kind === "ok" && isFinal(answer.value)) {
+        return results.createOk(answer.value as Exclude<T, RetryableAnswer>);
       }
-      state = noteTry(state, replica, answer);
-      await clocks.sleep(clock, RETRY_MS);
+      state = recordAttempt(state, replica, answer);
+      await clocks.sleep(clock, RETRY_INTERVAL_MS);
     }
   }
 
-  #giveUp(
+  /** Logs the attempts of a call and creates its failure. */
+  #reportFailure(
     method: string,
     state: CallState,
   ): { readonly kind: "failure"; readonly failure: results.Failure } {
     this.#options.log.write("warn", "leader.unfound", {
       method,
       replicas: this.#options.listReplicas().length,
-      tries: state.tries,
-      lastTried: state.lastTried.join(","),
-      said: [...state.said].map(([id, text]) => `${id}:${text}`).join(","),
+      tries: state.attempts,
+      lastTried: state.lastAttempts.join(","),
+      said: [...state.lastAnswers].map(([id, text]) => `${id}:${text}`).join(
+        ",",
+      ),
     });
     return createCallFailure(method, state);
   }
 
+  /** Makes one attempt and learns from it which replica may lead. */
   async #callOnce<T extends { readonly kind: string }>(
     id: string | undefined,
     method: string,
     params: object,
     { timeoutMs }: { readonly timeoutMs: number },
-  ): Promise<results.Result<T | NotDone>> {
+  ): Promise<results.Result<T | RetryableAnswer>> {
     if (id === undefined) {
       return results.createFailure("noLeader", "Cannot find any replica");
     }
-    const isTurn = id === this.#findTurn();
+    const isNextReplica = id === this.#getNextReplica();
     try {
       const client = this.#options.getClient(id);
-      const reply = await client.call<T | NotDone>(method, params, timeoutMs);
+      const reply = await client.call<T | RetryableAnswer>(
+        method,
+        params,
+        timeoutMs,
+      );
       if (reply.kind === "notLeader") {
         const { leader } = reply as notLeaders.NotLeader;
-        this.#noteLeader(id, leader, isTurn);
+        this.#updateLeader(id, leader, isNextReplica);
       } else this.#leader = id;
       return results.createOk(reply);
     } catch (error) {
-      this.#noteLeader(id, undefined, isTurn);
+      this.#updateLeader(id, undefined, isNextReplica);
       return { kind: "failure", failure: results.toFailure(error) };
     }
   }
 
   /**
-   * The leader that a replica named, else the one that the news name, else one
-   * replica after the other. Without the news a box that has not called before
-   * asks one spare after the other: with 30 store boxes, 5 of them voters, steps
-   * that came by such a box were accepted 0.9 to 1.6 s after they were sent.
+   * Picks the leader that a replica named, else the one published in the fleet,
+   * else the next replica in turn. Trying the published leader first spares a
+   * new caller from asking many replicas that do not vote.
    */
   #pickReplica(): string | undefined {
     if (this.#leader !== undefined) return this.#leader;
-    const told = this.#options.findLeader();
-    if (told !== undefined && told !== this.#doubted) return told;
-    return this.#findTurn();
+    const reported = this.#options.findLeader();
+    if (reported !== undefined && reported !== this.#lastNonLeader) {
+      return reported;
+    }
+    return this.#getNextReplica();
   }
 
-  /** The replica whose turn it is in the round of all. */
-  #findTurn(): string | undefined {
+  /** Returns the next replica in round-robin order. */
+  #getNextReplica(): string | undefined {
     const ids = this.#options.listReplicas();
-    return ids[this.#turn % Math.max(1, ids.length)];
+    return ids[this.#nextReplicaIndex % Math.max(1, ids.length)];
   }
 
-  #noteLeader(
-    asked: string,
-    told: string | undefined,
-    isTurn: boolean,
+  /**
+   * Updates the known leader after an attempt that did not reach it.
+   *
+   * @param replica Replica that was asked.
+   * @param reported Leader that it named, if any.
+   * @param isNextReplica Whether it was the next one in round-robin order.
+   */
+  #updateLeader(
+    replica: string,
+    reported: string | undefined,
+    isNextReplica: boolean,
   ): void {
-    if (isTurn) this.#turn += 1;
-    this.#doubted = asked;
-    this.#leader = told === asked ? undefined : told;
+    if (isNextReplica) this.#nextReplicaIndex += 1;
+    this.#lastNonLeader = replica;
+    this.#leader = reported === replica ? undefined : reported;
   }
 }
 
-function isDone(reply: { readonly kind: string }): boolean {
+/** Reports whether an answer ends its call. */
+function isFinal(reply: { readonly kind: string }): boolean {
   return reply.kind !== "notLeader" && reply.kind !== "unsure";
 }
 
-/** Tells whether a try may have been carried out without a clear answer. */
-function hasMaybeRun(
-  tried: results.Result<{ readonly kind: string }>,
+/** Reports whether an attempt without a final answer may have run. */
+function hasUnknownOutcome(
+  answer: results.Result<{ readonly kind: string }>,
 ): boolean {
-  if (tried.kind === "failure") return tried.failure.outcome !== "notRun";
-  return tried.value.kind === "unsure" && (tried.value as Unsure).mayHaveRun;
+  if (answer.kind === "failure") return answer.failure.outcome !== "notRun";
+  return answer.value.kind === "unsure" &&
+    (answer.value as UnconfirmedChange).mayHaveRun;
 }
 
-/** Adds a try that did not end its call to what is known of the call. */
-function noteTry(
+/** Adds an attempt without a final answer to the state of its call. */
+function recordAttempt(
   state: CallState,
   replica: string | undefined,
   answer: results.Result<{ readonly kind: string }>,
 ): CallState {
-  const name = replica ?? "none";
-  const others = [...state.said].filter(([id]) => id !== name);
+  const key = replica ?? "none";
+  const others = [...state.lastAnswers].filter(([id]) => id !== key);
   return {
-    mayHaveRun: state.mayHaveRun || hasMaybeRun(answer),
-    tries: state.tries + 1,
-    lastTried: [
-      ...state.lastTried.slice(1 - TOLD_TRIES),
-      `${replica}:${nameAnswer(answer)}`,
+    mayHaveRun: state.mayHaveRun || hasUnknownOutcome(answer),
+    attempts: state.attempts + 1,
+    lastAttempts: [
+      ...state.lastAttempts.slice(1 - MAX_LOGGED_ATTEMPTS),
+      `${replica}:${getAnswerCode(answer)}`,
     ],
-    said: new Map([
-      ...others.slice(1 - TOLD_REPLICAS),
-      [name, describeAnswer(answer)],
+    lastAnswers: new Map([
+      ...others.slice(1 - MAX_LOGGED_REPLICAS),
+      [key, describeAnswer(answer)],
     ]),
   };
 }
 
-function nameAnswer(
+function getAnswerCode(
   answer: results.Result<{ readonly kind: string }>,
 ): string {
   return answer.kind === "ok" ? answer.value.kind : answer.failure.code;
 }
 
-/** Describes an answer that did not end its call, for the log. */
+/** Describes an answer that did not end its call, for the log line. */
 function describeAnswer(
   answer: results.Result<{ readonly kind: string }>,
 ): string {
   if (answer.kind === "ok" && answer.value.kind === "notLeader") {
     return notLeaders.describeNotLeader(answer.value as notLeaders.NotLeader);
   }
-  return nameAnswer(answer);
+  return getAnswerCode(answer);
 }
 
 function createCallFailure(
--- a/src/replica_group/mod.ts
+++ b/src/replica_group/mod.ts
@@ -1,6 +1,6 @@
 /**
- * A replicated group over boxes found from seeds: founded once, its voters
- * replaced as boxes come and go.
+ * A replica group over the boxes of a deployment: bootstrapped once through seed
+ * boxes, with voters that are replaced as boxes fail, join and leave.
  *
  * @example
  * ```ts
@@ -10,7 +10,7 @@
  * ```
  * @module
  */
-export * from "./founding_desk.ts";
+export * from "./bootstrap_service.ts";
 export * from "./leader_caller.ts";
 export * from "./not_leader.ts";
 export * from "./plan_voters.ts";
--- a/src/replica_group/not_leader.ts
+++ b/src/replica_group/not_leader.ts
@@ -1,57 +1,62 @@
 import type * as consensus from "../consensus/mod.ts";
 
-/** The answer of a replica that does not lead. */
+/** Answer of a replica that is not the leader. */
 export interface NotLeader {
   readonly kind: "notLeader";
-  /** Id of the leader, as far as the replica knows. */
+  /** Id of the leader that the replica knows, if any. */
   readonly leader: string | undefined;
-  /** Why the replica does not lead; boxes of earlier versions tell none. */
+  /** Why it is not the leader; boxes of earlier versions omit it. */
   readonly reason?: NotLeaderReason;
 }
 
-/** Why a replica does not take what only the leader takes. */
+/** Why a replica cannot serve calls that only the leader serves. */
 export type NotLeaderReason =
   /** Its data folder is not open yet. */
   | { readonly kind: "notStarted" }
-  /** It lost the lead while the change was under way. */
+  /** It lost its leadership while the change was being replicated. */
   | { readonly kind: "lostLead" }
   | {
+    /** It follows another replica. */
     readonly kind: "follows";
     readonly term: number;
-    /** Time since it heard the leader, in ms. */
+    /** Time since it last heard from the leader, in ms. */
     readonly heardMs: number;
   }
-  /** It leads by role, and is not sure that no other does. */
+  /** It is the leader of its term, but holds no lease. */
   | {
     readonly kind: "unsureLead";
     readonly term: number;
-    /** Time since it was sure, in ms. */
+    /** Time since it last knew a leader with a lease, in ms. */
     readonly sinceMs: number;
-    /** Voters that answer and count, this one among them. */
+    /** Responsive voters that count in a quorum, including this replica. */
     readonly presentVoters: number;
+    /** Number of voters that make a quorum. */
     readonly quorum: number;
+    /** Duration of its write in progress, in ms; 0 for none. */
     readonly writingMs: number;
   }
   | {
+    /** It knows no leader. */
     readonly kind: "leaderless";
     readonly role: consensus.ReplicaHealth["role"];
     readonly term: number;
-    /** Time since it knew a leader, in ms. */
+    /** Time since it last knew a leader, in ms. */
     readonly sinceMs: number;
     readonly lastIndex: number;
+    /** Whether it has caught up and counts in a quorum. */
     readonly isAdmitted: boolean;
-    /** Whether it is among the voters that its log names. */
+    /** Whether it is a voter by the configuration in its log. */
     readonly isInSet: boolean;
-    /** How many voters its log names. */
+    /** Number of voters in that configuration. */
     readonly voters: number;
-    /** How long its write under way has lasted, in ms; 0 for none. */
+    /** Duration of its write in progress, in ms; 0 for none. */
     readonly writingMs: number;
   };
 
 /**
- * Explains why a replica does not take what only the leader takes.
+ * Explains why a replica cannot serve calls that only the leader serves.
  *
- * @param health What the replica knows; undefined before it is opened.
+ * @param health State of the replica; undefined before it is opened.
  * @returns The reason.
  */
 export function explainNotLeader(
@@ -87,10 +92,10 @@
 }
 
 /**
- * Describes the answer of a replica that does not lead, for the log.
+ * Describes the answer of a replica that is not the leader, for the log.
  *
  * @param answer The answer.
- * @returns A short text without blanks.
+ * @returns A short text without spaces.
  */
 export function describeNotLeader({ leader, reason }: NotLeader): string {
   if (reason === undefined) return leader ? `follows:${leader}` : "notLeader";
--- a/src/replica_group/plan_voters.ts
+++ b/src/replica_group/plan_voters.ts
@@ -1,192 +1,205 @@
 import * as consensus from "../consensus/mod.ts";
 
-/** Silence of a voter after which a spare is fed to replace it, in ms. */
-const DOUBT_MS = 800;
+/**
+ * Silence after which a voter is suspected to have failed and a learner is
+ * added for it, in ms. A new leader changes no voters before.
+ */
+const SUSPECT_MS = 800;
 
-/** Silence of a spare up to which it is worth feeding, in ms. */
-const RESPONSIVE_MS = 1_500;
+/** Silence up to which a box is preferred as a learner, in ms. */
+const MAX_LEARNER_SILENCE_MS = 1_500;
 
-/** What a leader weighs when it plans its voters. */
-export interface VoterSituation {
+/** What the leader plans the voters and learners from. */
+export interface VoterPlanInput {
   /** Id of the leader. */
   readonly self: string;
   readonly voters: readonly string[];
-  /** How many voters there should be. */
-  readonly wanted: number;
+  /** Number of voters to aim for. */
+  readonly targetVoters: number;
   readonly commitIndex: number;
-  /** How long the leader has led in its term, in ms. */
-  readonly reignMs: number;
+  /** Time since the leader was elected in its term, in ms. */
+  readonly leadershipMs: number;
   readonly followers: readonly consensus.FollowerStatus[];
-  /** Boxes that could vote: heard lately, with a disk, not to be emptied. */
+  /** Ids of boxes that can be voters: alive, with a disk, not being retired. */
   readonly candidates: readonly string[];
   /** Failure domain of each known box, by id. */
   readonly failureDomains: ReadonlyMap<string, string>;
-  /** Boxes that are to be emptied. */
+  /** Ids of boxes that are being retired. */
   readonly retiring: readonly string[];
-  /** Silence after which a voter is replaced, in ms. */
-  readonly deadMs: number;
+  /** Silence after which a voter counts as failed, in ms. */
+  readonly failureTimeoutMs: number;
 }
 
 /**
- * Says how many voters there should be: an odd number, so that one half of the
- * boxes alone never has a quorum, and never fewer than losses need.
+ * Computes the number of voters to aim for: the largest odd number that the
+ * boxes allow, as one more voter would add no tolerance of losses.
  *
- * @param least Voters that losses need.
- * @param most Voters at most.
- * @param boxes Boxes that could vote.
+ * @param minVoters Voters needed to bear the configured losses; kept to even if
+ * there are fewer boxes.
+ * @param maxVoters Largest number of voters.
+ * @param candidates Number of boxes that can be voters.
  * @returns The number of voters.
  */
-export function countWanted(
-  least: number,
-  most: number,
-  boxes: number,
+export function countTargetVoters(
+  minVoters: number,
+  maxVoters: number,
+  candidates: number,
 ): number {
-  const few = Math.min(most, boxes);
-  const odd = few % 2 === 0 ? few - 1 : few;
-  return Math.max(least, odd);
+  const available = Math.min(maxVoters, candidates);
+  const odd = available % 2 === 0 ? available - 1 : available;
+  return Math.max(minVoters, odd);
 }
 
 /**
- * Plans the next single change of the voters.
+ * Plans the next change of the voters, which adds or removes one of them. A
+ * replacement is added before the voter that it replaces is removed.
  *
- * @param situation What the leader knows.
- * @returns The voters after the change, or undefined when none is due; a
- * leader that is to be emptied plans nothing and hands over instead.
+ * @param input What the leader knows.
+ * @returns The voters after the change, or undefined if none is due. A leader
+ * that is being retired plans no change, since it transfers leadership first.
  */
 export function planVoters(
-  situation: VoterSituation,
+  input: VoterPlanInput,
 ): readonly string[] | undefined {
-  const { voters, wanted, retiring, self, reignMs } = situation;
-  if (retiring.includes(self) || reignMs < DOUBT_MS) return undefined;
+  const { voters, targetVoters, retiring, self, leadershipMs } = input;
+  if (retiring.includes(self) || leadershipMs < SUSPECT_MS) return undefined;
   const others = voters.filter((id) => id !== self);
-  const dead = others.filter((id) => isDead(id, situation));
-  const leaving = others.filter((id) => retiring.includes(id));
-  const emptied = others.filter((id) => isEmptied(id, situation));
-  const unwanted = [...dead, ...leaving, ...emptied];
-  const fresh = findFresh(situation);
-  if (voters.length > wanted) {
+  const failed = others.filter((id) => hasFailed(id, input));
+  const retiringVoters = others.filter((id) => retiring.includes(id));
+  const unadmitted = others.filter((id) => isUnadmitted(id, input));
+  const replaceable = [...failed, ...retiringVoters, ...unadmitted];
+  const promotable = findPromotable(input);
+  if (voters.length > targetVoters) {
     const isEven = voters.length % 2 === 0;
-    const extra = unwanted[0] ??
-      (isEven ? findQuietest(situation, others) : undefined);
-    return extra === undefined ? undefined : dropVoter(voters, extra);
+    const surplus = replaceable[0] ??
+      (isEven ? findMostSilent(input, others) : undefined);
+    return surplus === undefined ? undefined : removeVoter(voters, surplus);
   }
-  const isShort = voters.length < wanted || unwanted.length > 0;
-  if (isShort && fresh !== undefined) return [...voters, fresh];
+  const needsVoter = voters.length < targetVoters || replaceable.length > 0;
+  if (needsVoter && promotable !== undefined) return [...voters, promotable];
   return undefined;
 }
 
 /**
- * Chooses the boxes to feed beside the voters: one for each voter that may soon
- * be replaced. Spares that answer come first, then those in failure domains
- * with few voters, then those that hold most. A spare that nobody needs is not
- * fed: each copy has its price, and many at once would make all of them late.
+ * Chooses the learners, which receive the log without voting: one for each voter
+ * that is missing or may soon be replaced. Responsive boxes are preferred, then
+ * those in failure domains with few voters, then those with the longest log.
+ * There are no others, as catch-ups at the same time delay each other.
  *
- * @param situation What the leader knows.
- * @returns Their ids.
+ * @param input What the leader knows.
+ * @returns Ids of the learners.
  */
 export function chooseLearners(
-  situation: VoterSituation,
+  input: VoterPlanInput,
 ): readonly string[] {
-  const { voters, wanted, retiring, candidates, self } = situation;
+  const { voters, targetVoters, retiring, candidates, self } = input;
   const others = voters.filter((id) => id !== self);
-  const doubtful = others.filter((id) =>
-    retiring.includes(id) || isEmptied(id, situation) ||
-    isDead(id, { ...situation, deadMs: DOUBT_MS })
+  const replaceable = others.filter((id) =>
+    retiring.includes(id) || isUnadmitted(id, input) ||
+    hasFailed(id, { ...input, failureTimeoutMs: SUSPECT_MS })
   );
-  const missing = Math.max(0, wanted - voters.length);
-  const leaving = doubtful.length + (retiring.includes(self) ? 1 : 0);
-  const lasting = voters.filter((id) => !doubtful.includes(id));
+  const missing = Math.max(0, targetVoters - voters.length);
+  const replacements = replaceable.length + (retiring.includes(self) ? 1 : 0);
+  const retained = voters.filter((id) => !replaceable.includes(id));
   return candidates.filter((id) => !voters.includes(id))
-    .map((id) => describeSpare(id, lasting, situation))
-    .toSorted(compareSpares)
-    .slice(0, missing + leaving)
-    .map((spare) => spare.id);
+    .map((id) => describeCandidate(id, retained, input))
+    .toSorted(compareCandidates)
+    .slice(0, missing + replacements)
+    .map((candidate) => candidate.id);
 }
 
-/** What speaks for feeding a spare. */
-interface Spare {
+/** A box that can be a learner, and what it is ranked by. */
+interface LearnerCandidate {
   readonly id: string;
-  /** Whether it is known not to answer. */
+  /** Whether it is known to be unresponsive. */
   readonly isSilent: boolean;
-  /** Voters in its failure domain that are not in doubt. */
-  readonly neighbours: number;
+  /** Voters in its failure domain that are to stay. */
+  readonly domainVoters: number;
+  /** Last log index that it is known to hold. */
   readonly matchIndex: number;
 }
 
-function describeSpare(
+/** Collects what a box is ranked by; `retained` holds the voters to stay. */
+function describeCandidate(
   id: string,
-  lasting: readonly string[],
-  { followers, failureDomains }: VoterSituation,
-): Spare {
+  retained: readonly string[],
+  { followers, failureDomains }: VoterPlanInput,
+): LearnerCandidate {
   const follower = followers.find((item) => item.id === id);
   const domain = failureDomains.get(id);
   return {
     id,
-    isSilent: follower !== undefined && follower.silentMs > RESPONSIVE_MS,
-    neighbours: lasting.filter((other) => failureDomains.get(other) === domain)
-      .length,
+    isSilent: follower !== undefined &&
+      follower.silentMs > MAX_LEARNER_SILENCE_MS,
+    domainVoters:
+      retained.filter((other) => failureDomains.get(other) === domain)
+        .length,
     matchIndex: follower?.matchIndex ?? 0,
   };
 }
 
-function compareSpares(a: Spare, b: Spare): number {
+/** Orders learner candidates, best first. */
+function compareCandidates(a: LearnerCandidate, b: LearnerCandidate): number {
   return Number(a.isSilent) - Number(b.isSilent) ||
-    a.neighbours - b.neighbours ||
+    a.domainVoters - b.domainVoters ||
     b.matchIndex - a.matchIndex ||
     (a.id < b.id ? -1 : 1);
 }
 
-/** How long a follower is silent; a leader hears nothing before it leads. */
+/** Returns a follower's silence, in ms, counted since the election at most. */
 function getSilenceMs(
   follower: consensus.FollowerStatus,
-  situation: VoterSituation,
+  input: VoterPlanInput,
 ): number {
-  return Math.min(follower.silentMs, situation.reignMs);
+  return Math.min(follower.silentMs, input.leadershipMs);
 }
 
-function isDead(id: string, situation: VoterSituation): boolean {
-  const follower = situation.followers.find((item) => item.id === id);
-  if (follower === undefined) return situation.reignMs > situation.deadMs;
-  return getSilenceMs(follower, situation) > situation.deadMs;
+/** Reports whether a box has been silent for longer than the failure timeout. */
+function hasFailed(id: string, input: VoterPlanInput): boolean {
+  const follower = input.followers.find((item) => item.id === id);
+  if (follower === undefined) {
+    return input.leadershipMs > input.failureTimeoutMs;
+  }
+  return getSilenceMs(follower, input) > input.failureTimeoutMs;
 }
 
 /**
- * A voter that answers but counts in no quorum: it lost its disk. Taken for a
- * whole one, it stayed in the set in the place of a whole one that was silent for
- * 20 ms longer; one disk more then left one voter of three that counts.
+ * Reports whether a voter answers but counts in no quorum, as after a disk loss.
+ * It is replaced before a healthy voter is removed; otherwise the loss of one
+ * more disk could cost the group its quorum.
  */
-function isEmptied(id: string, situation: VoterSituation): boolean {
-  const follower = situation.followers.find((item) => item.id === id);
+function isUnadmitted(id: string, input: VoterPlanInput): boolean {
+  const follower = input.followers.find((item) => item.id === id);
   return follower !== undefined && Number.isFinite(follower.silentMs) &&
     !follower.isAdmitted;
 }
 
 /**
- * A candidate that counts and lacks only what is under way. One that had to hold
- * all at the moment of a look never became a voter while its disk was slower than
- * the others' and commands came (50 a second, 20 ms a sync against 1 ms: in none of
- * 28 s), and a voter that was gone for good stayed.
+ * Finds a learner that can become a voter. It may lack a few entries: under load
+ * a learner with a slow disk never holds every committed entry, and would never
+ * replace a failed voter.
  */
-function findFresh(situation: VoterSituation): string | undefined {
-  const { candidates, voters, followers, commitIndex } = situation;
+function findPromotable(input: VoterPlanInput): string | undefined {
+  const { candidates, voters, followers, commitIndex } = input;
   return candidates.find((id) => {
     if (voters.includes(id)) return false;
     const follower = followers.find((item) => item.id === id);
     return follower !== undefined && follower.isAdmitted &&
       commitIndex - follower.matchIndex <= consensus.NEAR_ENTRIES &&
-      !isDead(id, situation);
+      !hasFailed(id, input);
   });
 }
 
-function findQuietest(
-  situation: VoterSituation,
+/** Finds the voter among `others` with the longest silence. */
+function findMostSilent(
+  input: VoterPlanInput,
   others: readonly string[],
 ): string | undefined {
-  return situation.followers.filter((item) => others.includes(item.id))
+  return input.followers.filter((item) => others.includes(item.id))
     .toSorted((a, b) => b.silentMs - a.silentMs)[0]?.id;
 }
 
-function dropVoter(
+function removeVoter(
   voters: readonly string[],
   removed: string,
 ): readonly string[] {
--- a/src/replica_group/read_barrier.ts
+++ b/src/replica_group/read_barrier.ts
@@ -4,61 +4,63 @@
 import type * as rpc from "../rpc/mod.ts";
 import type * as notLeaders from "./not_leader.ts";
 
-/** What a read barrier asks of its replica. */
+/** The part of a replica that a read barrier uses. */
 export interface BarrierReplica {
+  /** Whether this replica is the leader and holds a lease. */
   hasAuthority(): boolean;
-  /** Id of the leader, as far as this replica knows. */
+  /** Returns the id of the leader that this replica knows, if any. */
   getLeader(): string | undefined;
-  /** Log index up to which the replica's state holds everything. */
+  /** Returns the index of the last log entry applied to the state. */
   getAppliedIndex(): number;
 }
 
-/** What a read barrier needs. */
+/** Options of a read barrier. */
 export interface ReadBarrierOptions {
   readonly clock: clocks.Clock;
-  /** Name of the group; it begins the name of the call. */
+  /** Name of the group; prefix of the RPC method. */
   readonly name: string;
   readonly replica: BarrierReplica;
-  /** Woken when the replica's state changed. */
+  /** Notified when the replica's state has changed. */
   readonly changed: csp.Signal;
   readonly peers: fleet.Peers;
   readonly server: rpc.MethodTable;
 }
 
-/** How far the leader's state is. */
-type IndexReply =
+/** The leader's applied index, or that the replica is not the leader. */
+type ReadIndexReply =
   | notLeaders.NotLeader
   | { readonly kind: "index"; readonly index: number };
 
 /**
- * Lets a replica that does not lead answer reads as its leader would. The
- * leader, sure of its lead, tells how far its state is; once this replica has
- * applied as much, it holds all that was acknowledged before the read came.
+ * Provides linearizable reads on followers. A follower asks the leader, which
+ * answers only under its lease, for its applied index. Once the follower has
+ * applied that entry, its state includes every change that was acknowledged
+ * before the read.
  */
 export class ReadBarrier {
   readonly #options: ReadBarrierOptions;
 
   constructor(options: ReadBarrierOptions) {
     this.#options = options;
-    options.server.add(this.#getMethod(), () => this.#answer());
+    options.server.add(this.#getMethod(), () => this.#handleRequest());
   }
 
   /**
-   * Waits until this replica may answer a read that came before the call.
+   * Waits until this replica can answer a read that arrived before the call.
    *
    * @param timeoutMs Longest wait, in ms.
-   * @returns Whether it may; false where no leader answered, or where this
-   * replica did not catch up in time.
+   * @returns Whether it can; false if no leader answered, or if this replica did
+   * not catch up in time.
    */
   async awaitLeaderState(timeoutMs: number): Promise<boolean> {
     const { clock, replica, changed } = this.#options;
-    const endMs = clock.getMonotonicMs() + timeoutMs;
-    const index = await this.#askIndex(timeoutMs);
+    const deadlineMs = clock.getMonotonicMs() + timeoutMs;
+    const index = await this.#fetchReadIndex(timeoutMs);
     if (index === undefined) return false;
     while (replica.getAppliedIndex() < index) {
-      const leftMs = endMs - clock.getMonotonicMs();
-      if (leftMs <= 0) return false;
-      await changed.wait(clock, leftMs);
+      const remainingMs = deadlineMs - clock.getMonotonicMs();
+      if (remainingMs <= 0) return false;
+      await changed.wait(clock, remainingMs);
     }
     return true;
   }
@@ -67,26 +69,27 @@
     return `${this.#options.name}.readIndex`;
   }
 
-  #answer(): IndexReply {
+  #handleRequest(): ReadIndexReply {
     const { replica } = this.#options;
     return replica.hasAuthority()
       ? { kind: "index", index: replica.getAppliedIndex() }
       : { kind: "notLeader", leader: replica.getLeader() };
   }
 
-  async #askIndex(timeoutMs: number): Promise<number | undefined> {
+  /** Asks the leader for its applied index; undefined if it does not answer. */
+  async #fetchReadIndex(timeoutMs: number): Promise<number | undefined> {
     const { replica, peers } = this.#options;
     const leader = replica.getLeader();
     if (leader === undefined) return undefined;
     try {
-      const reply = await peers.get(leader).call<IndexReply>(
+      const reply = await peers.get(leader).call<ReadIndexReply>(
         this.#getMethod(),
         {},
         timeoutMs,
       );
       return reply.kind === "index" ? reply.index : undefined;
     } catch {
-      // A leader that does not answer gives no index; its caller asks elsewhere.
+      // Without an index the barrier fails, and the caller asks another replica.
       return undefined;
     }
   }
--- a/src/replica_group/replica_group.ts
+++ b/src/replica_group/replica_group.ts
@@ -7,64 +7,62 @@
 import * as results from "../results/mod.ts";
 import * as rpc from "../rpc/mod.ts";
 import * as storage from "../storage/mod.ts";
-import * as createSeed from "./_create_seed.ts";
+import * as bootstrapClients from "./_bootstrap_client.ts";
+import * as createElectionSeed from "./_create_election_seed.ts";
 import * as describeNotice from "./_describe_notice.ts";
-import * as founders from "./_founder.ts";
+import * as isBulk from "./_is_bulk.ts";
 import * as notLeaders from "./not_leader.ts";
 import * as planVoters from "./plan_voters.ts";
 
 /**
- * Shortest silence before an election, in ms: five heartbeats, and well above
- * the slowest sync (60 ms on a slow disk) and pause (100 ms without processor)
- * that were seen.
+ * Shortest silence of the leader before an election, in ms: five heartbeats, and
+ * well above the time of a slow disk sync or a pause of the process.
  */
-const ELECTION_MS = 450;
-const HEARTBEAT_MS = 90;
-/** Entries a message; a submission with its bodies takes some 300 KB. */
+const ELECTION_TIMEOUT_MS = 450;
+const HEARTBEAT_INTERVAL_MS = 90;
+/** Most entries in a message; one with request bodies may have 300 KB. */
 const MAX_BATCH_ENTRIES = 24;
-/** Entries a message from which it is bulk: a replica is catching up. */
-const BULK_ENTRIES = 8;
-/** Between two looks at the voters, in ms; a replacement takes two of them. */
-const PLAN_MS = 100;
+/** Time between two plans of the voters, in ms; a replacement takes two. */
+const PLAN_INTERVAL_MS = 100;
 /**
- * Silence after which a voter is replaced by a spare, in ms. A voter that is gone
- * for good must be replaced before the next one may be lost, some 5 s after its
- * successor's start, also where all boxes lost power meanwhile: with 3 s, and
- * none counted in the first 3 s of a leader, the set was whole 6.4 s after that
- * start (fake clock).
+ * Silence after which a voter is replaced, in ms: short enough to replace a lost
+ * voter before the next loss, some 5 s later, even after a restart of all boxes.
  */
-const DEAD_MS = 2_000;
-/** Between two tries to open a data folder on a full disk, in ms. */
-const DISK_FULL_MS = 500;
-const RESIGN_TRIES = 20;
-const RESIGN_PAUSE_MS = 20;
+const VOTER_FAILURE_TIMEOUT_MS = 2_000;
+/** Time between two attempts to open a data folder on a full disk, in ms. */
+const DISK_FULL_RETRY_MS = 500;
+const MAX_RESIGN_ATTEMPTS = 20;
+const RESIGN_RETRY_MS = 20;
 
-/** What a replica group needs. */
+/** Options of a replica group. */
 export interface ReplicaGroupOptions {
-  /** Name of the group; it begins the names of its calls. */
+  /** Name of the group; prefix of its RPC methods. */
   readonly name: string;
   readonly id: string;
   readonly failureDomain: string;
   readonly dataFolder: string;
+  /** Whether the process starts for the first time on this box. */
   readonly isFirstStart: boolean;
-  /** Voters that the group should have, if there are so many boxes. */
-  readonly wanted: number;
-  /** Boxes that must apply before the group is founded in a hurry. */
-  readonly least: number;
+  /** Largest number of voters. */
+  readonly maxVoters: number;
+  /** Smallest number of voters to aim for and to bootstrap with. */
+  readonly minVoters: number;
+  /** Applied entries after which a snapshot is taken. */
   readonly snapshotEntries: number;
+  /** Addresses of the boxes that choose the initial voters, in order. */
   readonly seeds: readonly string[];
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly metrics: metricTypes.FleetMetrics;
-  readonly machine: consensus.Machine;
+  readonly stateMachine: consensus.Machine;
   readonly directory: fleet.BoxDirectory;
   readonly peers: fleet.Peers;
   readonly server: rpc.MethodTable;
-  /** Whether a box may keep a replica of this group. */
+  /** Reports whether a box may be a voter of this group. */
   readonly canVote: (box: fleet.BoxRecord) => boolean;
-  /** Ids of boxes that are to be emptied. */
+  /** Lists the ids of boxes that are being retired. */
   readonly listRetiring: () => readonly string[];
-  /** Told of a failed write; the process must end. */
+  /** Called after a failed write; the process must exit. */
   readonly onFatal: (error: unknown) => void;
 }
 
@@ -73,26 +71,23 @@
   readonly message: consensus.DriverMessage;
 }
 
-/**
- * This box's replica of a group: founds or joins the set, and keeps its voters
- * where they should be while it leads.
- */
+/** This box's replica of a group; as leader, it also replaces voters. */
 export class ReplicaGroup {
   readonly #options: ReplicaGroupOptions;
   #driver: consensus.ReplicaDriver | undefined;
-  /** One envelope a message, so that it is encoded once for all receivers. */
+  /** Envelopes by message, so that each is encoded once for all receivers. */
   readonly #envelopes = new WeakMap<
     consensus.DriverMessage,
     ConsensusEnvelope
   >();
-  readonly #founder: founders.Founder;
+  readonly #bootstrapClient: bootstrapClients.BootstrapClient;
   #isStopped = false;
-  /** Term that this replica led last, and since when, in monotonic ms. */
-  #reign = { term: 0, sinceMs: 0 };
+  /** Term at the last `getReignMs`, and its first call, in monotonic ms. */
+  #leadership = { term: 0, sinceMs: 0 };
 
   constructor(options: ReplicaGroupOptions) {
     this.#options = options;
-    this.#founder = new founders.Founder(options);
+    this.#bootstrapClient = new bootstrapClients.BootstrapClient(options);
     options.server.add(
       this.#getMethod(),
       (envelope: ConsensusEnvelope) =>
@@ -100,48 +95,52 @@
     );
   }
 
-  /** Founds or joins the group; resolves once the replica runs. */
+  /** Bootstraps or joins the group; resolves once the replica runs. */
   async start(): Promise<void> {
     const { isFirstStart, dataFolder } = this.#options;
     fs.mkdirSync(dataFolder, { recursive: true });
     const isEmpty = fs.readdirSync(dataFolder).length === 0;
-    if (isFirstStart && isEmpty) await this.#founder.found();
+    if (isFirstStart && isEmpty) {
+      await this.#bootstrapClient.initializeDataFolder();
+    }
     if (this.#isStopped) return;
-    this.#driver = await this.#openWhenPossible();
-    this.#runPlan();
+    this.#driver = await this.#openWithRetry();
+    this.#runPlanner();
   }
 
   async stop(): Promise<void> {
     this.#isStopped = true;
-    this.#founder.stop();
+    this.#bootstrapClient.stop();
     await this.#driver?.stop();
   }
 
-  /** Hands leadership over before a planned stop, within a bounded time. */
+  /** Transfers leadership before a planned stop, within a bounded time. */
   async resign(): Promise<void> {
-    for (let turn = 0; turn < RESIGN_TRIES; turn += 1) {
+    for (let attempt = 0; attempt < MAX_RESIGN_ATTEMPTS; attempt += 1) {
       if (this.#driver?.getStatus().role !== "leader") return;
       this.#driver.transfer();
-      await clocks.sleep(this.#options.clock, RESIGN_PAUSE_MS);
+      await clocks.sleep(this.#options.clock, RESIGN_RETRY_MS);
     }
   }
 
-  /** Hands leadership to a voter, if it has every entry by now. */
+  /** Transfers leadership to a voter if it holds the whole log. */
   transferTo(to: string): void {
     this.#driver?.transfer(to);
   }
 
-  /** Whether this replica may act as leader now. */
+  /** Whether this replica is the leader and holds a lease. */
   hasAuthority(): boolean {
     return this.#driver?.hasAuthority() ?? false;
   }
 
-  /** How long this replica has led in its present term, in ms. */
+  /** Returns how long the current term has lasted since the first call, in ms. */
   getReignMs(): number {
     const nowMs = this.#options.clock.getMonotonicMs();
     const term = this.getTerm();
-    if (this.#reign.term !== term) this.#reign = { term, sinceMs: nowMs };
-    return nowMs - this.#reign.sinceMs;
+    if (this.#leadership.term !== term) {
+      this.#leadership = { term, sinceMs: nowMs };
+    }
+    return nowMs - this.#leadership.sinceMs;
   }
 
   getTerm(): number {
@@ -152,7 +151,7 @@
     return this.#driver?.getStatus();
   }
 
-  /** Term in which this replica may act as leader now; 0 where it may not. */
+  /** Returns the current term if this replica has authority, else 0. */
   getLeadTerm(): number {
     return this.hasAuthority() ? this.getTerm() : 0;
   }
@@ -161,22 +160,22 @@
     return this.#driver?.listVoters() ?? [];
   }
 
-  /** Who votes, and whether that is committed; undefined before the start. */
+  /** Returns the voter configuration; undefined before the start. */
   getVoterSet(): consensus.VoterSet | undefined {
     return this.#driver?.getStatus().voterSet;
   }
 
-  /** Id of the leader, as far as this replica knows. */
+  /** Returns the id of the leader that this replica knows, if any. */
   getLeader(): string | undefined {
     return this.#driver?.getLeader();
   }
 
-  /** Log index up to which the machine holds everything. */
+  /** Returns the index of the last entry applied to the state machine. */
   getAppliedIndex(): number {
     return this.#driver?.getAppliedIndex() ?? 0;
   }
 
-  /** The answer to calls that only the leader takes. */
+  /** Creates the answer to calls that only the leader serves. */
   createNotLeader(): notLeaders.NotLeader {
     const reason = notLeaders.explainNotLeader(this.#driver?.getHealth());
     return { kind: "notLeader", leader: this.getLeader(), reason };
@@ -201,8 +200,8 @@
     return `${this.#options.name}.consensus`;
   }
 
-  /** Opens the data folder, again and again while its disk is full. */
-  async #openWhenPossible(): Promise<consensus.ReplicaDriver> {
+  /** Opens the data folder, with retries while its disk is full. */
+  async #openWithRetry(): Promise<consensus.ReplicaDriver> {
     const { clock, log, name } = this.#options;
     for (;;) {
       try {
@@ -211,28 +210,35 @@
         if (!storage.isDiskFull(error)) throw error;
       }
       log.write("warn", "group.diskFull", { group: name });
-      await clocks.sleep(clock, DISK_FULL_MS);
+      await clocks.sleep(clock, DISK_FULL_RETRY_MS);
     }
   }
 
   #openDriver(): Promise<consensus.ReplicaDriver> {
-    const { id, clock, dataFolder, machine, snapshotEntries, onFatal, peers } =
-      this.#options;
+    const {
+      id,
+      clock,
+      dataFolder,
+      stateMachine,
+      snapshotEntries,
+      onFatal,
+      peers,
+    } = this.#options;
     return consensus.ReplicaDriver.open({
       config: {
         id,
         voters: [],
-        electionTimeoutMs: ELECTION_MS,
-        heartbeatMs: HEARTBEAT_MS,
+        electionTimeoutMs: ELECTION_TIMEOUT_MS,
+        heartbeatMs: HEARTBEAT_INTERVAL_MS,
         maxBatchEntries: MAX_BATCH_ENTRIES,
-        seed: createSeed.createSeed(id, clock.getWallMs()),
+        seed: createElectionSeed.createElectionSeed(id, clock.getWallMs()),
       },
       clock,
       dataFolder,
-      machine,
+      machine: stateMachine,
       snapshotEntries,
       send: (to, message) =>
-        peers.get(to).tell(this.#getMethod(), this.#wrap(message)),
+        peers.get(to).tell(this.#getMethod(), this.#wrapMessage(message)),
       onNotice: (notice) => this.#writeNotice(notice),
       onFatal,
     });
@@ -243,50 +249,50 @@
     if (notice.kind === "voteRefused") {
       metrics.replicas.countRefusedVote(name, notice.reason);
     }
-    const level = describeNotice.chooseLevel(notice);
+    const level = describeNotice.chooseLogLevel(notice);
     log.write(level, `replica.${notice.kind}`, {
       group: name,
       ...describeNotice.describeNotice(notice),
     });
   }
 
-  #wrap(message: consensus.DriverMessage): ConsensusEnvelope {
-    const known = this.#envelopes.get(message);
-    if (known !== undefined) return known;
+  #wrapMessage(message: consensus.DriverMessage): ConsensusEnvelope {
+    const cached = this.#envelopes.get(message);
+    if (cached !== undefined) return cached;
     const envelope: ConsensusEnvelope = { from: this.#options.id, message };
     this.#envelopes.set(message, envelope);
-    if (isBulk(message)) rpc.markPlain(envelope);
+    if (isBulk.isBulk(message)) rpc.markPlain(envelope);
     return envelope;
   }
 
-  #runPlan(): void {
+  #runPlanner(): void {
     if (this.#isStopped) return;
-    this.#plan();
-    this.#measure();
-    this.#options.clock.startTimer(PLAN_MS, () => this.#runPlan());
+    this.#updateVoters();
+    this.#updateMetrics();
+    this.#options.clock.startTimer(PLAN_INTERVAL_MS, () => this.#runPlanner());
   }
 
-  #measure(): void {
+  #updateMetrics(): void {
     const { metrics, name } = this.#options;
     const health = this.#driver?.getHealth();
     if (health !== undefined) metrics.replicas.setFigures(name, health);
   }
 
-  #plan(): void {
+  #updateVoters(): void {
     const driver = this.#driver;
     if (driver === undefined || !driver.hasAuthority()) return;
-    const situation = this.#describeVoters(driver);
-    driver.setLearners(planVoters.chooseLearners(situation));
-    const planned = planVoters.planVoters(situation);
+    const input = this.#createPlanInput(driver);
+    driver.setLearners(planVoters.chooseLearners(input));
+    const planned = planVoters.planVoters(input);
     if (planned !== undefined) return this.#changeVoters(driver, planned);
-    const { retiring, self, voters } = situation;
+    const { retiring, self, voters } = input;
     if (retiring.includes(self) && voters.length > 1) driver.transfer();
   }
 
-  #describeVoters(
+  #createPlanInput(
     driver: consensus.ReplicaDriver,
-  ): planVoters.VoterSituation {
-    const { id, wanted, least, directory, canVote, listRetiring } =
+  ): planVoters.VoterPlanInput {
+    const { id, maxVoters, minVoters, directory, canVote, listRetiring } =
       this.#options;
     const retiring = listRetiring();
     const candidates = directory.listAlive()
@@ -298,16 +304,20 @@
     return {
       self: id,
       voters: driver.listVoters(),
-      wanted: planVoters.countWanted(least, wanted, candidates.length),
+      targetVoters: planVoters.countTargetVoters(
+        minVoters,
+        maxVoters,
+        candidates.length,
+      ),
       commitIndex,
-      reignMs: this.getReignMs(),
+      leadershipMs: this.getReignMs(),
       followers,
       candidates,
       failureDomains: new Map(
         directory.listAll().map((box) => [box.id, box.failureDomain]),
       ),
       retiring,
-      deadMs: DEAD_MS,
+      failureTimeoutMs: VOTER_FAILURE_TIMEOUT_MS,
     };
   }
 
@@ -324,10 +334,3 @@
     driver.changeVoters(planned);
   }
 }
-
-/** Whether a message feeds a replica that lacks much. */
-function isBulk(message: consensus.DriverMessage): boolean {
-  if (message.kind === "snapshotPart") return true;
-  return message.kind === "appendRequest" &&
-    message.entries.length >= BULK_ENTRIES;
-}
--- a/src/replicated_state/_changes.ts
+++ b/src/replicated_state/_changes.ts
@@ -7,49 +7,55 @@
 import type * as commands from "./command.ts";
 import type * as replicatedStates from "./replicated_state.ts";
 
-/** Audit records kept; the oldest go first. */
+/** Most records in the audit trail; the oldest are dropped first. */
 const MAX_AUDIT_RECORDS = 50_000;
 
-/** Stands in the audit trail for what belongs to no client account. */
+/** Account in audit records of changes that belong to no client account. */
 const ROOT_ACCOUNT = "(root)";
 
-/** A state after a command and the command's answer. */
-export interface Applied {
+/** The state after a command, and the answer to the command. */
+export interface ApplyResult {
   readonly state: replicatedStates.ReplicatedState;
   readonly answer: commands.CommandAnswer;
 }
 
-/** What a change sets, once checked. */
-interface CheckedChange {
+/** A change whose values are valid. */
+interface ValidatedChange {
   /** Values after the change, as JSON text. */
   readonly after: string;
+  /** Returns the state with the change made under a new revision. */
   readonly put: (
     state: replicatedStates.ReplicatedState,
     revision: number,
   ) => replicatedStates.ReplicatedState;
 }
 
-/** A change as the rules for all changes see it. */
-interface Change {
+/** A change that is checked for conflicts and resends, and audited. */
+interface AuditedChange {
   readonly origin: commands.ChangeOrigin;
   readonly account: string;
+  /** Name of the rollout template; undefined for other objects. */
   readonly template: string | undefined;
+  /** Revision that the change was made against. */
   readonly baseRevision: number;
+  /** Revision of the object now; 0 if it does not exist. */
   readonly currentRevision: number;
-  /** Values before, as JSON text. */
+  /** Values before the change, as JSON text. */
   readonly before: string | undefined;
-  /** All that the operator sent; a resend has the same. */
-  readonly sent: unknown;
-  readonly check: () => results.Result<CheckedChange>;
+  /** Values that the operator sent; the same in a resend. */
+  readonly payload: unknown;
+  readonly validate: () => results.Result<ValidatedChange>;
 }
 
-function hashChange(change: Change): string {
-  const { account, template, baseRevision, sent } = change;
-  const text = JSON.stringify([account, template, baseRevision, sent]);
+/** Returns the SHA-256 digest that a resend of a change has as well. */
+function hashChange(change: AuditedChange): string {
+  const { account, template, baseRevision, payload } = change;
+  const text = JSON.stringify([account, template, baseRevision, payload]);
   return crypto.createHash("sha256").update(text).digest("hex");
 }
 
-function findWinner(
+/** Finds the request id of the change that made a revision, or `""`. */
+function findRequestId(
   state: replicatedStates.ReplicatedState,
   revision: number,
 ): string {
@@ -57,33 +63,34 @@
   return record?.requestId ?? "";
 }
 
-function decideChange(
+/** Applies a change that is not a resend, and records it for the audit. */
+function applyNewChange(
   state: replicatedStates.ReplicatedState,
-  change: Change,
-): Applied {
+  change: AuditedChange,
+): ApplyResult {
   if (change.baseRevision !== change.currentRevision) {
     const revision = change.currentRevision;
-    const wonBy = findWinner(state, revision);
+    const wonBy = findRequestId(state, revision);
     return { state, answer: { kind: "conflict", revision, wonBy } };
   }
-  const checked = change.check();
-  if (checked.kind === "failure") {
-    const { message } = checked.failure;
+  const validated = change.validate();
+  if (validated.kind === "failure") {
+    const { message } = validated.failure;
     return { state, answer: { kind: "badParameters", message } };
   }
   const revision = state.revision + 1;
-  const put = checked.value.put(state, revision);
-  const record = createRecord(change, checked.value, revision);
-  const trail = put.audit.push(record).takeLast(MAX_AUDIT_RECORDS);
+  const updated = validated.value.put(state, revision);
+  const record = createAuditRecord(change, validated.value, revision);
+  const trail = updated.audit.push(record).takeLast(MAX_AUDIT_RECORDS);
   return {
-    state: { ...put, revision, audit: trail },
+    state: { ...updated, revision, audit: trail },
     answer: { kind: "accepted", revision },
   };
 }
 
-function createRecord(
-  change: Change,
-  checked: CheckedChange,
+function createAuditRecord(
+  change: AuditedChange,
+  validated: ValidatedChange,
   revision: number,
 ): audit.AuditRecord {
   return {
@@ -94,28 +101,33 @@
     operator: change.origin.operator,
     requestId: change.origin.requestId,
     before: change.before,
-    after: checked.after,
+    after: validated.after,
   };
 }
 
+/** Applies a change once; a resend gets the answer of the first time. */
 function applyChange(
   state: replicatedStates.ReplicatedState,
-  change: Change,
-): Applied {
+  change: AuditedChange,
+): ApplyResult {
   const key = `${change.account}/${change.origin.requestId}`;
   const digest = hashChange(change);
-  const known = state.requests.get(key);
-  if (known !== undefined) {
-    const isSame = known.digest === digest;
-    return { state, answer: isSame ? known.answer : { kind: "requestReused" } };
+  const previous = state.requests.get(key);
+  if (previous !== undefined) {
+    const isSame = previous.digest === digest;
+    return {
+      state,
+      answer: isSame ? previous.answer : { kind: "requestReused" },
+    };
   }
-  const decided = decideChange(state, change);
-  const { answer } = decided;
+  const applied = applyNewChange(state, change);
+  const { answer } = applied;
   const { atMs } = change.origin;
-  const requests = decided.state.requests.set(key, { digest, answer, atMs });
-  return { state: { ...decided.state, requests }, answer };
+  const requests = applied.state.requests.set(key, { digest, answer, atMs });
+  return { state: { ...applied.state, requests }, answer };
 }
 
+/** Describes an account for the audit trail, without its token hashes. */
 function describeAccount(
   account: Pick<accounts.ClientAccount, "policy" | "tokenSha256s">,
 ): string {
@@ -123,11 +135,11 @@
   return JSON.stringify({ policy, tokens: tokenSha256s.length });
 }
 
-/** Applies a change of a client account. */
+/** Creates or changes a client account. */
 export function applySetAccount(
   state: replicatedStates.ReplicatedState,
   command: commands.SetAccount,
-): Applied {
+): ApplyResult {
   const { id, change } = command;
   const current = state.accounts.get(id);
   const tokenSha256s = command.tokenSha256s ?? current?.tokenSha256s ?? [];
@@ -138,11 +150,11 @@
     baseRevision: command.baseRevision,
     currentRevision: current?.revision ?? 0,
     before: current === undefined ? undefined : describeAccount(current),
-    sent: [command.tokenSha256s ?? null, change],
-    check() {
-      const checked = accounts.checkPolicy(current?.policy, change);
-      if (checked.kind === "failure") return checked;
-      const policy = checked.value;
+    payload: [command.tokenSha256s ?? null, change],
+    validate() {
+      const validated = accounts.checkPolicy(current?.policy, change);
+      if (validated.kind === "failure") return validated;
+      const policy = validated.value;
       return results.createOk({
         after: describeAccount({ policy, tokenSha256s }),
         put: (before, revision) => ({
@@ -159,11 +171,11 @@
   });
 }
 
-/** Applies a change of a rollout template. */
+/** Creates or changes a rollout template of an existing account. */
 export function applySetTemplate(
   state: replicatedStates.ReplicatedState,
   command: commands.SetTemplate,
-): Applied {
+): ApplyResult {
   const { account, name, change } = command;
   if (!state.accounts.has(account)) {
     return { state, answer: { kind: "unknownAccount" } };
@@ -177,11 +189,11 @@
     baseRevision: command.baseRevision,
     currentRevision: current?.revision ?? 0,
     before: current && JSON.stringify(current.parameters),
-    sent: change,
-    check() {
-      const checked = templates.checkParameters(current?.parameters, change);
-      if (checked.kind === "failure") return checked;
-      const parameters = checked.value;
+    payload: change,
+    validate() {
+      const validated = templates.checkParameters(current?.parameters, change);
+      if (validated.kind === "failure") return validated;
+      const parameters = validated.value;
       return results.createOk({
         after: JSON.stringify(parameters),
         put: (before, revision) => ({
@@ -198,11 +210,11 @@
   });
 }
 
-/** Applies a change of an engine's role, which belongs to no account. */
+/** Sets the role of a backend server, which belongs to no client account. */
 export function applySetServerRole(
   state: replicatedStates.ReplicatedState,
   command: commands.SetServerRole,
-): Applied {
+): ApplyResult {
   const { server, role } = command;
   const current = state.roles.get(server);
   return applyChange(state, {
@@ -212,8 +224,8 @@
     baseRevision: command.baseRevision,
     currentRevision: current?.revision ?? 0,
     before: current && JSON.stringify({ server, role: current.role }),
-    sent: [server, role],
-    check: () =>
+    payload: [server, role],
+    validate: () =>
       results.createOk({
         after: JSON.stringify({ server, role }),
         put: (before, revision) => ({
@@ -224,11 +236,11 @@
   });
 }
 
-/** Notes a weight version; it is spread like a change but not audited. */
+/** Records a weight version if it is newer; it gets a revision but no audit. */
 export function applyPublishModel(
   state: replicatedStates.ReplicatedState,
   command: commands.PublishModel,
-): Applied {
+): ApplyResult {
   const { model, weightVersion } = command;
   if (!models.isNewer(state.models.get(model), weightVersion)) {
     return { state, answer: { kind: "done" } };
--- a/src/replicated_state/mod.ts
+++ b/src/replicated_state/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The replicated state: every aggregate under one ordered list of commands.
+ * The replicated state: all aggregates, changed by one ordered log of commands.
  *
  * @example
  * ```ts
--- a/src/replicated_state/replicated_state.ts
+++ b/src/replicated_state/replicated_state.ts
@@ -8,23 +8,31 @@
 import type * as templates from "../rollout_template/mod.ts";
 import type * as commands from "./command.ts";
 
-/** The first answer to a change, for resends. */
+/** A change that was answered; a resend gets the same answer. */
 export interface AnsweredRequest {
+  /** SHA-256 of the change; tells a resend from another change. */
   readonly digest: string;
   readonly answer: commands.CommandAnswer;
+  /** Wall time of the change at the leader, in ms since the epoch. */
   readonly atMs: number;
 }
 
-/** All that the replicas agree on. */
+/** The state that all replicas agree on. Unless noted, maps are keyed by id. */
 export interface ReplicatedState {
-  /** Configuration revision; rises by one with each accepted change. */
+  /** Configuration revision; incremented by each accepted change. */
   readonly revision: number;
   readonly accounts: immutable.Map<string, accounts.ClientAccount>;
+  /** Rollout templates, by account and name; see `formatTemplateKey`. */
   readonly templates: immutable.Map<string, templates.RolloutTemplate>;
+  /** Roles of backend servers. */
   readonly roles: immutable.Map<string, backends.RoleSetting>;
+  /** Newest weight version of each model, by model name. */
   readonly models: immutable.Map<string, models.ModelVersion>;
+  /** Accepted changes, oldest first. */
   readonly audit: immutable.List<audit.AuditRecord>;
+  /** Answered changes, by account and request id. */
   readonly requests: immutable.Map<string, AnsweredRequest>;
+  /** Claims of calls, by idempotency key. */
   readonly claims: immutable.Map<string, claims.CallClaim>;
   readonly steps: immutable.Map<string, steps.RolloutStep>;
 }
--- a/src/replicated_state/replicated_state_test.ts
+++ b/src/replicated_state/replicated_state_test.ts
@@ -7,7 +7,7 @@
 
 const ORIGIN = { operator: "root", requestId: "r1", atMs: 1_000 };
 
-/** Applies commands in order and keeps the answers. */
+/** A replica's state, changed by one command at a time. */
 class Run {
   state = replicatedStates.EMPTY_STATE;
 
@@ -98,7 +98,7 @@
 }
 
 describe("replicated state", () => {
-  it("accepts exactly one of two changes under one number and names the winner", () => {
+  it("accepts only one of two changes made against the same revision", () => {
     const run = createRun();
     const base = run.state.revision;
     chai.expect(run.apply(setTemplate("a", base, { priority: 1 }))).to.deep
@@ -107,7 +107,7 @@
       .equal({ kind: "conflict", revision: base + 1, wonBy: "a" });
   });
 
-  it("gives a resent change its first answer, also after later changes and a restart", () => {
+  it("answers a resent change as before, even after later changes and a restart", () => {
     const run = createRun();
     const base = run.state.revision;
     const first = run.apply(setTemplate("a", base, { priority: 1 }));
@@ -126,7 +126,7 @@
       .to.equal(3);
   });
 
-  it("writes every accepted change into the audit trail, with before and after", () => {
+  it("records the values before and after each accepted change in the audit trail", () => {
     const run = createRun();
     run.apply(setTemplate("a", run.state.revision, { priority: 1 }));
     run.apply(setTemplate("bad", run.state.revision, { priority: 99 }));
@@ -140,7 +140,7 @@
     });
   });
 
-  it("lets one attempt hold a call and gives others its answer", () => {
+  it("lets only one attempt claim a call and gives its answer to the others", () => {
     const run = new Run();
     const claim = {
       kind: "claimCall",
@@ -177,7 +177,7 @@
     });
   });
 
-  it("never runs again a call whose end is unknown, but one that was released", () => {
+  it("allows a new claim after a release, but not after an unknown outcome", () => {
     const run = new Run();
     const claim = {
       kind: "claimCall",
@@ -201,7 +201,7 @@
     );
   });
 
-  it("binds one sample a slot and never replaces it", () => {
+  it("binds one sample to each slot and never replaces it", () => {
     const run = createRun();
     openStep(run, "box-1", []);
     chai.expect(bind(run, [createSample(0, "s1", 5)], 5)[0]?.refusal).to.equal(
@@ -226,7 +226,7 @@
     );
   });
 
-  it("checks staleness against the bound in force at that very entry", () => {
+  it("checks samples against the staleness bound in force at that log entry", () => {
     const run = createRun();
     openStep(run, "box-1", []);
     chai.expect(bind(run, [createSample(0, "old", 3)], 5)[0]?.refusal).to.equal(
@@ -244,7 +244,7 @@
       .equal(undefined);
   });
 
-  it("leaves a step with an owner that serves and refuses samples of a former owner", () => {
+  it("does not take a step from a serving owner and refuses samples of an earlier owner", () => {
     const run = createRun();
     openStep(run, "box-1", []);
     chai.expect(openStep(run, "box-2", ["box-1"])).to.deep.equal({
@@ -264,7 +264,7 @@
       .equal(undefined);
   });
 
-  it("never takes a model back to an older version", () => {
+  it("never replaces a weight version of a model by an older one", () => {
     const run = new Run();
     run.apply({ kind: "publishModel", model: "lm", weightVersion: 3 });
     run.apply({ kind: "publishModel", model: "lm", weightVersion: 2 });
--- a/src/replicated_state/snapshot.ts
+++ b/src/replicated_state/snapshot.ts
@@ -2,15 +2,16 @@
 import type * as steps from "../rollout_step/mod.ts";
 import type * as replicatedStates from "./replicated_state.ts";
 
-/** A step as it stands in a snapshot. */
+/** A step in a snapshot, with its collections as arrays. */
 interface SavedStep extends Omit<steps.RolloutStep, "bound" | "acknowledged"> {
   readonly bound: readonly steps.Sample[];
   readonly acknowledged: readonly number[];
 }
 
-/** Tables as lists of key and value. */
+/** A map as a list of its entries. */
 type SavedTable<V> = readonly (readonly [string, V])[];
 
+/** Maps of the state that are saved entry by entry. */
 type TableName =
   | "accounts"
   | "templates"
@@ -23,7 +24,7 @@
   replicatedStates.ReplicatedState[N] extends immutable.Map<string, infer V> ? V
     : never;
 
-/** The replicated state as plain JSON. */
+/** The replicated state as JSON values, as written to a snapshot. */
 export type SavedState =
   & { readonly [N in TableName]: SavedTable<TableValue<N>> }
   & {
@@ -36,10 +37,10 @@
   };
 
 /**
- * Gives the state as plain JSON.
+ * Converts the state to JSON values.
  *
  * @param state The state.
- * @returns What {@linkcode loadState} reads.
+ * @returns The values, to be read by {@linkcode loadState}.
  */
 export function saveState(state: replicatedStates.ReplicatedState): SavedState {
   return {
@@ -60,9 +61,9 @@
 }
 
 /**
- * Reads a state from plain JSON.
+ * Restores the state from JSON values.
  *
- * @param saved What {@linkcode saveState} gave.
+ * @param saved Values that {@linkcode saveState} returned.
  * @returns The state.
  */
 export function loadState(saved: SavedState): replicatedStates.ReplicatedState {
--- a/src/traffic_config/configuration_service.ts
+++ b/src/traffic_config/configuration_service.ts
@@ -20,7 +20,7 @@
 /** What the leader answers. */
 export type PutReply =
   | replicaGroups.NotLeader
-  | replicaGroups.Unsure
+  | replicaGroups.UnconfirmedChange
   | { readonly kind: "done"; readonly version: number };
 
 /** The newest configuration, from the leader. */
--- a/src/usage/usage_teller.ts
+++ b/src/usage/usage_teller.ts
@@ -9,7 +9,7 @@
  * takes with it what it counted in this time.
  */
 const TICK_MS = 300;
-const TIMES: replicaGroups.CallTimes = { totalMs: 1_500, tryMs: 600 };
+const TIMES: replicaGroups.CallTimeouts = { totalMs: 1_500, tryMs: 600 };
 
 /** What a usage teller needs. */
 export interface UsageTellerOptions {
