--- a/src/replica_group/plan_emptied_voter_test.ts
+++ b/src/replica_group/plan_emptied_voter_test.ts
@@ -31,7 +31,7 @@
 const SITUATION: planVoters.VoterPlanInput = {
   self: "a",
   voters: ["a", "b", "c"],
-  targetVoters: 3,
+  wanted: 3,
   commitIndex: COMMIT_INDEX,
   leadershipMs: 60_000,
   followers: [EMPTIED, createFollower("c"), createFollower("d")],
--- a/src/replica_group/plan_voters.ts
+++ b/src/replica_group/plan_voters.ts
@@ -15,7 +15,7 @@
   readonly self: string;
   readonly voters: readonly string[];
   /** Number of voters to aim for. */
-  readonly targetVoters: number;
+  readonly wanted: number;
   readonly commitIndex: number;
   /** Time since the leader was elected in its term, in ms. */
   readonly leadershipMs: number;
@@ -61,7 +61,7 @@
 export function planVoters(
   input: VoterPlanInput,
 ): readonly string[] | undefined {
-  const { voters, targetVoters, retiring, self, leadershipMs } = input;
+  const { voters, wanted, retiring, self, leadershipMs } = input;
   if (retiring.includes(self) || leadershipMs < SUSPECT_MS) return undefined;
   const others = voters.filter((id) => id !== self);
   const failed = others.filter((id) => hasFailed(id, input));
@@ -69,13 +69,13 @@
   const unadmitted = others.filter((id) => isUnadmitted(id, input));
   const replaceable = [...failed, ...retiringVoters, ...unadmitted];
   const promotable = findPromotable(input);
-  if (voters.length > targetVoters) {
+  if (voters.length > wanted) {
     const isEven = voters.length % 2 === 0;
     const surplus = replaceable[0] ??
       (isEven ? findMostSilent(input, others) : undefined);
     return surplus === undefined ? undefined : removeVoter(voters, surplus);
   }
-  const needsVoter = voters.length < targetVoters || replaceable.length > 0;
+  const needsVoter = voters.length < wanted || replaceable.length > 0;
   if (needsVoter && promotable !== undefined) return [...voters, promotable];
   return undefined;
 }
@@ -92,13 +92,13 @@
 export function chooseLearners(
   input: VoterPlanInput,
 ): readonly string[] {
-  const { voters, targetVoters, retiring, candidates, self } = input;
+  const { voters, wanted, retiring, candidates, self } = input;
   const others = voters.filter((id) => id !== self);
   const replaceable = others.filter((id) =>
     retiring.includes(id) || isUnadmitted(id, input) ||
     hasFailed(id, { ...input, failureTimeoutMs: SUSPECT_MS })
   );
-  const missing = Math.max(0, targetVoters - voters.length);
+  const missing = Math.max(0, wanted - voters.length);
   const replacements = replaceable.length + (retiring.includes(self) ? 1 : 0);
   const retained = voters.filter((id) => !replaceable.includes(id));
   return candidates.filter((id) => !voters.includes(id))
--- a/src/replica_group/plan_voters_test.ts
+++ b/src/replica_group/plan_voters_test.ts
@@ -10,7 +10,7 @@
 const SITUATION: planVoters.VoterPlanInput = {
   self: "a",
   voters: ["a", "b", "c"],
-  targetVoters: 3,
+  wanted: 3,
   commitIndex: 100,
   leadershipMs: 60_000,
   followers: [createFollower("b"), createFollower("c"), createFollower("d")],
--- a/src/replica_group/replica_group.ts
+++ b/src/replica_group/replica_group.ts
@@ -304,7 +304,7 @@
     return {
       self: id,
       voters: driver.listVoters(),
-      targetVoters: planVoters.countTargetVoters(
+      wanted: planVoters.countTargetVoters(
         minVoters,
         maxVoters,
         candidates.length,
--- a/src/replicated_state/_changes.ts
+++ b/src/replicated_state/_changes.ts
@@ -236,7 +236,7 @@
   });
 }
 
-/** Records a weight version if it is newer; it gets a revision but no audit. */
+/** Records a newer weight version under a new revision, without an audit record. */
 export function applyPublishModel(
   state: replicatedStates.ReplicatedState,
   command: commands.PublishModel,
