--- a/src/duty/duty_lease.ts
+++ b/src/duty/duty_lease.ts
@@ -5,33 +5,37 @@
 import type * as replicaGroups from "../replica_group/mod.ts";
 import * as planHandover from "./plan_handover.ts";
 
-/** Between two looks at who holds the duties, in ms. */
+/** Interval between checks for the holder, in ms. */
 const CHECK_INTERVAL_MS = 40;
-/** Margin on the lease of the former holder, for its last calls' way, in ms. */
+/**
+ * Time added to the lease for calls of the previous holder in flight, in ms.
+ */
 const LEASE_MARGIN_MS = 250;
-/** Longest wait until the other replicas know the holder, in ms. */
+/** Timeout of a claim's commit to the replicated log, in ms. */
 const CLAIM_TIMEOUT_MS = 1_000;
 /**
- * Time between two handovers to the former holder, in ms; one that lost its
- * leadership again so soon is slow and should not lead.
+ * Minimum time between handovers to the previous holder, in ms. A box that
+ * loses leadership again sooner is too slow to lead.
  */
 const HANDOVER_INTERVAL_MS = 10_000;
 
-/** Names the box that holds the duties from now on. */
+/** Command that makes a box the holder of the duties. */
 export interface NoteHolder {
   readonly kind: "noteHolder";
   readonly box: string;
 }
 
-/** The agreed holder, as a replica's machine knows it. */
+/** The holder as recorded in the replicated state. */
 export interface HolderRecord {
-  /** Name of the box that acted last, or may have. */
+  /**
+   * Name of the box that claimed the duties last; undefined before any claim.
+   */
   getHolder(): string | undefined;
-  /** Ids of boxes that are to be emptied. */
+  /** Ids of the boxes that are being drained. */
   listRetiring(): readonly string[];
 }
 
-/** What a duty holder needs. */
+/** Options of a duty lease. */
 export interface DutyLeaseOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
@@ -43,14 +47,15 @@
   readonly box: string;
   /** Id of this box. */
   readonly id: string;
-  /** Time between the calls of two holders, in ms. */
+  /** Minimum time between the calls of two successive holders, in ms. */
   readonly leaseMs: number;
 }
 
 /**
- * Makes one box at a time the holder of the duties towards servers and the
- * infrastructure: the leader of a replica group, once the last call of the
- * former holder lies a whole lease back. The term of the group is its fence.
+ * Lease on the duties towards servers and the infrastructure, which at most one
+ * box holds at a time. The leader of a replica group claims it once the lease
+ * of the previous holder must have expired. The group's term is the fencing
+ * token.
  */
 export class DutyLease {
   readonly #options: DutyLeaseOptions;
@@ -73,8 +78,8 @@
   }
 
   /**
-   * Whether this box is the agreed holder now. To be asked right before each
-   * call: a box that was paused has lost its authority by its own clock.
+   * Whether this box holds the lease now. Has to be checked immediately before
+   * each call, since the lease may have expired while the process was paused.
    */
   canAct(): boolean {
     const { group, machine, box } = this.#options;
@@ -82,7 +87,7 @@
       machine.getHolder() === box;
   }
 
-  /** Number that rises with each change of the holder. */
+  /** Fencing token, which increases with each change of the holder. */
   getFence(): number {
     return this.#options.group.getTerm();
   }
@@ -92,14 +97,14 @@
     return this.#options.box;
   }
 
-  /** How long this box has led, in ms. */
+  /** Time since this box became leader, in ms. */
   getReignMs(): number {
     return this.#options.group.getReignMs();
   }
 
   /**
-   * Becomes the holder once the former one's last call lies a whole lease
-   * back; the box that was the holder before goes on at once.
+   * Claims the lease once that of the previous holder must have expired; until
+   * then offers leadership to the previous holder, which need not wait.
    */
   async #claim(): Promise<void> {
     const { group, leaseMs, box, log, machine, metrics } = this.#options;
@@ -120,7 +125,7 @@
     });
   }
 
-  /** Lets the former holder lead where it is sound; it need not wait. */
+  /** Transfers leadership to the previous holder if it is fit to lead. */
   #transferToPreviousHolder(): void {
     const { group, clock, log, id } = this.#options;
     const nowMs = clock.getMonotonicMs();
--- a/src/model_version/get_service_name.ts
+++ b/src/model_version/get_service_name.ts
@@ -1,6 +1,6 @@
 /**
- * Gives the service that serves a model: an adapter `base:name` is served by
- * the servers of its base.
+ * Returns the name of the service that serves a model. An adapter, named
+ * `base:name`, is served by the servers of its base model.
  *
  * @param model Name of the model.
  * @returns Name of the service.
