--- a/src/replica_group/bootstrap_service.ts
+++ b/src/replica_group/bootstrap_service.ts
@@ -116,24 +116,24 @@
   #recordRequest(request: BootstrapRequest, nowMs: number): BootstrapState {
     const previous = this.#groups.get(request.group);
     if (previous === undefined) {
-      const desk: BootstrapState = {
+      const created: BootstrapState = {
         requests: [request],
         firstRequestMs: nowMs,
         lastRequestMs: nowMs,
         voters: undefined,
       };
-      this.#groups.set(request.group, desk);
-      return desk;
+      this.#groups.set(request.group, created);
+      return created;
     }
     if (previous.requests.some((other) => other.id === request.id)) {
       return previous;
     }
-    const desk: BootstrapState = {
+    const updated: BootstrapState = {
       ...previous,
       requests: [...previous.requests, request],
       lastRequestMs: nowMs,
     };
-    this.#groups.set(request.group, desk);
-    return desk;
+    this.#groups.set(request.group, updated);
+    return updated;
   }
 }
