--- /dev/null
+++ b/src/forwarding/_job_crash_guard.ts
@@ -0,0 +1,186 @@
+import * as crypto from "node:crypto";
+import * as accounts from "../client_account/mod.ts";
+import * as clocks from "../clock/mod.ts";
+import type * as crashGuards from "../crash_guard/mod.ts";
+import * as crashRecords from "../crash_record/mod.ts";
+import type * as registry from "../registry/mod.ts";
+import type * as jobs from "./forward_job.ts";
+
+/** Delay between grant requests while other runs hold the grant, in ms. */
+const GRANT_RETRY_MS = 40;
+/** Maximum number of crashes with which work may run without a grant. */
+const MAX_ENDED_WITHOUT_GRANT = 1;
+
+/**
+ * Time after which work with one crash may share a server with other such work,
+ * in ms. When a failure domain is lost there is more such work than servers, and
+ * little of it caused a crash.
+ */
+const SHARE_AFTER_MS = 80;
+/** Retry delay of the caller while the same work runs elsewhere, in ms. */
+const BUSY_RETRY_AFTER_MS = 500;
+
+/** Verdict that the work must not be sent now. */
+export type HeldBack = Extract<
+  crashRecords.WorkVerdict,
+  { readonly kind: "heldBack" }
+>;
+
+/** Permission to send the work. */
+export interface Permitted {
+  readonly kind: "permitted";
+  /** Server chosen by the leader; undefined if any server may be used. */
+  readonly server: registry.LifetimeKey | undefined;
+}
+
+const ANY_SERVER: Permitted = { kind: "permitted", server: undefined };
+
+/** Dependencies of a `JobCrashGuard`. */
+export interface JobCrashGuardOptions {
+  readonly clock: clocks.Clock;
+  readonly crashGuard: Pick<
+    crashGuards.CrashGuard,
+    | "judge"
+    | "noteClosed"
+    | "noteEnded"
+    | "noteServed"
+    | "noteHeldBack"
+    | "askGrant"
+    | "endGrant"
+  >;
+}
+
+/** Applies the crash guard to the work of one job, which may crash servers. */
+export class JobCrashGuard {
+  readonly #options: JobCrashGuardOptions;
+  readonly #job: jobs.ForwardJob;
+  #digest: crashRecords.WorkDigest | undefined;
+  /** Id of the granted run in progress, if any. */
+  #grantedRun: string | undefined;
+
+  constructor(options: JobCrashGuardOptions, job: jobs.ForwardJob) {
+    this.#options = options;
+    this.#job = job;
+  }
+
+  /** Returns whether the work may be sent, by the crashes known to this box. */
+  getVerdict(): crashRecords.WorkVerdict {
+    return this.#options.crashGuard.judge(() => this.getDigest());
+  }
+
+  /** Returns the digest of the work, computed on first use. */
+  getDigest(): crashRecords.WorkDigest {
+    const { sender, method, target, headers, body } = this.#job;
+    const host = String(headers["host"] ?? "");
+    this.#digest ??= crashRecords.computeWorkDigest({
+      sender,
+      method,
+      host,
+      target,
+      body,
+    });
+    return this.#digest;
+  }
+
+  /**
+   * Requests a grant for one more run of suspect work, and retries while other
+   * runs hold it, until the latency target is near. Work with only one crash is
+   * then permitted without a grant, and likewise if no leader answers, because a
+   * single crash is most often unrelated to the work.
+   *
+   * @param listServers Lists the servers that may run the work, best first.
+   * @returns The permission, or why the work is held back.
+   */
+  async requestGrant(
+    listServers: () => readonly registry.LifetimeKey[],
+  ): Promise<Permitted | HeldBack> {
+    const { clock, crashGuard } = this.#options;
+    const startedAtMs = clock.getMonotonicMs();
+    for (;;) {
+      const verdict = this.getVerdict();
+      if (verdict.kind === "free") return ANY_SERVER;
+      if (verdict.kind === "heldBack") return verdict;
+      const servers = listServers();
+      // The caller handles the lack of servers as for any other job.
+      if (servers.length === 0) return ANY_SERVER;
+      const mayRunWithoutGrant = verdict.ended <= MAX_ENDED_WITHOUT_GRANT;
+      const run = crypto.randomUUID();
+      const answer = await crashGuard.askGrant(this.getDigest(), {
+        run,
+        servers,
+        mayShare: mayRunWithoutGrant &&
+          clock.getMonotonicMs() - startedAtMs >= SHARE_AFTER_MS,
+      });
+      switch (answer.kind) {
+        case "granted":
+          this.#grantedRun = run;
+          return { kind: "permitted", server: answer.server };
+        case "unanswered":
+          // The leader may have granted the run and lost only the reply.
+          crashGuard.endGrant(this.getDigest(), run);
+          if (mayRunWithoutGrant) return ANY_SERVER;
+          break;
+        case "barred":
+        case "busy":
+          break;
+      }
+      if (this.#isTargetNear()) {
+        if (mayRunWithoutGrant) return ANY_SERVER;
+        const { ended } = verdict;
+        return { kind: "heldBack", ended, returnMs: BUSY_RETRY_AFTER_MS };
+      }
+      await clocks.sleep(clock, GRANT_RETRY_MS);
+    }
+  }
+
+  /** Whether the next retry would miss the target, or the job was cancelled. */
+  #isTargetNear(): boolean {
+    const nowMs = this.#options.clock.getMonotonicMs();
+    return nowMs + GRANT_RETRY_MS >= this.#job.targetAtMs ||
+      this.#job.cancellation.isCancelled();
+  }
+
+  /** Releases the grant of the run in progress, if any. */
+  releaseGrant(): void {
+    if (this.#grantedRun === undefined) return;
+    this.#options.crashGuard.endGrant(this.getDigest(), this.#grantedRun);
+    this.#grantedRun = undefined;
+  }
+
+  /** Records a crash or a success of the work before the next attempt. */
+  async recordAttempt(
+    outcome: jobs.AttemptOutcome,
+    server: registry.RegisteredServer,
+  ): Promise<void> {
+    const { crashGuard } = this.#options;
+    if (outcome.kind === "broken" && outcome.isLifetimeEnded === true) {
+      crashGuard.noteEnded(server, this.#describeWork());
+    } else if (outcome.kind === "broken" && outcome.isClosed) {
+      await crashGuard.noteClosed(server, this.#describeWork());
+    } else if (
+      outcome.kind === "answered" && this.getVerdict().kind !== "free"
+    ) {
+      crashGuard.noteServed(this.#describeWork());
+    }
+  }
+
+  /** Counts and logs that the job was answered without being sent. */
+  recordHeldBack(ended: number, returnMs: number): void {
+    this.#options.crashGuard.noteHeldBack(
+      this.#describeWork(),
+      ended,
+      returnMs,
+    );
+  }
+
+  #describeWork(): crashGuards.WorkName {
+    const { requestId, sender, service, target } = this.#job;
+    return {
+      digest: this.getDigest(),
+      carrier: requestId,
+      account: accounts.getAccountName(sender),
+      service,
+      target,
+    };
+  }
+}
--- a/src/forwarding/_server_picker.ts
+++ b/src/forwarding/_server_picker.ts
@@ -2,14 +2,14 @@
 import * as chooseServer from "./choose_server.ts";
 import type * as forwarderOptions from "./forwarder_options.ts";
 
-/** Picks servers for one job, and remembers those that had or refused it. */
+/** Chooses servers for one job; tracks which were tried and which refused. */
 export class ServerPicker {
   readonly #options: forwarderOptions.ForwarderOptions;
   readonly #service: string;
   readonly #tried = new Set<registry.LifetimeKey>();
   readonly #refused = new Set<registry.LifetimeKey>();
-  /** Whether the job's turn came after a wait. */
-  #hasTurn = false;
+  /** Whether the job was queued and its turn has come. */
+  #hasWaited = false;
 
   constructor(
     options: forwarderOptions.ForwarderOptions,
@@ -20,23 +20,24 @@
   }
 
   /**
-   * Picks a server.
+   * Picks a server for the next attempt.
    *
-   * @param chosen The one that it should be; undefined for the best one.
-   * @returns The server, or another one where that has gone meanwhile, or
-   * undefined when there is none.
+   * @param preferred Server to use if it is ready; undefined for the best one.
+   * @returns The preferred or else the best server; undefined if there is none.
    */
-  pick(chosen?: registry.LifetimeKey): registry.RegisteredServer | undefined {
-    const choice = this.#createChoice();
-    const found = chosen === undefined
+  pick(
+    preferred?: registry.LifetimeKey,
+  ): registry.RegisteredServer | undefined {
+    const options = this.#createChoiceOptions();
+    const found = preferred === undefined
       ? undefined
-      : choice.servers.find(({ lifetime }) => lifetime === chosen);
-    return found ?? chooseServer.chooseServer(choice);
+      : options.servers.find(({ lifetime }) => lifetime === preferred);
+    return found ?? chooseServer.chooseServer(options);
   }
 
-  /** Servers that may have the job next, best first. */
-  list(): readonly registry.LifetimeKey[] {
-    return chooseServer.chooseServers(this.#createChoice())
+  /** Lists the servers that may run the job next, best first. */
+  listCandidates(): readonly registry.LifetimeKey[] {
+    return chooseServer.rankServers(this.#createChoiceOptions())
       .map(({ lifetime }) => lifetime);
   }
 
@@ -52,20 +53,20 @@
     return this.#refused.size;
   }
 
-  /** Begins anew with all servers, as the job's turn has come. */
-  beginTurn(): void {
-    this.#hasTurn = true;
+  /** Makes all servers eligible again, including those marked as full. */
+  startTurn(): void {
+    this.#hasWaited = true;
     this.#refused.clear();
   }
 
-  #createChoice(): chooseServer.ServerChoice {
-    const { servers, weighsLoad } = this.#options;
+  #createChoiceOptions(): chooseServer.ServerChoiceOptions {
+    const { servers, isLoadAware } = this.#options;
     return {
       ...this.#options,
       servers: servers.listReady(this.#service),
       tried: this.#tried,
       refused: this.#refused,
-      avoidsFull: weighsLoad && !this.#hasTurn,
+      avoidsFull: isLoadAware && !this.#hasWaited,
     };
   }
 }
--- a/src/forwarding/_watched_attempt.ts
+++ b/src/forwarding/_watched_attempt.ts
@@ -2,32 +2,32 @@
 import * as attempts from "./_attempt.ts";
 import type * as jobs from "./forward_job.ts";
 
-const STARTED_AGAIN = "the server started again";
+const RESTART_REASON = "the server started again";
 
 /**
- * Sends one attempt, and ends it when its server starts again: it is lost then,
- * which a silent connection tells only at the deadline.
+ * Sends one attempt and cancels it if its server restarts. The request is lost
+ * then, but a half-open connection would not fail before the deadline.
  *
- * @param servers Where a later start of the server is learned of.
+ * @param servers Registry that reports restarts and is told of absent servers.
  * @param options The attempt.
- * @param sendAttempt Sends it.
- * @returns What became of it.
+ * @param sendAttempt Sends the attempt; over HTTP by default.
+ * @returns The outcome of the attempt.
  */
 export async function sendWatched(
   servers: Pick<registry.ServerRegistry, "watch" | "markAbsent">,
   options: attempts.AttemptOptions,
   sendAttempt: typeof attempts.sendAttempt = attempts.sendAttempt,
 ): Promise<jobs.AttemptOutcome> {
-  let isReplaced = false;
+  let hasRestarted = false;
   const endWatch = servers.watch(options.server.lifetime, () => {
-    isReplaced = true;
+    hasRestarted = true;
     options.cancellation.cancel();
   });
   const outcome = await sendAttempt(options);
   endWatch();
-  if (outcome.kind === "notRun" && outcome.isOther === true) {
+  if (outcome.kind === "notRun" && outcome.isWrongServer === true) {
     servers.markAbsent(options.server);
   }
-  if (!isReplaced || outcome.kind !== "broken") return outcome;
-  return { ...outcome, reason: STARTED_AGAIN, isEnded: true };
+  if (!hasRestarted || outcome.kind !== "broken") return outcome;
+  return { ...outcome, reason: RESTART_REASON, isLifetimeEnded: true };
 }
--- a/src/forwarding/server_loads.ts
+++ b/src/forwarding/server_loads.ts
@@ -3,82 +3,85 @@
 import type * as registry from "../registry/mod.ts";
 import * as serverHealth from "../server_health/mod.ts";
 
-/** Weight of the newest duration in a server's mean. */
-const NEWEST_SHARE = 0.2;
-/** Duration that a server without history is taken to need, in ms. */
-const FIRST_MS = 40;
-/** Age after which a told load says nothing any more, in ms. */
-const TOLD_MS = 1_000;
+/** Weight of the newest duration in a server's moving mean. */
+const SMOOTHING_FACTOR = 0.2;
+/** Mean duration assumed for a server without history, in ms. */
+const INITIAL_MEAN_MS = 40;
+/** Age after which a reported load is ignored, in ms. */
+const MAX_REPORT_AGE_MS = 1_000;
 /**
- * Time in which a told slowness loses most of its weight, in ms: what neighbours
- * on a machine do changes many times a second.
+ * Time constant with which a reported slowness decays to 1, in ms. Interference
+ * by other processes on a server's box changes within fractions of a second.
  */
-const SLOWNESS_MS = 500;
-/** How long a server is passed over after it broke a request, in ms. */
-const AVOID_MS = 1_500;
+const SLOWNESS_DECAY_MS = 500;
+/** Time for which a server is avoided after it broke a request, in ms. */
+const AVOID_DURATION_MS = 1_500;
 
 /**
- * How long a server that refused because it was full is not asked, in ms, unless
- * it answers something meanwhile; about the time in which one of its places
- * comes free.
+ * Time for which a server counts as full after it refused a request, in ms,
+ * unless it answers another request earlier.
  */
-const FULL_MS = 25;
+const FULL_DURATION_MS = 25;
 
-/** What a failed try costs its caller, in ms: a second try on another server. */
+/** Latency that a failed attempt adds for its caller, in ms. */
 const FAILURE_COST_MS = 250;
 
-interface ServerLoad {
+interface TrackedLoad {
+  /** Requests of this box that the server is running. */
   readonly running: number;
-  /** Mean duration of requests while the server is as fast as usual, in ms. */
+  /** Mean duration of requests at normal speed (slowness 1), in ms. */
   readonly meanMs: number;
-  /** How much longer work took than usual when it told last. */
-  readonly toldSlowness: number;
-  /** Requests of others that it told of last. */
-  readonly toldOthers: number;
-  readonly toldAtMs: number;
+  /** Last reported factor by which work takes longer than usual. */
+  readonly reportedSlowness: number;
+  /** Last reported number of running and waiting requests of other boxes. */
+  readonly reportedByOthers: number;
+  /** Time of the last report, in monotonic ms. */
+  readonly reportedAtMs: number;
+  /** Time until which the server is avoided, in monotonic ms. */
   readonly avoidUntilMs: number;
-  /** Until when it is taken to be full. */
+  /** Time until which the server counts as full, in monotonic ms. */
   readonly fullUntilMs: number;
 }
 
-const NO_LOAD: ServerLoad = {
+const NO_LOAD: TrackedLoad = {
   running: 0,
-  meanMs: FIRST_MS,
-  toldSlowness: 1,
-  toldOthers: 0,
-  toldAtMs: Number.NEGATIVE_INFINITY,
+  meanMs: INITIAL_MEAN_MS,
+  reportedSlowness: 1,
+  reportedByOthers: 0,
+  reportedAtMs: Number.NEGATIVE_INFINITY,
   avoidUntilMs: Number.NEGATIVE_INFINITY,
   fullUntilMs: Number.NEGATIVE_INFINITY,
 };
 
 /**
- * What this box knows of the load of each start of a backend server: a later
- * start has none of its runs, and proved nothing yet.
+ * Load and latency of backend servers as seen by this box. State is kept per
+ * server lifetime, so a restarted server begins without load or history.
  */
 export class ServerLoads {
   readonly #clock: clocks.Clock;
-  readonly #loads = new Map<registry.LifetimeKey, ServerLoad>();
-  readonly #failures: serverHealth.FailureShares;
+  readonly #loads = new Map<registry.LifetimeKey, TrackedLoad>();
+  readonly #failureRates: serverHealth.FailureRates;
 
   constructor(clock: clocks.Clock) {
     this.#clock = clock;
-    this.#failures = new serverHealth.FailureShares(clock);
+    this.#failureRates = new serverHealth.FailureRates(clock);
   }
 
-  /** Notes that a request begins at a server. */
-  begin(server: registry.LifetimeKey): void {
+  /** Records that a request was sent to a server. */
+  recordStart(server: registry.LifetimeKey): void {
     const load = this.#get(server);
     this.#loads.set(server, { ...load, running: load.running + 1 });
   }
 
   /**
-   * Notes that a request ended, after how many ms where it was answered. What
-   * the server's neighbours added is taken out, so that it does not look slow
-   * once they rest.
+   * Records that a request to a server ended. The duration is divided by the
+   * slowness, so that temporary interference does not raise the mean duration.
    *
-   * @param slowness How much longer work took than usual, as the answer told.
+   * @param server Lifetime of the server.
+   * @param durationMs Time until the answer, in ms; undefined if unanswered.
+   * @param slowness Factor by which work took longer than usual, as reported.
    */
-  end(
+  recordEnd(
     server: registry.LifetimeKey,
     durationMs: number | undefined,
     slowness = 1,
@@ -86,7 +89,7 @@
     const load = this.#get(server);
     const meanMs = durationMs === undefined
       ? load.meanMs
-      : load.meanMs + (durationMs / slowness - load.meanMs) * NEWEST_SHARE;
+      : load.meanMs + (durationMs / slowness - load.meanMs) * SMOOTHING_FACTOR;
     const fullUntilMs = durationMs === undefined
       ? load.fullUntilMs
       : Number.NEGATIVE_INFINITY;
@@ -99,37 +102,48 @@
   }
 
   /**
-   * Notes that a request was given up without an answer. The answer would have
-   * taken longer than `elapsedMs`, which tells of a slow or silent server.
+   * Records that a request ended without an answer. If `elapsedMs` is above the
+   * mean duration it is added to the mean, as a lower bound of the true latency.
    */
-  endUnanswered(server: registry.LifetimeKey, elapsedMs: number): void {
+  recordUnanswered(server: registry.LifetimeKey, elapsedMs: number): void {
     const isSlow = elapsedMs > this.#get(server).meanMs;
-    this.end(server, isSlow ? elapsedMs : undefined);
+    this.recordEnd(server, isSlow ? elapsedMs : undefined);
   }
 
-  /** Notes whether a try brought an answer that its caller can use. */
-  noteOutcome(server: registry.LifetimeKey, isGood: boolean): void {
-    this.#failures.note(server, isGood);
+  /** Records whether an attempt produced a usable answer. */
+  recordOutcome(server: registry.LifetimeKey, isSuccess: boolean): void {
+    this.#failureRates.record(server, isSuccess);
   }
 
-  /** Notes the load that a server told; this box's own part is known better. */
-  note(server: registry.LifetimeKey, told: dialects.ServerLoad): void {
+  /** Records a reported load, without the requests of this box itself. */
+  recordReport(
+    server: registry.LifetimeKey,
+    report: dialects.ServerLoad,
+  ): void {
     const load = this.#get(server);
-    const toldOthers = Math.max(0, told.running + told.waiting - load.running);
-    const toldAtMs = this.#clock.getMonotonicMs();
-    const toldSlowness = told.slowness;
-    this.#loads.set(server, { ...load, toldOthers, toldSlowness, toldAtMs });
+    const reportedByOthers = Math.max(
+      0,
+      report.running + report.waiting - load.running,
+    );
+    const reportedAtMs = this.#clock.getMonotonicMs();
+    const reportedSlowness = report.slowness;
+    this.#loads.set(server, {
+      ...load,
+      reportedByOthers,
+      reportedSlowness,
+      reportedAtMs,
+    });
   }
 
-  /** Passes over a server for a while. */
+  /** Avoids a server for a while, after it broke a request. */
   avoid(server: registry.LifetimeKey): void {
-    const avoidUntilMs = this.#clock.getMonotonicMs() + AVOID_MS;
+    const avoidUntilMs = this.#clock.getMonotonicMs() + AVOID_DURATION_MS;
     this.#loads.set(server, { ...this.#get(server), avoidUntilMs });
   }
 
-  /** Notes that a server refused because it was full. */
-  noteFull(server: registry.LifetimeKey): void {
-    const fullUntilMs = this.#clock.getMonotonicMs() + FULL_MS;
+  /** Marks a server that refused a request as full. */
+  markFull(server: registry.LifetimeKey): void {
+    const fullUntilMs = this.#clock.getMonotonicMs() + FULL_DURATION_MS;
     this.#loads.set(server, { ...this.#get(server), fullUntilMs });
   }
 
@@ -141,39 +155,42 @@
     return this.#get(server).avoidUntilMs > this.#clock.getMonotonicMs();
   }
 
-  /** Time that a new request is expected to take at a server, in ms. */
-  estimateMs(server: registry.RegisteredServer): number {
+  /** Estimates the latency of a new request at a server, in ms. */
+  estimateLatencyMs(server: registry.RegisteredServer): number {
     const load = this.#get(server.lifetime);
-    const share = this.#countAt(server) / Math.max(1, server.slots);
-    const failureMs = this.#failures.get(server.lifetime) * FAILURE_COST_MS;
-    const workMs = load.meanMs * this.#getSlowness(load) * (1 + share);
+    const utilization = this.#countRequests(server) / Math.max(1, server.slots);
+    const failureMs = this.#failureRates.get(server.lifetime) * FAILURE_COST_MS;
+    const workMs = load.meanMs * this.#getSlowness(load) * (1 + utilization);
     return workMs + server.coldMs + failureMs;
   }
 
-  /** What was told fades towards as usual. */
-  #getSlowness({ toldSlowness, toldAtMs }: ServerLoad): number {
-    const ageMs = this.#clock.getMonotonicMs() - toldAtMs;
-    return 1 + (toldSlowness - 1) * Math.exp(-ageMs / SLOWNESS_MS);
+  /** Returns the reported slowness, decayed towards 1 with its age. */
+  #getSlowness(
+    { reportedSlowness, reportedAtMs }: TrackedLoad,
+  ): number {
+    const ageMs = this.#clock.getMonotonicMs() - reportedAtMs;
+    return 1 + (reportedSlowness - 1) * Math.exp(-ageMs / SLOWNESS_DECAY_MS);
   }
 
-  /** Whether a server has a place free, as far as is known. */
-  hasPlace(server: registry.RegisteredServer): boolean {
-    return this.#countAt(server) < Math.max(1, server.slots);
+  /** Whether a server has a free slot, as far as this box knows. */
+  hasFreeSlot(server: registry.RegisteredServer): boolean {
+    return this.#countRequests(server) < Math.max(1, server.slots);
   }
 
-  /** Requests at a server: this box's own, and those of others it told of. */
-  #countAt(server: registry.RegisteredServer): number {
+  /** Counts the requests at a server: this box's own and reported others. */
+  #countRequests(server: registry.RegisteredServer): number {
     const load = this.#get(server.lifetime);
-    const isTold = this.#clock.getMonotonicMs() - load.toldAtMs < TOLD_MS;
-    return load.running + (isTold ? load.toldOthers : 0);
+    const isReportFresh =
+      this.#clock.getMonotonicMs() - load.reportedAtMs < MAX_REPORT_AGE_MS;
+    return load.running + (isReportFresh ? load.reportedByOthers : 0);
   }
 
-  /** Mean duration of requests at a server, in ms. */
-  getMeanMs(server: registry.LifetimeKey): number {
+  /** Returns the mean duration of requests at a server, in ms. */
+  getMeanDurationMs(server: registry.LifetimeKey): number {
     return this.#get(server).meanMs;
   }
 
-  #get(server: registry.LifetimeKey): ServerLoad {
+  #get(server: registry.LifetimeKey): TrackedLoad {
     return this.#loads.get(server) ?? NO_LOAD;
   }
 }
