--- a/src/forwarding/_job_run.ts
+++ b/src/forwarding/_job_run.ts
@@ -176,7 +176,7 @@
     const startMs = clock.getMonotonicMs();
     this.#runningAttempts.set(cancellation, startMs);
     loads.recordStart(server.lifetime);
-    const { servers, dialect, sendAttempt } = this.#options;
+    const { httpServers: servers, dialect, sendAttempt } = this.#options;
     const outcome = await watchedAttempts.sendWatched(servers, {
       job: this.#job,
       server,
@@ -286,7 +286,7 @@
     const { priority, targetAtMs } = this.#job;
     const giveUpAtMs = this.#slotWait.start();
     this.#leaveQueue = this.#queue.enqueue(
-      { priority, targetAtMs, giveUpAtMs },
+      { priority, targetAtMs, deadlineAtMs: giveUpAtMs },
       {
         onTurn: () => {
           this.#picker.startTurn();
--- a/src/forwarding/_server_picker.ts
+++ b/src/forwarding/_server_picker.ts
@@ -60,7 +60,7 @@
   }
 
   #createChoiceOptions(): chooseServer.ServerChoiceOptions {
-    const { servers, isLoadAware } = this.#options;
+    const { httpServers: servers, isLoadAware } = this.#options;
     return {
       ...this.#options,
       servers: servers.listReady(this.#service),
--- a/src/forwarding/_slot_wait.ts
+++ b/src/forwarding/_slot_wait.ts
@@ -52,6 +52,6 @@
   }
 
   #listReady(): readonly registry.RegisteredServer[] {
-    return this.#options.servers.listReady(this.#job.service);
+    return this.#options.httpServers.listReady(this.#job.service);
   }
 }
--- a/src/forwarding/forwarder_options.ts
+++ b/src/forwarding/forwarder_options.ts
@@ -8,7 +8,7 @@
 /** Options of a `Forwarder`. */
 export interface ForwarderOptions extends jobCrashGuards.JobCrashGuardOptions {
   readonly log: logs.Log;
-  readonly servers: registry.ServerRegistry;
+  readonly httpServers: registry.ServerRegistry;
   readonly loads: serverLoads.ServerLoads;
   readonly dialect: dialects.Dialect;
   /** Failure domain of this box; its servers are preferred. */
--- a/src/forwarding/server_fixture_test.ts
+++ b/src/forwarding/server_fixture_test.ts
@@ -130,7 +130,7 @@
       clock: this.clock,
       crashGuard: guardFixtures.createCrashGuard(this.clock),
       log: new logs.Log("box", "error", () => {}),
-      servers: this.registry,
+      httpServers: this.registry,
       loads: new serverLoads.ServerLoads(this.clock),
       dialect: DIALECT,
       failureDomain: "d",
--- a/src/replica_group/_bootstrap_client.ts
+++ b/src/replica_group/_bootstrap_client.ts
@@ -50,7 +50,7 @@
     const { dataFolder, id, clock, log, name } = this.#options;
     const voters = await this.#awaitInitialVoters();
     if (voters === undefined || !voters.includes(id)) return;
-    const initialized = await consensus.makeDataFolder({
+    const initialized = await consensus.initializeDataFolder({
       folder: dataFolder,
       owner: id,
       wallMs: clock.getWallMs(),
--- a/src/replica_group/replica_group.ts
+++ b/src/replica_group/replica_group.ts
@@ -54,7 +54,7 @@
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly metrics: metricTypes.FleetMetrics;
-  readonly stateMachine: consensus.Machine;
+  readonly stateMachine: consensus.StateMachine;
   readonly directory: fleet.BoxDirectory;
   readonly peers: fleet.Peers;
   readonly server: rpc.MethodTable;
@@ -118,14 +118,14 @@
   async resign(): Promise<void> {
     for (let attempt = 0; attempt < MAX_RESIGN_ATTEMPTS; attempt += 1) {
       if (this.#driver?.getStatus().role !== "leader") return;
-      this.#driver.transfer();
+      this.#driver.transferLeadership();
       await clocks.sleep(this.#options.clock, RESIGN_RETRY_MS);
     }
   }
 
   /** Transfers leadership to a voter if it holds the whole log. */
   transferTo(to: string): void {
-    this.#driver?.transfer(to);
+    this.#driver?.transferLeadership(to);
   }
 
   /** Whether this replica is the leader and holds a lease. */
@@ -235,7 +235,7 @@
       },
       clock,
       dataFolder,
-      machine: stateMachine,
+      stateMachine: stateMachine,
       snapshotEntries,
       send: (to, message) =>
         peers.get(to).tell(this.#getMethod(), this.#wrapMessage(message)),
@@ -286,7 +286,9 @@
     const planned = planVoters.planVoters(input);
     if (planned !== undefined) return this.#changeVoters(driver, planned);
     const { retiring, self, voters } = input;
-    if (retiring.includes(self) && voters.length > 1) driver.transfer();
+    if (retiring.includes(self) && voters.length > 1) {
+      driver.transferLeadership();
+    }
   }
 
   #createPlanInput(
--- a/src/replicated_state/_steps.ts
+++ b/src/replicated_state/_steps.ts
@@ -58,7 +58,7 @@
   if (existing.owner !== box && liveBoxes.includes(existing.owner)) {
     return { state, answer: { kind: "ownedBy", box: existing.owner } };
   }
-  const step = steps.takeStep(existing, box);
+  const step = steps.reassignStep(existing, box);
   return {
     state: putStep(state, step),
     answer: { kind: "step", step: createStepView(step) },
@@ -86,7 +86,7 @@
     ownerEpoch: command.ownerEpoch,
     samples: command.samples,
     currentVersion: Math.max(publishedVersion, command.trainerVersion),
-    bound: templates.getStalenessBound(template, account),
+    stalenessBound: templates.getStalenessBound(template, account),
   });
   return {
     state: putStep(state, outcome.step),
