--- a/src/consensus/_append_requests.ts
+++ b/src/consensus/_append_requests.ts
@@ -110,5 +110,5 @@
 
 function isEstablished(state: replicaStates.ReplicaState): boolean {
   return state.role.kind === "leader" &&
-    state.commitIndex >= state.role.firstIndex;
+    state.commitIndex >= state.role.termStartIndex;
 }
--- a/src/consensus/_applied_machine.ts
+++ b/src/consensus/_applied_machine.ts
@@ -1,19 +1,19 @@
 import type * as proposalTables from "./_proposals.ts";
-import type * as machines from "./machine.ts";
+import type * as machines from "./state_machine.ts";
 import type * as messages from "./message.ts";
 import type * as replicaLogs from "./replica_log.ts";
 import * as replicaSets from "./replica_set.ts";
 
 /** A machine, and how far the log has been applied to it. */
 export class AppliedMachine {
-  readonly #machine: machines.Machine;
+  readonly #machine: machines.StateMachine;
   readonly #proposals: proposalTables.ProposalTable;
   #index: number;
   #term: number;
 
   /** @param log The log whose snapshot the machine was restored from. */
   constructor(
-    machine: machines.Machine,
+    machine: machines.StateMachine,
     proposals: proposalTables.ProposalTable,
     log: replicaLogs.ReplicaLog,
   ) {
--- a/src/consensus/_durable_writer.ts
+++ b/src/consensus/_durable_writer.ts
@@ -42,7 +42,7 @@
    */
   async writeDraft(snapshot: messages.Snapshot): Promise<boolean> {
     try {
-      await this.#log.writeDraft(toStored(snapshot));
+      await this.#log.writeSnapshotDraft(toStored(snapshot));
       return true;
     } catch (error) {
       if (storage.isDiskFull(error)) return false;
@@ -55,7 +55,9 @@
     records: readonly savedRecords.SavedRecord[],
   ): csp.Step<boolean> {
     try {
-      yield* this.#measure(csp.waitFor(this.#log.takeDraft(records)));
+      yield* this.#measure(
+        csp.waitFor(this.#log.installSnapshotDraft(records)),
+      );
       return true;
     } catch (error) {
       if (storage.isDiskFull(error)) return false;
--- a/src/consensus/_election.ts
+++ b/src/consensus/_election.ts
@@ -1,4 +1,4 @@
-import * as authorities from "./authority.ts";
+import * as authorities from "./leader_lease.ts";
 import * as electionDelays from "./_election_delay.ts";
 import * as formerLeaders from "./_former_leader.ts";
 import * as latenesses from "./_lateness.ts";
@@ -19,8 +19,12 @@
   }
   const { seed, electionTimeoutMs } = state.config;
   const electionAtMs = nowMs + latenesses.getPatienceMs(state) +
-    electionDelays.drawDelay(seed, state.draws, electionTimeoutMs);
-  return { ...state, electionAtMs, draws: state.draws + 1 };
+    electionDelays.drawDelay(seed, state.electionDelayCount, electionTimeoutMs);
+  return {
+    ...state,
+    electionAtMs,
+    electionDelayCount: state.electionDelayCount + 1,
+  };
 }
 
 /** Enters a term as follower, saving the change of term. */
@@ -57,7 +61,7 @@
     lastIndex,
     lastTerm,
   };
-  return replicaStates.listOthers(state).map((to) => ({
+  return replicaStates.listOtherVoters(state).map((to) => ({
     kind: "send",
     to,
     message,
@@ -74,7 +78,7 @@
     { ...state, role: { kind: "preCandidate", votes } },
     nowMs,
   );
-  if (votes.size >= replicaStates.getQuorum(state)) {
+  if (votes.size >= replicaStates.getQuorumSize(state)) {
     return startElection(next, nowMs);
   }
   return {
@@ -96,7 +100,7 @@
     nowMs,
   );
   const save: replicaStates.Effect = { kind: "saveVote", term, votedFor };
-  if (votes.size >= replicaStates.getQuorum(state)) {
+  if (votes.size >= replicaStates.getQuorumSize(state)) {
     const won = startLeading(next, nowMs);
     return { state: won.state, effects: [save, ...won.effects] };
   }
@@ -126,9 +130,9 @@
     role: {
       kind: "leader",
       progress,
-      heartbeatAtMs: nowMs,
-      firstIndex,
-      sinceMs: nowMs,
+      nextHeartbeatAtMs: nowMs,
+      termStartIndex: firstIndex,
+      leaderSinceMs: nowMs,
     },
   };
   const sent = replications.sendAppends(leading, nowMs);
@@ -153,13 +157,13 @@
   nowMs: number,
 ): boolean {
   if (state.role.kind === "leader") {
-    return nowMs < authorities.getAuthorityUntilMs(
+    return nowMs < authorities.getLeaseExpiryMs(
       state,
       nowMs,
       authorities.NEVER_SUSPENDED,
     );
   }
-  return nowMs < state.heardAtMs + state.config.electionTimeoutMs;
+  return nowMs < state.leaderContactAtMs + state.config.electionTimeoutMs;
 }
 
 /** Why a vote is refused whatever the candidate's log holds. */
@@ -278,7 +282,7 @@
     ...state,
     role: { ...role, votes },
   };
-  if (votes.size < replicaStates.getQuorum(state)) {
+  if (votes.size < replicaStates.getQuorumSize(state)) {
     return { state: counted, effects: [] };
   }
   return reply.isPreVote
--- a/src/consensus/_feeding.ts
+++ b/src/consensus/_feeding.ts
@@ -1,4 +1,4 @@
-import * as authorities from "./authority.ts";
+import * as authorities from "./leader_lease.ts";
 import * as entrySizes from "./_entry_size.ts";
 import * as replicaLogs from "./replica_log.ts";
 import * as replicaStates from "./replica_state.ts";
@@ -70,7 +70,7 @@
   const { maxBatchEntries } = state.config;
   const { nextIndex } = progress;
   // What it holds is not known yet; only what is new is sent.
-  if (!Number.isFinite(progress.answeredSentAtMs)) {
+  if (!Number.isFinite(progress.lastAckedSentAtMs)) {
     return countWithin(state.log, nextIndex, maxBatchEntries, MESSAGE_BYTES);
   }
   const window = findWindow(state, to, progress, nowMs);
@@ -122,8 +122,9 @@
   gained: number,
   nowMs: number,
 ): number {
-  const { feedEntries = FEED_FIRST_ENTRIES } = before;
-  const { getAuthorityUntilMs, NEVER_SUSPENDED } = authorities;
+  const { catchUpBatchEntries: feedEntries = FEED_FIRST_ENTRIES } = before;
+  const { getLeaseExpiryMs: getAuthorityUntilMs, NEVER_SUSPENDED } =
+    authorities;
   const leftMs = getAuthorityUntilMs(state, nowMs, NEVER_SUSPENDED) - nowMs;
   const isAtEase = leftMs > state.config.electionTimeoutMs * EASE_SHARE;
   const isGaining = gained > feedEntries / FEED_FACTOR;
@@ -149,8 +150,12 @@
     };
   }
   if (!listFed(state, nowMs).includes(to)) return undefined;
-  const { feedEntries = Math.min(FEED_FIRST_ENTRIES, maxBatchEntries) } =
-    progress;
+  const {
+    catchUpBatchEntries: feedEntries = Math.min(
+      FEED_FIRST_ENTRIES,
+      maxBatchEntries,
+    ),
+  } = progress;
   return {
     entries: FEED_MESSAGES * feedEntries,
     bytes: FEED_MESSAGES * MESSAGE_BYTES,
@@ -188,7 +193,7 @@
   progress: replicaStates.Progress,
 ): boolean {
   const lag = replicaLogs.getLastIndex(state.log) - progress.matchIndex;
-  return lag > replicaStates.NEAR_ENTRIES;
+  return lag > replicaStates.MAX_CAUGHT_UP_LAG_ENTRIES;
 }
 
 /**
@@ -205,7 +210,7 @@
   const waiting = [...state.role.progress]
     .filter(([, progress]) =>
       !progress.identity.isAdmitted && isFarBehind(state, progress) &&
-      nowMs - progress.answeredSentAtMs < SILENT_MS
+      nowMs - progress.lastAckedSentAtMs < SILENT_MS
     )
     .toSorted(([a, left], [b, right]) =>
       Number(voters.includes(b)) - Number(voters.includes(a)) ||
@@ -221,6 +226,6 @@
 
 /** Whether a replica answers, but has confirmed nothing new for long. */
 function isStalled(progress: replicaStates.Progress, nowMs: number): boolean {
-  const { movedAtMs } = progress;
+  const { lastProgressAtMs: movedAtMs } = progress;
   return movedAtMs !== undefined && nowMs - movedAtMs > SILENT_MS;
 }
--- a/src/consensus/_feeding_watch.ts
+++ b/src/consensus/_feeding_watch.ts
@@ -21,12 +21,12 @@
 
 /** Follows how a leader feeds the replicas that do not count yet. */
 export class FeedingWatch {
-  readonly #tell: notices.TakeNotice;
+  readonly #tell: notices.NoticeHandler;
   #watched: ReadonlyMap<string, WatchedFollower> = new Map();
   /** When the next notice is due; undefined while all followers count. */
   #dueMs: number | undefined;
 
-  constructor(tell: notices.TakeNotice) {
+  constructor(tell: notices.NoticeHandler) {
     this.#tell = tell;
   }
 
@@ -107,7 +107,8 @@
   progress: replicaStates.Progress,
   nowMs: number,
 ): WatchedFollower {
-  const { identity, matchIndex, answeredSentAtMs } = progress;
+  const { identity, matchIndex, lastAckedSentAtMs: answeredSentAtMs } =
+    progress;
   const { incarnation, isAdmitted } = identity;
   if (!Number.isFinite(answeredSentAtMs)) {
     return before?.kind === "unheard"
@@ -146,7 +147,7 @@
   id: string,
   watched: WatchedFollower,
   nowMs: number,
-): notices.FeedingFollower | undefined {
+): notices.UnadmittedFollower | undefined {
   const isVoter = replicaStates.listVoters(state).includes(id);
   switch (watched.kind) {
     case "counted":
@@ -157,7 +158,7 @@
     }
     case "fed": {
       const matchIndex = getMatchIndex(state, id);
-      const answeredSentAtMs = findProgress(state, id)?.answeredSentAtMs ??
+      const answeredSentAtMs = findProgress(state, id)?.lastAckedSentAtMs ??
         nowMs;
       return {
         kind: "fed",
--- a/src/consensus/_former_leader.ts
+++ b/src/consensus/_former_leader.ts
@@ -39,9 +39,9 @@
   state: replicaStates.ReplicaState,
   nowMs: number,
 ): boolean {
-  const { former, config, term } = state;
+  const { formerLeader: former, config, term } = state;
   return former?.id === config.id && former.term === term &&
-    nowMs < former.hurryUntilMs;
+    nowMs < former.earlyElectionUntilMs;
 }
 
 /**
@@ -53,7 +53,7 @@
   state: replicaStates.ReplicaState,
   candidate: string,
 ): boolean {
-  const { role, former, term } = state;
+  const { role, formerLeader: former, term } = state;
   if (role.kind === "follower" && role.leader !== undefined) {
     return role.leader === candidate;
   }
--- a/src/consensus/_lateness.ts
+++ b/src/consensus/_lateness.ts
@@ -12,8 +12,8 @@
   state: replicaStates.ReplicaState,
   term: number,
   nowMs: number,
-): replicaStates.Lateness {
-  const { lateness, heardAtMs } = state;
+): replicaStates.HeartbeatGap {
+  const { heartbeatGap: lateness, leaderContactAtMs: heardAtMs } = state;
   if (lateness.term !== term) return { term, gapMs: 0 };
   const gapMs = Math.max(nowMs - heardAtMs, lateness.gapMs * GAP_DECAY);
   return { term, gapMs };
@@ -30,7 +30,7 @@
  * @returns The additional wait, in ms.
  */
 export function getPatienceMs(state: replicaStates.ReplicaState): number {
-  const { lateness, config } = state;
+  const { heartbeatGap: lateness, config } = state;
   const waitMs = GAPS_TO_WAIT * lateness.gapMs - config.electionTimeoutMs;
   return Math.min(MOST_WAIT_MS, Math.max(0, waitMs));
 }
--- a/src/consensus/_leader_watch.ts
+++ b/src/consensus/_leader_watch.ts
@@ -20,7 +20,7 @@
 
 /** Follows since when a replica knows no leader, and what its voters answer. */
 export class LeaderWatch {
-  readonly #tell: notices.TakeNotice;
+  readonly #tell: notices.NoticeHandler;
   /** When a leader that may act was known last, in monotonic ms. */
   #knownAtMs: number;
   /** Time without a leader after which the next notice is due, in ms. */
@@ -32,7 +32,7 @@
    * @param nowMs Monotonic time at which the replica was opened, in ms.
    * @param tell Takes the notices.
    */
-  constructor(nowMs: number, tell: notices.TakeNotice) {
+  constructor(nowMs: number, tell: notices.NoticeHandler) {
     this.#knownAtMs = nowMs;
     this.#tell = tell;
   }
@@ -44,7 +44,7 @@
     reply: messages.VoteReply,
     nowMs: number,
   ): void {
-    const others = replicaStates.listOthers(state);
+    const others = replicaStates.listOtherVoters(state);
     const kept = [...this.#answers].filter(([id]) => others.includes(id));
     this.#answers = others.includes(from)
       ? new Map([...kept, [from, { reply, atMs: nowMs }] as const])
@@ -67,7 +67,7 @@
     nowMs: number,
     writingMs: number,
   ): void {
-    const knownAtMs = hasAuthority ? nowMs : state.heardAtMs;
+    const knownAtMs = hasAuthority ? nowMs : state.leaderContactAtMs;
     if (knownAtMs > this.#knownAtMs) {
       this.#knownAtMs = knownAtMs;
       this.#dueAfterMs = LEADERLESS_MS;
@@ -95,7 +95,7 @@
       lastTerm: replicaLogs.getTermAt(log, lastIndex) ?? 0,
       commitIndex,
       set: replicaStatuses.describeVoterSet(state),
-      asked: replicaStates.listOthers(state).map((id) => ({
+      asked: replicaStates.listOtherVoters(state).map((id) => ({
         id,
         answer: describeAnswer(this.#answers.get(id), nowMs),
       })),
--- a/src/consensus/_membership.ts
+++ b/src/consensus/_membership.ts
@@ -73,14 +73,15 @@
   voters: readonly string[],
 ): boolean {
   const { role, commitIndex } = state;
-  if (role.kind !== "leader" || commitIndex < role.firstIndex) return false;
+  if (role.kind !== "leader" || commitIndex < role.termStartIndex) return false;
   const pending = sets.findReplicaSet(state.log)?.index ?? 0;
   if (pending > commitIndex || !voters.includes(state.config.id)) return false;
   const before = replicaStates.listVoters(state);
-  if (!sets.isSingleStep(before, voters)) return false;
+  if (!sets.isSingleVoterChange(before, voters)) return false;
   return voters.filter((id) => !before.includes(id)).every((id) => {
     const progress = role.progress.get(id);
     return progress !== undefined && progress.identity.isAdmitted &&
-      commitIndex - progress.matchIndex <= replicaStates.NEAR_ENTRIES;
+      commitIndex - progress.matchIndex <=
+        replicaStates.MAX_CAUGHT_UP_LAG_ENTRIES;
   });
 }
--- a/src/consensus/_notice_teller.ts
+++ b/src/consensus/_notice_teller.ts
@@ -15,7 +15,7 @@
 /** Tells what changed about a replica since it was looked at last. */
 export class NoticeTeller {
   readonly #clock: clocks.Clock;
-  readonly #tell: notices.TakeNotice;
+  readonly #tell: notices.NoticeHandler;
   #role = "";
   #voters = "";
   #hadAuthority = false;
--- a/src/consensus/_open_replica.ts
+++ b/src/consensus/_open_replica.ts
@@ -21,7 +21,7 @@
 export async function openReplica(
   options: replicaOptions.ReplicaDriverOptions,
 ): Promise<OpenedReplica> {
-  const { config, clock, dataFolder, machine } = options;
+  const { config, clock, dataFolder, stateMachine: machine } = options;
   const { log, loaded } = await storage.DurableLog.open(dataFolder, config.id);
   const snapshot = savedRecords.toSnapshot(loaded.snapshot);
   const records = loaded.records as readonly savedRecords.SavedRecord[];
--- a/src/consensus/_progress.ts
+++ b/src/consensus/_progress.ts
@@ -10,7 +10,7 @@
   return {
     nextIndex: reply.index + 1,
     matchIndex: 0,
-    answeredSentAtMs: Number.NEGATIVE_INFINITY,
+    lastAckedSentAtMs: Number.NEGATIVE_INFINITY,
     identity: reply.identity,
   };
 }
@@ -41,14 +41,14 @@
   nowMs: number,
 ): replicaStates.Progress {
   const { identity, sentAtMs, index } = reply;
-  const { movedAtMs = nowMs } = old;
-  const answeredSentAtMs = Math.max(old.answeredSentAtMs, sentAtMs);
+  const { lastProgressAtMs: progressAtMs = nowMs } = old;
+  const ackedSentAtMs = Math.max(old.lastAckedSentAtMs, sentAtMs);
   const heard = {
     ...old,
     identity,
-    answeredSentAtMs,
-    answeredAtMs: nowMs,
-    movedAtMs,
+    lastAckedSentAtMs: ackedSentAtMs,
+    lastReplyAtMs: nowMs,
+    lastProgressAtMs: progressAtMs,
   };
   if (!reply.isMatch) return moveBack(heard, reply, nowMs);
   const hasMoved = index > old.matchIndex;
@@ -56,6 +56,6 @@
     ...heard,
     matchIndex: Math.max(old.matchIndex, index),
     nextIndex: Math.max(old.nextIndex, index + 1),
-    movedAtMs: hasMoved ? nowMs : movedAtMs,
+    lastProgressAtMs: hasMoved ? nowMs : progressAtMs,
   };
 }
--- a/src/consensus/_replication.ts
+++ b/src/consensus/_replication.ts
@@ -25,8 +25,11 @@
   if (role.kind !== "leader") return { state, effects: [] };
   const sent = appendRequests.createAppends(state, role.progress, nowMs);
   const progress = new Map(sent.map(([to, append]) => [to, append.progress]));
-  const heartbeatAtMs = nowMs + state.config.heartbeatMs;
-  const next = { ...state, role: { ...role, progress, heartbeatAtMs } };
+  const heartbeatDueAtMs = nowMs + state.config.heartbeatMs;
+  const next = {
+    ...state,
+    role: { ...role, progress, nextHeartbeatAtMs: heartbeatDueAtMs },
+  };
   return advanceCommit({
     state: next,
     effects: sent.map(([, append]) => append.effect),
@@ -64,14 +67,14 @@
 ): replicaStates.Transition {
   const { state } = transition;
   if (state.role.kind !== "leader") return transition;
-  const matches = replicaStates.listAdmitted(state).map((progress) =>
+  const matches = replicaStates.listAdmittedProgress(state).map((progress) =>
     progress.matchIndex
   );
   const own = replicaStates.isVoter(state)
     ? [replicaLogs.getLastIndex(state.log)]
     : [];
   const sorted = [...own, ...matches].sort((a, b) => b - a);
-  const index = sorted[replicaStates.getQuorum(state) - 1] ?? 0;
+  const index = sorted[replicaStates.getQuorumSize(state) - 1] ?? 0;
   if (replicaLogs.getTermAt(state.log, index) !== state.term) return transition;
   const committed = commits.commitTo(state, index);
   return {
@@ -114,11 +117,15 @@
   if (progress === undefined) return state;
   if (progress.matchIndex <= before.matchIndex) return state;
   const lag = replicaLogs.getLastIndex(state.log) - progress.matchIndex;
-  const gained = (before.feedLag ?? Number.POSITIVE_INFINITY) - lag;
+  const gained = (before.catchUpLagEntries ?? Number.POSITIVE_INFINITY) - lag;
   const feedEntries = feedings.updateBatch(state, before, gained, nowMs);
   const next = new Map([
     ...role.progress,
-    [from, { ...progress, feedEntries, feedLag: lag }] as const,
+    [from, {
+      ...progress,
+      catchUpBatchEntries: feedEntries,
+      catchUpLagEntries: lag,
+    }] as const,
   ]);
   return { ...state, role: { ...role, progress: next } };
 }
@@ -163,6 +170,9 @@
 ): replicaStates.ReplicaState {
   const { role } = state;
   if (role.kind !== "leader") return state;
-  const heartbeatAtMs = Math.min(role.heartbeatAtMs, nowMs + COMMIT_NEWS_MS);
-  return { ...state, role: { ...role, heartbeatAtMs } };
+  const heartbeatAtMs = Math.min(
+    role.nextHeartbeatAtMs,
+    nowMs + COMMIT_NEWS_MS,
+  );
+  return { ...state, role: { ...role, nextHeartbeatAtMs: heartbeatAtMs } };
 }
--- a/src/consensus/_snapshot_transfer.ts
+++ b/src/consensus/_snapshot_transfer.ts
@@ -37,7 +37,7 @@
   /** Makes a snapshot of the present state. */
   readonly createSnapshot: () => messages.Snapshot;
   /** Told of each snapshot that begins to be sent. */
-  readonly onNotice?: notices.TakeNotice | undefined;
+  readonly onNotice?: notices.NoticeHandler | undefined;
 }
 
 /**
--- a/src/consensus/make_data_folder.ts
+++ b/src/consensus/initialize_data_folder.ts
@@ -22,7 +22,7 @@
  * @returns Ok, or `wrongFolder` if the folder is in use.
  * @throws FailureError `corruptLog` or `wrongFolder`.
  */
-export async function makeDataFolder(
+export async function initializeDataFolder(
   options: DataFolderOptions,
 ): Promise<results.Result<undefined>> {
   const { folder, owner, wallMs, voters } = options;
--- a/src/consensus/notice_fixture_test.ts
+++ b/src/consensus/notice_fixture_test.ts
@@ -78,7 +78,7 @@
   if (role.kind !== "leader") return state;
   const known = role.progress.get("b");
   if (known === undefined) return state;
-  const changed = { ...known, answeredSentAtMs: START_MS, ...change };
+  const changed = { ...known, lastAckedSentAtMs: START_MS, ...change };
   const progress = new Map([...role.progress, ["b", changed] as const]);
   return { ...state, role: { ...role, progress } };
 }
--- a/src/consensus/simulated_node_test.ts
+++ b/src/consensus/simulated_node_test.ts
@@ -1,5 +1,5 @@
 import type * as fakeNetworks from "./fake_network_test.ts";
-import * as authorities from "./authority.ts";
+import * as authorities from "./leader_lease.ts";
 import * as savedRecords from "./_saved_record.ts";
 import type * as messages from "./message.ts";
 import * as replicaSets from "./replica_set.ts";
--- a/src/consensus/snapshot_transfer_test.ts
+++ b/src/consensus/snapshot_transfer_test.ts
@@ -4,7 +4,7 @@
 import * as chai from "chai";
 import * as clocks from "../clock/mod.ts";
 import * as listMachines from "./list_machine_test.ts";
-import * as makeDataFolder from "./make_data_folder.ts";
+import * as makeDataFolder from "./initialize_data_folder.ts";
 import type * as messages from "./message.ts";
 import * as replicaDrivers from "./replica_driver.ts";
 import * as transfers from "./_snapshot_transfer.ts";
@@ -117,7 +117,7 @@
     const folder = fs.mkdtempSync(path.join(os.tmpdir(), `hoistscale-${id}-`));
     folders.push(folder);
     if (isFounder) {
-      await makeDataFolder.makeDataFolder({
+      await makeDataFolder.initializeDataFolder({
         folder,
         owner: id,
         wallMs: 1,
@@ -136,7 +136,7 @@
       },
       clock: new clocks.SystemClock(),
       dataFolder: folder,
-      machine,
+      stateMachine: machine,
       snapshotEntries: 32,
       send: (to, message) => {
         const text = JSON.stringify(message);
--- a/src/consensus/stalled_feeding_test.ts
+++ b/src/consensus/stalled_feeding_test.ts
@@ -25,8 +25,8 @@
   return {
     nextIndex: matchIndex + 1,
     matchIndex,
-    answeredSentAtMs: NOW_MS,
-    movedAtMs,
+    lastAckedSentAtMs: NOW_MS,
+    lastProgressAtMs: movedAtMs,
     identity: EMPTIED,
   };
 }
--- a/src/control/control_service.ts
+++ b/src/control/control_service.ts
@@ -63,7 +63,7 @@
       },
       clock,
       dataFolder: control.dataFolder,
-      machine: this.#machine,
+      stateMachine: this.#machine,
       snapshotEntries: control.snapshotEntries,
       send: (to, message) => this.#sendMessage(to, message),
       onFatal,
@@ -80,7 +80,7 @@
       this.#driver?.getStatus().role === "leader" &&
       clock.getMonotonicMs() < endMs
     ) {
-      this.#driver.transfer();
+      this.#driver.transferLeadership();
       await clocks.sleep(clock, RESIGN_TRY_MS);
     }
   }
@@ -107,7 +107,7 @@
 
   /** Monotonic ms until which this replica surely leads. */
   getAuthorityUntilMs(): number {
-    return this.#driver?.getAuthorityUntilMs() ?? 0;
+    return this.#driver?.getLeaseExpiryMs() ?? 0;
   }
 
   /** Proposes a command of the leader itself. */
--- a/src/control/state_machine.ts
+++ b/src/control/state_machine.ts
@@ -3,7 +3,7 @@
 import type * as protocols from "./protocol.ts";
 
 /** The replicated state under the consensus log. */
-export class StateMachine implements consensus.Machine {
+export class StateMachine implements consensus.StateMachine {
   readonly #onChange: () => void;
   #state = replicated.EMPTY_STATE;
 
--- a/src/replica_group/_describe_notice.ts
+++ b/src/replica_group/_describe_notice.ts
@@ -99,7 +99,7 @@
   return `${id}:${shown}:lag${lag}${isAdmitted ? "" : ":notAdmitted"}`;
 }
 
-function describeFollower(follower: consensus.FeedingFollower): string {
+function describeFollower(follower: consensus.UnadmittedFollower): string {
   const { kind, id, isVoter } = follower;
   const name = isVoter ? id : `${id}:spare`;
   switch (kind) {
@@ -112,7 +112,7 @@
   }
 }
 
-function describeAsked({ id, answer }: consensus.AskedVoter): string {
+function describeAsked({ id, answer }: consensus.PolledVoter): string {
   switch (answer.kind) {
     case "none":
       return `${id}:none`;
--- a/src/replica_group/_founder.ts
+++ b/src/replica_group/_founder.ts
@@ -42,7 +42,7 @@
     const { dataFolder, id, clock, log, name } = this.#options;
     const voters = await this.#awaitFounders();
     if (voters === undefined || !voters.includes(id)) return;
-    const made = await consensus.makeDataFolder({
+    const made = await consensus.initializeDataFolder({
       folder: dataFolder,
       owner: id,
       wallMs: clock.getWallMs(),
--- a/src/replica_group/explained_loss_test.ts
+++ b/src/replica_group/explained_loss_test.ts
@@ -144,7 +144,7 @@
 
   it("tells of an emptied voter until it counts, and then why none leads", async () => {
     for (const id of IDS) {
-      await consensus.makeDataFolder({
+      await consensus.initializeDataFolder({
         folder: getBox(id).folder,
         owner: id,
         wallMs: 1,
--- a/src/replica_group/plan_voters.ts
+++ b/src/replica_group/plan_voters.ts
@@ -173,7 +173,8 @@
     if (voters.includes(id)) return false;
     const follower = followers.find((item) => item.id === id);
     return follower !== undefined && follower.isAdmitted &&
-      commitIndex - follower.matchIndex <= consensus.NEAR_ENTRIES &&
+      commitIndex - follower.matchIndex <=
+        consensus.MAX_CAUGHT_UP_LAG_ENTRIES &&
       !isDead(id, situation);
   });
 }
--- a/src/replica_group/plan_voters_test.ts
+++ b/src/replica_group/plan_voters_test.ts
@@ -101,7 +101,7 @@
       const followers = [silent, createFollower("c", 10, commitIndex), spare];
       return plan({ commitIndex, followers });
     }
-    const nearIndex = commitIndex - consensus.NEAR_ENTRIES;
+    const nearIndex = commitIndex - consensus.MAX_CAUGHT_UP_LAG_ENTRIES;
     chai.expect(planWith(createFollower("d", 10, nearIndex))).to.deep.equal(
       ["a", "b", "c", "d"],
     );
--- a/src/replica_group/replica_group.ts
+++ b/src/replica_group/replica_group.ts
@@ -56,7 +56,7 @@
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly metrics: metricTypes.FleetMetrics;
-  readonly machine: consensus.Machine;
+  readonly machine: consensus.StateMachine;
   readonly directory: fleet.BoxDirectory;
   readonly peers: fleet.Peers;
   readonly server: rpc.MethodTable;
@@ -121,14 +121,14 @@
   async resign(): Promise<void> {
     for (let turn = 0; turn < RESIGN_TRIES; turn += 1) {
       if (this.#driver?.getStatus().role !== "leader") return;
-      this.#driver.transfer();
+      this.#driver.transferLeadership();
       await clocks.sleep(this.#options.clock, RESIGN_PAUSE_MS);
     }
   }
 
   /** Hands leadership to a voter, if it has every entry by now. */
   transferTo(to: string): void {
-    this.#driver?.transfer(to);
+    this.#driver?.transferLeadership(to);
   }
 
   /** Whether this replica may act as leader now. */
@@ -229,7 +229,7 @@
       },
       clock,
       dataFolder,
-      machine,
+      stateMachine: machine,
       snapshotEntries,
       send: (to, message) =>
         peers.get(to).tell(this.#getMethod(), this.#wrap(message)),
@@ -280,7 +280,9 @@
     const planned = planVoters.planVoters(situation);
     if (planned !== undefined) return this.#changeVoters(driver, planned);
     const { retiring, self, voters } = situation;
-    if (retiring.includes(self) && voters.length > 1) driver.transfer();
+    if (retiring.includes(self) && voters.length > 1) {
+      driver.transferLeadership();
+    }
   }
 
   #describeVoters(
--- a/src/replica_group/simulated_store_test.ts
+++ b/src/replica_group/simulated_store_test.ts
@@ -168,7 +168,7 @@
       clock: process,
       log: this.#createLog(),
       metrics: new metrics.FleetMetrics(),
-      machine: machine as consensus.Machine,
+      machine: machine as consensus.StateMachine,
       directory,
       peers: { get: (to) => getPeer(this.id, to) },
       server: {
--- a/src/storage/storage_test.ts
+++ b/src/storage/storage_test.ts
@@ -73,8 +73,10 @@
     const file = await writeRecords(2);
     const before = fs.statSync(file).size;
     const { log } = await durableLogs.DurableLog.open(folder, "box-1");
-    const long = "x".repeat(600_000);
-    await log.append([{ index: 2 }, { index: 3, long }, { index: 4 }]);
+    const longText = "x".repeat(600_000);
+    await log.append([{ index: 2 }, { index: 3, long: longText }, {
+      index: 4,
+    }]);
     await log.close();
     const whole = fs.readFileSync(file);
     const last = whole.length - 1;
@@ -133,10 +135,13 @@
     const { log } = await durableLogs.DurableLog.open(folder, "box-1");
     const long = "x".repeat(700_000);
     await log.append([{ index: 0, long }, { index: 1, long }]);
-    const writing = log.writeDraft({ head: 1, parts: [long, long, long] });
+    const writing = log.writeSnapshotDraft({
+      head: 1,
+      parts: [long, long, long],
+    });
     await log.append([{ index: 2, long }]);
     await writing;
-    await log.takeDraft([{ index: 2, long }]);
+    await log.installSnapshotDraft([{ index: 2, long }]);
     await log.append([{ index: 3, long }]);
     await log.close();
     const { log: again, loaded } = await durableLogs.DurableLog.open(
--- a/src/submission/submission_machine.ts
+++ b/src/submission/submission_machine.ts
@@ -40,7 +40,7 @@
 const UNKNOWN: commands.SubmissionAnswer = { isKnown: false };
 
 /** Submissions, their results and the named versions, under the stores' log. */
-export class SubmissionMachine implements consensus.Machine {
+export class SubmissionMachine implements consensus.StateMachine {
   readonly #onChange: () => void;
   readonly #usage = new usageBooks.UsageBook();
   readonly #capacity = new capacityBooks.CapacityBook();
--- a/src/traffic_config/configuration_machine.ts
+++ b/src/traffic_config/configuration_machine.ts
@@ -14,7 +14,7 @@
 }
 
 /** The newest configuration under the log of the core boxes. */
-export class ConfigurationMachine implements consensus.Machine {
+export class ConfigurationMachine implements consensus.StateMachine {
   readonly #onChange: (stored: configurations.StoredConfiguration) => void;
   #stored: configurations.StoredConfiguration | undefined;
   #toldVersion = 0;
