--- a/src/consensus/initialize_data_folder.ts
+++ b/src/consensus/initialize_data_folder.ts
@@ -2,23 +2,24 @@
 import * as storage from "../storage/mod.ts";
 import * as savedRecords from "./_saved_record.ts";
 
-/** What a data folder is made for. */
+/** Options of a new data folder. */
 export interface DataFolderOptions {
   readonly folder: string;
   /** Id of the box. */
   readonly owner: string;
-  /** Wall time, in ms; it becomes the replica's incarnation. */
+  /** Wall-clock time, in ms; used as the replica's incarnation. */
   readonly wallMs: number;
-  /** Voters of the set; undefined where the settings of each box name them. */
+  /** Initial voters; undefined if the settings of each box name them. */
   readonly voters?: readonly string[];
 }
 
 /**
- * Makes the data folder of a replica for the first start of its replica set,
- * where no replica has acknowledged anything. A replica that starts without
- * this is new: it counts in no quorum until a leader brought it up to date.
+ * Initializes the data folder of a replica for the first start of its replica
+ * set, when no replica has acknowledged any entry. A replica that starts with an
+ * uninitialized folder doesn't count toward a quorum until it has caught up with
+ * a leader.
  *
- * @param options The folder.
+ * @param options Options of the folder.
  * @returns Ok, or `wrongFolder` if the folder is in use.
  * @throws FailureError `corruptLog` or `wrongFolder`.
  */
@@ -27,8 +28,8 @@
 ): Promise<results.Result<undefined>> {
   const { folder, owner, wallMs, voters } = options;
   const { log, loaded } = await storage.DurableLog.open(folder, owner);
-  const isUsed = loaded.records.length > 0 || loaded.snapshot !== undefined;
-  if (!isUsed) {
+  const isInUse = loaded.records.length > 0 || loaded.snapshot !== undefined;
+  if (!isInUse) {
     const identity = { incarnation: wallMs, isAdmitted: true };
     await log.append(
       voters === undefined
@@ -37,7 +38,7 @@
     );
   }
   await log.close();
-  if (!isUsed) return results.createOk(undefined);
+  if (!isInUse) return results.createOk(undefined);
   return results.createFailure(
     "wrongFolder",
     `Cannot make the data folder: ${folder} is in use`,
--- a/src/consensus/leader_lease.ts
+++ b/src/consensus/leader_lease.ts
@@ -1,28 +1,26 @@
 import * as replicaStates from "./replica_state.ts";
 
 /**
- * Share of the election timeout for which a leader trusts its quorum's
- * answers. The rest covers clocks whose rates differ, by up to a tenth.
+ * Length of a lease as a fraction of the election timeout. The remainder covers
+ * clocks whose rates differ by up to a tenth.
  */
 const LEASE_FRACTION = 0.8;
 
-/**
- * Stands for a machine that was never suspended, where what is decided is safe
- * whether it was or not.
- */
+/** Resume time for callers whose result is safe even after a suspension. */
 export const NEVER_SUSPENDED = Number.NEGATIVE_INFINITY;
 
 /**
- * Tells until when a leader surely leads: no other replica can have been
- * elected before, since a quorum refuses votes until then.
+ * Computes when the leader's lease expires. Until then no other replica can be
+ * elected, since a quorum refuses votes.
  *
  * @param state The replica.
  * @param nowMs Monotonic time, in ms.
- * @param resumedAtMs Monotonic time before which the machine may have been
- * suspended, in ms. What it sent before may be older than it seems, and counts
- * no more: a leader that woke after 3 s led on beside the one elected meanwhile.
- * @returns Monotonic ms; 0 for a replica that does not lead, negative infinity
- * for one that was not answered since.
+ * @param resumedAtMs Monotonic time before which the box may have been
+ * suspended, in ms. Requests sent before it don't extend the lease: the
+ * monotonic clock may not have counted the suspension, during which another
+ * leader may have been elected.
+ * @returns Monotonic expiry time, in ms; 0 for a replica that is not the
+ * leader, negative infinity if no quorum has replied since `resumedAtMs`.
  */
 export function getLeaseExpiryMs(
   state: replicaStates.ReplicaState,
@@ -42,21 +40,21 @@
 }
 
 /**
- * Share of the election timeout in which some answers of a quorum must come, however
- * old, so that a leader goes on to lead. It has no authority by them.
+ * Time since the last reply after which a follower is out of contact, in
+ * election timeouts.
  */
 const CONTACT_TIMEOUTS = 1.8;
-/** Age of what was answered, in election timeouts, from which it counts no more. */
+/** Maximum age of the request that a reply acknowledges, in election timeouts. */
 const MAX_ECHO_AGE_TIMEOUTS = 6;
 
 /**
- * Tells whether a leader is answered, though late. One that gave up where answers
- * take 0.4 to 0.9 s, as on boxes with a third of a core, left the lead to another
- * such one again and again.
+ * Reports whether a quorum still replies to the leader, even if too late to
+ * extend its lease. A leader that stepped down on slow replies alone would cause
+ * repeated elections on overloaded boxes.
  *
  * @param state The leader.
  * @param nowMs Monotonic time, in ms.
- * @returns Whether a quorum's answers go on to come.
+ * @returns Whether a quorum is in contact.
  */
 export function hasQuorumContact(
   state: replicaStates.ReplicaState,
@@ -78,14 +76,14 @@
 }
 
 /**
- * Tells whether a replica may act as leader now: it surely leads, and knows
- * all that was accepted before its term.
+ * Reports whether a replica may act as leader: it holds a valid lease and has
+ * committed the first entry of its term, and so all entries of earlier terms.
  *
  * @param state The replica.
  * @param nowMs Monotonic time, in ms.
- * @param resumedAtMs Monotonic time before which the machine may have been
+ * @param resumedAtMs Monotonic time before which the box may have been
  * suspended, in ms.
- * @returns Whether it may.
+ * @returns Whether it has authority.
  */
 export function hasAuthority(
   state: replicaStates.ReplicaState,
--- a/src/consensus/message.ts
+++ b/src/consensus/message.ts
@@ -1,19 +1,22 @@
 import type * as replicaLogs from "./replica_log.ts";
 
-/** Tells a replica from its former self whose disk was lost. */
+/** Identifies a replica and its data folder. */
 export interface ReplicaIdentity {
-  /** Rises each time the data folder is made anew. */
+  /** Increases each time the data folder is created again, as after a lost disk. */
   readonly incarnation: number;
-  /** Whether it counts in a quorum; a new replica does once caught up. */
+  /** Whether it counts toward a quorum; a new replica does once caught up. */
   readonly isAdmitted: boolean;
 }
 
-/** Asks for a vote; a pre-vote asks whether a vote would be given. */
+/** Requests a vote; a pre-vote asks whether a vote would be granted. */
 export interface VoteRequest {
   readonly kind: "voteRequest";
   readonly term: number;
   readonly isPreVote: boolean;
-  /** The leader gave up for this candidate; it is no reason to refuse. */
+  /**
+   * Whether the leader stepped down in favour of this candidate, so that a recent
+   * heartbeat is no reason to refuse.
+   */
   readonly isTransfer: boolean;
   readonly lastIndex: number;
   readonly lastTerm: number;
@@ -21,23 +24,28 @@
 
 /** Why a vote was refused. */
 export type VoteRefusal =
+  /** The voter received a message from another leader recently. */
   | "leaderHeard"
+  /** The requested term is older than the voter's. */
   | "oldTerm"
+  /** The voter doesn't count toward a quorum yet. */
   | "notAdmitted"
+  /** The candidate's log lacks entries that the voter holds. */
   | "logBehind"
+  /** The voter granted its vote of this term to another candidate. */
   | "votedOther";
 
-/** Answers a vote request. */
+/** Replies to a vote request. */
 export interface VoteReply {
   readonly kind: "voteReply";
   readonly term: number;
   readonly isPreVote: boolean;
   readonly isGranted: boolean;
-  /** For the log of the candidate; undefined where it was granted. */
+  /** Why the vote was refused, for the candidate's log; undefined if granted. */
   readonly refusal?: VoteRefusal;
 }
 
-/** Carries log entries, or none as a heartbeat. */
+/** Carries log entries; serves as a heartbeat if it has none. */
 export interface AppendRequest {
   readonly kind: "appendRequest";
   readonly term: number;
@@ -45,24 +53,24 @@
   readonly previousTerm: number;
   readonly entries: readonly replicaLogs.Entry[];
   readonly commitIndex: number;
-  /** Whether an entry of the leader's own term is committed. */
+  /** Whether the leader has committed an entry of its own term. */
   readonly isEstablished: boolean;
-  /** Monotonic ms of the leader's clock at sending; echoed in the reply. */
+  /** Monotonic send time on the leader's clock, in ms; echoed in the reply. */
   readonly sentAtMs: number;
 }
 
-/** Answers an append or a snapshot. */
+/** Replies to an append or a snapshot request. */
 export interface AppendReply {
   readonly kind: "appendReply";
   readonly term: number;
   readonly isMatch: boolean;
-  /** Last index known to match, or a hint where to try next. */
+  /** Last index known to match; on a mismatch, a hint for the next attempt. */
   readonly index: number;
   readonly sentAtMs: number;
   readonly identity: ReplicaIdentity;
 }
 
-/** Gives the whole state to a replica that is too far behind. */
+/** Carries the whole state to a replica whose missing entries were compacted. */
 export interface SnapshotRequest {
   readonly kind: "snapshotRequest";
   readonly term: number;
@@ -70,57 +78,59 @@
   readonly sentAtMs: number;
 }
 
-/** The state after an entry. */
+/** The state of the state machine after a log entry. */
 export interface Snapshot {
   readonly index: number;
   readonly term: number;
-  /** The machine's state in parts, none of them large. */
+  /** The state of the state machine, split into small parts. */
   readonly state: readonly unknown[];
-  /** Voters after the entry; undefined where the configuration names them. */
+  /** Voters after the entry; undefined if the configuration names them. */
   readonly voters?: readonly string[] | undefined;
 }
 
-/** A leader that has just stepped down asks a follower to lead. */
+/** Asks a follower to start an election, after the leader stepped down. */
 export interface TransferRequest {
   readonly kind: "transferRequest";
   readonly term: number;
 }
 
 /**
- * Tells a replica without a disk of before that its incarnation is not above the
- * one that the leader knows, as after a clock that was stepped back.
+ * Asks a replica that lost its disk to choose a higher incarnation, since the
+ * leader knows a newer one. This happens if the replica's clock was set back.
  */
 export interface RenewRequest {
   readonly kind: "renewRequest";
   readonly term: number;
-  /** Incarnation of the replica's former self. */
+  /** Newest incarnation of the replica that the leader knows. */
   readonly incarnation: number;
 }
 
-/** Carries a part of a snapshot; drivers join them to a snapshot request. */
+/** Carries one part of a snapshot; drivers join them into a snapshot request. */
 export interface SnapshotPart {
   readonly kind: "snapshotPart";
   readonly term: number;
-  /** Names the snapshot that it is part of. */
+  /** Id of the snapshot transfer. */
   readonly transfer: string;
-  /** Place of the part, from 0. */
+  /** Zero-based index of the part. */
   readonly part: number;
+  /** Number of parts of the snapshot. */
   readonly parts: number;
-  /** The part; none in the only message of a snapshot without parts. */
+  /** The part; empty in the only message of a snapshot without parts. */
   readonly values: readonly unknown[];
   readonly head: Omit<Snapshot, "state">;
-  /** Monotonic ms of the leader's clock at sending. */
+  /** Monotonic send time on the leader's clock, in ms. */
   readonly sentAtMs: number;
 }
 
-/** Tells how many parts of a snapshot have come, in order. */
+/** Acknowledges the parts of a snapshot that were received in order. */
 export interface SnapshotPartReply {
   readonly kind: "snapshotPartReply";
   readonly transfer: string;
+  /** Number of parts received without a gap. */
   readonly received: number;
 }
 
-/** What drivers send each other: messages of replicas, and snapshots in parts. */
+/** A message between drivers: a replica message or a part of a snapshot. */
 export type DriverMessage = Message | SnapshotPart | SnapshotPartReply;
 
 /** A message between replicas. */
--- a/src/consensus/mod.ts
+++ b/src/consensus/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Consensus of the boxes with a disk: one log, one leader a term.
+ * Raft consensus between boxes with a disk: a replicated log with at most one
+ * leader per term, pre-votes, leader leases and single-voter changes.
  *
  * @example
  * ```ts
--- a/src/consensus/replica_driver.ts
+++ b/src/consensus/replica_driver.ts
@@ -21,10 +21,10 @@
 import * as stepReplica from "./step_replica.ts";
 
 const INBOX_CAPACITY = 8_192;
-/** Between two looks whether a leader is known, in ms. */
-const LEADER_CHECK_INTERVAL_MS = 1_000;
+/** Interval between checks for a leader, in ms. */
+const LEADER_CHECK_MS = 1_000;
 
-/** Runs one replica: its disk, its messages and its timer. */
+/** Runs a replica: executes its effects and feeds it messages and timer ticks. */
 export class ReplicaDriver {
   readonly #options: replicaOptions.ReplicaDriverOptions;
   readonly #writer: durableWriters.DurableWriter;
@@ -34,11 +34,11 @@
   #state: replicaStates.ReplicaState;
   readonly #applied: appliedMachines.AppliedMachine;
   #isStopped = false;
-  #runCompletion: Promise<void> = Promise.resolve();
-  readonly #snapshotExchange: snapshotTransfers.SnapshotExchange;
+  #running: Promise<void> = Promise.resolve();
+  readonly #snapshots: snapshotTransfers.SnapshotExchange;
   readonly #compactor: logCutters.LogCutter;
-  readonly #noticeReporter: noticeTellers.NoticeTeller;
-  readonly #suspensionWatch: clocks.SuspensionWatch;
+  readonly #notices: noticeTellers.NoticeTeller;
+  readonly #suspensions: clocks.SuspensionWatch;
 
   private constructor(
     options: replicaOptions.ReplicaDriverOptions,
@@ -46,7 +46,7 @@
     state: replicaStates.ReplicaState,
   ) {
     this.#options = options;
-    this.#suspensionWatch = new clocks.SuspensionWatch(options.clock);
+    this.#suspensions = new clocks.SuspensionWatch(options.clock);
     this.#writer = new durableWriters.DurableWriter(log, options.clock);
     this.#state = state;
     this.#compactor = new logCutters.LogCutter({
@@ -54,7 +54,7 @@
       writer: this.#writer,
       snapshotIndex: state.log.snapshotIndex,
     });
-    this.#snapshotExchange = new snapshotTransfers.SnapshotExchange({
+    this.#snapshots = new snapshotTransfers.SnapshotExchange({
       clock: options.clock,
       send: options.send,
       createSnapshot: () => this.#applied.createSnapshot(this.#state.log),
@@ -68,7 +68,7 @@
       this.#proposals,
       state.log,
     );
-    this.#noticeReporter = new noticeTellers.NoticeTeller(options, state);
+    this.#notices = new noticeTellers.NoticeTeller(options, state);
   }
 
   /**
@@ -86,37 +86,36 @@
   }
 
   /**
-   * Tells whether this replica may act as leader now. Its machine must hold
-   * what was accepted before its term: what is committed is applied only after
-   * the round's write, which a stalled disk holds up for seconds.
+   * Reports whether this replica may act as leader now. All entries of earlier
+   * terms must be applied, too: a slow disk delays applying committed entries.
    */
   hasAuthority(): boolean {
     const { role } = this.#state;
     if (role.kind !== "leader") return false;
     if (this.getAppliedIndex() < role.termStartIndex) return false;
     const nowMs = this.#options.clock.getMonotonicMs();
-    const resumedAtMs = this.#suspensionWatch.getWokeAtMs();
+    const resumedAtMs = this.#suspensions.getWokeAtMs();
     return leaderLeases.hasAuthority(this.#state, nowMs, resumedAtMs);
   }
 
-  /** Monotonic ms until which this replica surely leads. */
+  /** Returns the monotonic time at which the leader's lease expires, in ms. */
   getLeaseExpiryMs(): number {
     const nowMs = this.#options.clock.getMonotonicMs();
-    const resumedAtMs = this.#suspensionWatch.getWokeAtMs();
+    const resumedAtMs = this.#suspensions.getWokeAtMs();
     return leaderLeases.getLeaseExpiryMs(this.#state, nowMs, resumedAtMs);
   }
 
-  /** The term fences orders of the leader. */
+  /** Returns the current term, used as a fencing token. */
   getTerm(): number {
     return this.#state.term;
   }
 
-  /** Index of the last entry that the machine holds. */
+  /** Returns the index of the last applied entry. */
   getAppliedIndex(): number {
     return this.#applied.getIndex();
   }
 
-  /** Id of the leader, as far as this replica knows. */
+  /** Returns the id of the leader, or undefined if it is unknown. */
   getLeader(): string | undefined {
     return replicaStatuses.getLeader(this.#state);
   }
@@ -126,38 +125,30 @@
     return replicaStatuses.describeReplica(this.#state, nowMs);
   }
 
-  /** What explains that this replica leads, or that it does not. */
+  /** Describes why this replica is, or isn't, an active leader. */
   getHealth(): replicaStatuses.ReplicaHealth {
     const writingMs = this.#writer.getWritingMs();
-    return this.#noticeReporter.describe(
-      this.#state,
-      this.hasAuthority(),
-      writingMs,
-    );
+    return this.#notices.describe(this.#state, this.hasAuthority(), writingMs);
   }
 
-  /** Ids of the voters, as this replica's log names them. */
+  /** Lists the ids of the voters according to this replica's log. */
   listVoters(): readonly string[] {
     return replicaStates.listVoters(this.#state);
   }
 
-  /** Names the replicas to feed beside the voters, should this replica lead. */
+  /** Sets the replicas that receive the log without a vote from this leader. */
   setLearners(learners: readonly string[]): void {
     this.#enqueue({ kind: "setLearners", learners });
   }
 
-  /** Asks to add or remove one voter; see `listVoters` for what came of it. */
+  /** Requests to add or remove one voter; `listVoters` shows the outcome. */
   changeVoters(voters: readonly string[]): void {
     this.#enqueue({ kind: "changeVoters", voters });
   }
 
-  /** Gives a message from another replica; dropped when the inbox is full. */
+  /** Accepts a message from another replica; drops it if the inbox is full. */
   receive(from: string, message: messages.DriverMessage): void {
-    const complete = this.#snapshotExchange.take(
-      from,
-      message,
-      this.#state.term,
-    );
+    const complete = this.#snapshots.take(from, message, this.#state.term);
     if (complete === undefined) return;
     this.#enqueue({ kind: "message", from, message: complete });
   }
@@ -167,8 +158,8 @@
    *
    * @param command The command.
    * @param timeoutMs How long to wait for it to be committed.
-   * @returns The machine's answer; `notLeader` if it surely was not accepted,
-   * `changeUnknown` if that is not known.
+   * @returns The state machine's result; `notLeader` or `overloaded` if the
+   * command wasn't accepted, `changeUnknown` if its outcome is unknown.
    */
   propose(
     command: unknown,
@@ -182,52 +173,42 @@
   }
 
   /**
-   * Hands leadership to a follower that has every entry, if there is one.
+   * Transfers leadership to a follower that holds every entry, if there is one.
    *
-   * @param to Id of the only follower that may take it; any unless given.
+   * @param to Id of the follower; any by default.
    */
   transferLeadership(to?: string): void {
     this.#enqueue({ kind: "transfer", to });
   }
 
-  /** Stops once the write under way has ended; what was synced stays. */
+  /** Stops the replica after the current write. */
   async stop(): Promise<void> {
     this.#isStopped = true;
     this.#timer.stop();
     this.#inbox.close();
     this.#writer.stop();
-    await this.#runCompletion;
+    await this.#running;
     await this.#compactor.settle();
     await this.#writer.close();
   }
 
-  /** Gives an event to the next round; dropped when the inbox is full. */
+  /** Queues an event for the next batch; drops it if the inbox is full. */
   #enqueue(event: replicaStates.ReplicaEvent): void {
     this.#inbox.offer({ kind: "replica", event });
   }
 
   #start(): void {
-    this.#runCompletion = csp.runProcess(
-      () => this.#run(),
-      this.#options.onFatal,
-    );
+    this.#running = csp.runProcess(() => this.#run(), this.#options.onFatal);
     this.#scheduleTick();
     this.#checkLeader();
   }
 
-  /** Looks for a leader, also while a round waits for its write. */
+  /** Checks at intervals for a leader, even while a write is in progress. */
   #checkLeader(): void {
     if (this.#isStopped) return;
     const writingMs = this.#writer.getWritingMs();
-    this.#noticeReporter.observeLeader(
-      this.#state,
-      this.hasAuthority(),
-      writingMs,
-    );
-    this.#options.clock.startTimer(
-      LEADER_CHECK_INTERVAL_MS,
-      () => this.#checkLeader(),
-    );
+    this.#notices.observeLeader(this.#state, this.hasAuthority(), writingMs);
+    this.#options.clock.startTimer(LEADER_CHECK_MS, () => this.#checkLeader());
   }
 
   #scheduleTick(): void {
@@ -249,10 +230,10 @@
       for (const effect of effects) this.#executeEffect(effect);
       this.#state = yield* this.#compactor.cut(
         this.#state,
-        this.#snapshotExchange.findNeededIndex(this.#state),
+        this.#snapshots.findNeededIndex(this.#state),
       );
       this.#compactor.startDraft(this.#applied, this.#state.log);
-      this.#noticeReporter.observe(this.#state, this.hasAuthority());
+      this.#notices.observe(this.#state, this.hasAuthority());
       this.#scheduleTick();
     }
   }
@@ -261,7 +242,7 @@
     batch: readonly driverEvents.DriverEvent[],
   ): readonly replicaStates.Effect[] {
     const proposals = batch.filter((event) => event.kind === "proposal");
-    if (this.#state.role.kind !== "leader") this.#snapshotExchange.drop();
+    if (this.#state.role.kind !== "leader") this.#snapshots.drop();
     const effects = batch.flatMap((event) =>
       event.kind === "replica" ? this.#step(event.event) : []
     );
@@ -289,7 +270,7 @@
   }
 
   #step(event: replicaStates.ReplicaEvent): readonly replicaStates.Effect[] {
-    this.#noticeReporter.noteEvent(this.#state, event);
+    this.#notices.noteEvent(this.#state, event);
     const nowMs = this.#options.clock.getMonotonicMs();
     const transition = stepReplica.stepReplica(this.#state, event, nowMs);
     this.#state = transition.state;
@@ -300,22 +281,20 @@
     const restoreIndex = effects.findLastIndex((effect) =>
       effect.kind === "restore"
     );
-    const effectsAfter = effects.slice(restoreIndex + 1);
+    const rest = effects.slice(restoreIndex + 1);
     const restoreEffect = effects[restoreIndex];
     if (restoreEffect?.kind === "restore") {
-      const isAdmittedLater = effectsAfter.some(({ kind }) =>
-        kind === "saveIdentity"
-      );
+      const isAdmittedLater = rest.some(({ kind }) => kind === "saveIdentity");
       yield* this.#persistSnapshot(restoreEffect.snapshot, isAdmittedLater);
     }
-    const records = effectsAfter.flatMap(savedRecords.toRecords);
+    const records = rest.flatMap(savedRecords.toRecords);
     if (records.length > 0) yield* this.#writer.append(records);
   }
 
   /**
-   * Writes a snapshot in the place of the log. Where the replica is admitted by
-   * what follows it, the disk must not say so before it holds that too: with power
-   * lost in between, it would vote away what its former self vouched for.
+   * Replaces the log with a snapshot. If the same batch admits the replica, its
+   * identity is saved as not admitted here: a power failure before the remaining
+   * writes would otherwise leave a voter that lacks committed entries.
    */
   *#persistSnapshot(
     snapshot: messages.Snapshot,
@@ -348,7 +327,7 @@
       case "send":
         return this.#options.send(effect.to, effect.message);
       case "sendSnapshot":
-        return this.#snapshotExchange.send(effect.to, this.#state.term);
+        return this.#snapshots.send(effect.to, this.#state.term);
       case "commit":
         for (const entry of effect.entries) this.#applied.apply(entry);
         this.#compactor.add(effect.entries);
--- a/src/consensus/replica_log.ts
+++ b/src/consensus/replica_log.ts
@@ -8,16 +8,15 @@
   readonly command: unknown;
 }
 
-/** The entries after the last snapshot. */
+/** The log entries after the last snapshot. */
 export interface ReplicaLog {
   readonly snapshotIndex: number;
   readonly snapshotTerm: number;
   readonly entries: readonly Entry[];
-  /** Replica sets that the snapshot and the entries bring, oldest first. */
+  /** Replica sets named by the snapshot and the entries, oldest first. */
   readonly replicaSets: readonly replicaSets.ReplicaSet[];
 }
 
-/** An empty log. */
 export const EMPTY_LOG: ReplicaLog = {
   snapshotIndex: 0,
   snapshotTerm: 0,
@@ -26,10 +25,10 @@
 };
 
 /**
- * Makes the log that begins with a snapshot.
+ * Creates a log without entries that follows a snapshot.
  *
  * @param snapshot The snapshot.
- * @returns A log without entries.
+ * @returns The log.
  */
 export function createLog(snapshot: messages.Snapshot): ReplicaLog {
   const { index, term, voters } = snapshot;
@@ -42,21 +41,21 @@
 }
 
 /**
- * Gives the index of the last entry.
+ * Returns the index of the last entry.
  *
  * @param log The log.
- * @returns The index; 0 for an empty log.
+ * @returns The index; 0 for an empty log without a snapshot.
  */
 export function getLastIndex(log: ReplicaLog): number {
   return log.snapshotIndex + log.entries.length;
 }
 
 /**
- * Gives the term of an entry.
+ * Returns the term of an entry.
  *
  * @param log The log.
  * @param index The entry's index.
- * @returns The term, or undefined when the log does not hold it.
+ * @returns The term, or undefined if the entry is missing or was compacted.
  */
 export function getTermAt(log: ReplicaLog, index: number): number | undefined {
   if (index === log.snapshotIndex) return log.snapshotTerm;
@@ -64,11 +63,11 @@
 }
 
 /**
- * Gives entries from an index on.
+ * Returns entries from an index on.
  *
  * @param log The log.
  * @param fromIndex First index.
- * @param limit How many at most.
+ * @param limit Maximum number of entries.
  * @returns The entries.
  */
 export function getEntries(
@@ -81,7 +80,7 @@
 }
 
 /**
- * Adds entries, dropping what stood at their indexes and after.
+ * Appends entries, replacing existing ones from the first new index on.
  *
  * @param log The log.
  * @param entries Consecutive entries; the first at most one past the end.
@@ -106,11 +105,11 @@
 }
 
 /**
- * Drops the entries up to an index that a snapshot now covers.
+ * Removes the entries up to an index, which a snapshot covers.
  *
  * @param log The log.
- * @param index Last index of the snapshot.
- * @returns The shorter log.
+ * @param index Last index to remove.
+ * @returns The compacted log; the same log if it doesn't hold the index.
  */
 export function compactLog(log: ReplicaLog, index: number): ReplicaLog {
   const snapshotTerm = getTermAt(log, index);
--- a/src/consensus/replica_notice.ts
+++ b/src/consensus/replica_notice.ts
@@ -2,39 +2,43 @@
 import type * as replicaStatuses from "./replica_status.ts";
 import type * as replicaStates from "./replica_state.ts";
 
-/** A voter and how long it has not answered, in ms. */
+/** A voter and the time since it last replied to the leader. */
 export interface SilentVoter {
   readonly id: string;
+  /** Age of the last acknowledged request, in ms; infinite if there is none. */
   readonly silentMs: number;
-  /** Entries that it lacks. */
+  /** Number of log entries that it lacks. */
   readonly lag: number;
   readonly isAdmitted: boolean;
 }
 
-/** A follower that does not count in a quorum, as its leader sees it. */
+/** A follower that doesn't count toward a quorum, as its leader sees it. */
 export type UnadmittedFollower =
-  /** It has not answered since this leader began to feed it. */
+  /** It has not replied to this leader yet. */
   | {
     readonly kind: "unheard";
     readonly id: string;
     readonly isVoter: boolean;
+    /** Time since the leader first sent to it, in ms. */
     readonly sinceMs: number;
   }
+  /** It is catching up. */
   | {
     readonly kind: "fed";
     readonly id: string;
     readonly isVoter: boolean;
     readonly incarnation: number;
-    /** Entries that it lacks. */
+    /** Number of log entries that it lacks. */
     readonly lag: number;
-    /** Entries that it confirmed since the last notice. */
+    /** Entries that it acknowledged since the last notice. */
     readonly confirmed: number;
+    /** Age of the last acknowledged request, in ms. */
     readonly silentMs: number;
-    /** Time since this leader knew that it did not count, in ms. */
+    /** Time for which it has been catching up with this leader, in ms. */
     readonly fedMs: number;
   };
 
-/** What a voter answered last to a replica that asked for its vote. */
+/** A voter's last reply to a vote request. */
 export type VoteAnswer =
   | { readonly kind: "none" }
   | {
@@ -45,20 +49,20 @@
   | {
     readonly kind: "refused";
     readonly isPreVote: boolean;
-    /** Undefined where the voter gave none. */
+    /** Undefined if the voter gave none. */
     readonly reason: messages.VoteRefusal | undefined;
     readonly ageMs: number;
   };
 
-/** A voter and its last answer. */
+/** A voter and its last reply to a vote request. */
 export interface PolledVoter {
   readonly id: string;
   readonly answer: VoteAnswer;
 }
 
-/** What a replica does or learns that explains its group afterwards. */
+/** An event of a replica, reported for the operator's log. */
 export type ReplicaNotice =
-  /** What the disk held when the replica was opened. */
+  /** The replica was opened; the fields describe what its disk held. */
   | {
     readonly kind: "opened";
     readonly id: string;
@@ -66,14 +70,14 @@
     readonly term: number;
     readonly votedFor: string | undefined;
     readonly set: replicaStatuses.VoterSet;
-    /** Last entry of the snapshot; all up to it is committed. */
+    /** Last entry of the snapshot; all entries up to it are committed. */
     readonly snapshotIndex: number;
     readonly lastIndex: number;
     readonly lastTerm: number;
-    /** Bytes of a torn write that were cut off. */
+    /** Bytes of a torn write that were truncated. */
     readonly tornBytes: number;
   }
-  /** This replica counts in a quorum from now on. */
+  /** This replica has caught up and counts toward a quorum from now on. */
   | {
     readonly kind: "admitted";
     readonly incarnation: number;
@@ -83,7 +87,7 @@
     /** Time since the replica was opened, in ms. */
     readonly openedMs: number;
   }
-  /** This leader learned that a follower which it fed counts. */
+  /** A follower has caught up with this leader and counts toward a quorum. */
   | {
     readonly kind: "followerAdmitted";
     readonly id: string;
@@ -91,42 +95,44 @@
     readonly term: number;
     /** Last entry that the follower is known to hold. */
     readonly index: number;
-    /** Time since this leader knew that it did not count, in ms. */
+    /** Time for which it was catching up with this leader, in ms. */
     readonly fedMs: number;
   }
+  /** The role, the term or the known leader changed. */
   | {
     readonly kind: "role";
     readonly role: replicaStates.Role["kind"];
     readonly term: number;
     readonly leader: string | undefined;
   }
+  /** This replica gained or lost the authority to act as leader. */
   | {
     readonly kind: "authority";
     readonly hasAuthority: boolean;
     readonly term: number;
     readonly lastIndex: number;
-    /** Voters, the most silent ones first; they explain a loss. */
+    /** The other voters by the age of their last reply, oldest first. */
     readonly silent: readonly SilentVoter[];
   }
-  /** Another set holds at this replica, or it learned that its set is agreed. */
+  /** The voter set of this replica changed, or its commit became known. */
   | {
     readonly kind: "voters";
     readonly set: replicaStatuses.VoterSet;
     readonly term: number;
   }
-  /** Told at intervals while a leader has followers that do not count. */
+  /** Reported at intervals while followers of this leader are not admitted. */
   | {
     readonly kind: "feeding";
     readonly term: number;
     readonly lastIndex: number;
     readonly followers: readonly UnadmittedFollower[];
   }
-  /** Told at intervals while a replica knows no leader that may act. */
+  /** Reported at intervals while the replica knows no active leader. */
   | {
     readonly kind: "leaderless";
     readonly role: replicaStates.Role["kind"];
     readonly term: number;
-    /** Time since a leader was known, in ms. */
+    /** Time since a leader was last known, in ms. */
     readonly sinceMs: number;
     readonly isAdmitted: boolean;
     readonly lastIndex: number;
@@ -134,30 +140,33 @@
     readonly commitIndex: number;
     readonly set: replicaStatuses.VoterSet;
     readonly asked: readonly PolledVoter[];
-    /** How long the write under way has lasted, in ms; 0 for none. */
+    /** Duration of the current write so far, in ms; 0 for none. */
     readonly writingMs: number;
   }
+  /** A voter refused its vote to this replica. */
   | {
     readonly kind: "voteRefused";
     readonly by: string;
     readonly term: number;
     readonly reason: messages.VoteRefusal;
   }
+  /** This leader began to send a snapshot. */
   | {
     readonly kind: "snapshotSent";
     readonly to: string;
     readonly index: number;
     readonly parts: number;
-    /** Time for the state to be gathered, in ms. */
+    /** Time to create the snapshot, in ms. */
     readonly tookMs: number;
   }
+  /** This replica stored a snapshot received from the leader. */
   | {
     readonly kind: "snapshotTaken";
     readonly index: number;
     readonly parts: number;
-    /** Time for it to be written and read in, in ms. */
+    /** Time to write the snapshot to disk, in ms. */
     readonly tookMs: number;
   };
 
-/** Takes notices; it must not wait. */
+/** Handles notices; must not block. */
 export type NoticeHandler = (notice: ReplicaNotice) => void;
--- a/src/consensus/replica_options.ts
+++ b/src/consensus/replica_options.ts
@@ -4,18 +4,18 @@
 import type * as notices from "./replica_notice.ts";
 import type * as replicaStates from "./replica_state.ts";
 
-/** What a driver needs. */
+/** Options of a replica driver. */
 export interface ReplicaDriverOptions {
   readonly config: replicaStates.ReplicaConfig;
   readonly clock: clocks.Clock;
   readonly dataFolder: string;
   readonly stateMachine: stateMachines.StateMachine;
-  /** Log entries after which a snapshot is taken. */
+  /** Number of log entries after which a snapshot is taken. */
   readonly snapshotEntries: number;
-  /** Sends a message; it may be lost. */
+  /** Sends a message to a replica; delivery isn't guaranteed. */
   readonly send: (to: string, message: messages.DriverMessage) => void;
-  /** Told of what explains the group afterwards. */
+  /** Receives notices for the log. */
   readonly onNotice?: notices.NoticeHandler;
-  /** Told of a failed write; the process must end. */
+  /** Called on an unexpected error, such as a failed write; must end the process. */
   readonly onFatal: (error: unknown) => void;
 }
--- a/src/consensus/replica_set.ts
+++ b/src/consensus/replica_set.ts
@@ -1,22 +1,22 @@
 import type * as replicaLogs from "./replica_log.ts";
 
-/** A log entry's command that changes who votes; it holds once it is appended. */
+/** A command that changes the voters; takes effect when it is appended. */
 export interface ReplicaSetCommand {
   readonly kind: "replicaSet";
   readonly voters: readonly string[];
 }
 
-/** The voters from one log entry on. */
+/** The voters in force from a log entry on. */
 export interface ReplicaSet {
   readonly index: number;
   readonly voters: readonly string[];
 }
 
 /**
- * Reads the replica set that an entry brings.
+ * Parses the replica set of a log entry.
  *
  * @param entry The entry.
- * @returns The set, or undefined for any other command.
+ * @returns The set, or undefined if the entry holds another command.
  */
 export function parseReplicaSet(
   entry: replicaLogs.Entry,
@@ -29,11 +29,12 @@
 }
 
 /**
- * Gives the replica set in force after an entry.
+ * Finds the replica set in force after an entry.
  *
  * @param log The log.
- * @param index The entry's index.
- * @returns The newest set at or before the index, or undefined.
+ * @param index The entry's index; the end of the log by default.
+ * @returns The newest set at or before the index, or undefined if the log names
+ * none.
  */
 export function findReplicaSet(
   log: replicaLogs.ReplicaLog,
@@ -43,12 +44,12 @@
 }
 
 /**
- * Tells whether two sets differ by at most one replica, so that each quorum of
- * one meets each quorum of the other.
+ * Reports whether two voter sets differ by at most one replica, so that each
+ * quorum of one overlaps with each quorum of the other.
  *
  * @param before Voters before the change.
- * @param after Voters after it.
- * @returns Whether the change is a safe single step.
+ * @param after Voters after the change.
+ * @returns Whether the change is safe without joint consensus.
  */
 export function isSingleVoterChange(
   before: readonly string[],
--- a/src/consensus/replica_state.ts
+++ b/src/consensus/replica_state.ts
@@ -3,46 +3,48 @@
 import * as replicaSets from "./replica_set.ts";
 
 /**
- * Entries by which a replica may lag and still be sent each new one at once; it
- * lacks what is under way, no more. One that lags more is fed first.
+ * Maximum lag, in entries, at which a replica counts as caught up: it lacks only
+ * entries that are in flight.
  */
 export const MAX_CAUGHT_UP_LAG_ENTRIES = 96;
 
-/** What does not change while a replica runs. */
+/** Configuration of a replica; constant while it runs. */
 export interface ReplicaConfig {
   readonly id: string;
-  /** Ids of the voting replicas until the log names others. */
+  /** Ids of the voters until an entry of the log names others. */
   readonly voters: readonly string[];
-  /** Shortest silence after which a replica asks to lead, in ms. */
+  /** Minimum time without a leader's message before an election, in ms. */
   readonly electionTimeoutMs: number;
   /** Time between heartbeats, in ms. */
   readonly heartbeatMs: number;
-  /** Most entries in one message. */
+  /** Maximum number of entries in one append request. */
   readonly maxBatchEntries: number;
   /** Seed of the election delays. */
   readonly seed: number;
 }
 
-/** What a leader knows of one other replica. */
+/** What a leader knows of a follower. */
 export interface Progress {
+  /** Index of the next entry to send. */
   readonly nextIndex: number;
+  /** Last entry known to be replicated to it. */
   readonly matchIndex: number;
-  /** Leader's clock when it sent the last message that was answered, in ms. */
+  /** Send time of the newest request that it acknowledged, in ms. */
   readonly lastAckedSentAtMs: number;
-  /** Leader's clock when its last answer came, in ms. */
+  /** Time of its last reply, in ms. */
   readonly lastReplyAtMs?: number;
-  /** Leader's clock when it last went back in what it sends, in ms. */
+  /** Time at which `nextIndex` was last moved back, in ms. */
   readonly rewoundAtMs?: number;
-  /** Leader's clock when it first answered, or last confirmed more, in ms. */
+  /** Time at which `matchIndex` last advanced, or of the first reply, in ms. */
   readonly lastProgressAtMs?: number;
-  /** Entries of the next message to it while it is fed. */
+  /** Batch size of its next append request while it catches up. */
   readonly catchUpBatchEntries?: number;
-  /** Entries that it lacked when it last confirmed more while it was fed. */
+  /** Entries that it lacked when `matchIndex` last advanced during catch-up. */
   readonly catchUpLagEntries?: number;
   readonly identity: messages.ReplicaIdentity;
 }
 
-/** The part that a replica plays. */
+/** The Raft role of a replica. */
 export type Role =
   | { readonly kind: "follower"; readonly leader?: string }
   | { readonly kind: "preCandidate"; readonly votes: ReadonlySet<string> }
@@ -50,56 +52,61 @@
   | {
     readonly kind: "leader";
     readonly progress: ReadonlyMap<string, Progress>;
+    /** When to send the next heartbeat, in ms. */
     readonly nextHeartbeatAtMs: number;
-    /** Index of the first entry of its own term. */
+    /** Index of the first entry of the leader's term. */
     readonly termStartIndex: number;
+    /** When the replica became leader, in ms. */
     readonly leaderSinceMs: number;
-    /** Until when nothing is proposed, so that a successor catches up, in ms. */
+    /** Until when proposals are refused so that a successor catches up, in ms. */
     readonly handoverUntilMs?: number;
   };
 
-/** The whole state of a replica. */
+/** The state of a replica; times are monotonic. */
 export interface ReplicaState {
   readonly config: ReplicaConfig;
   readonly term: number;
   readonly votedFor: string | undefined;
   readonly role: Role;
   readonly identity: messages.ReplicaIdentity;
-  /** Replicas that a leader feeds though they do not vote. */
+  /** Replicas that receive the log without a vote. */
   readonly learners: readonly string[];
   readonly log: replicaLogs.ReplicaLog;
   readonly commitIndex: number;
-  /** When to ask to lead unless a leader is heard, in ms. */
+  /** When to start an election unless a leader's message arrives, in ms. */
   readonly electionAtMs: number;
-  /** When a leader was last heard, in ms; a vote is refused soon after. */
+  /** Time of the last message from a leader, in ms; blocks votes for a while. */
   readonly leaderContactAtMs: number;
-  /** How late the leader of a term is heard at the worst lately. */
+  /** Longest recent gap between messages of the leader. */
   readonly heartbeatGap: HeartbeatGap;
-  /** Election delays drawn so far. */
+  /** Number of election delays drawn so far from the seeded generator. */
   readonly electionDelayCount: number;
-  /** Leader of the term in which this replica was started, where its log tells. */
+  /** Leader of the saved term; undefined if the log doesn't name it. */
   readonly formerLeader: FormerLeader | undefined;
 }
 
-/** How late a leader is heard; it counts for its term only. */
+/** Longest recent gap between messages of the leader of one term. */
 export interface HeartbeatGap {
   readonly term: number;
-  /** Longest time between two of its messages, less what has passed since, in ms. */
+  /** Gap, in ms; decays with each further message. */
   readonly gapMs: number;
 }
 
-/** The leader that a replica followed when it stopped, as its log tells. */
+/** The leader of a replica's saved term, as named by its log. */
 export interface FormerLeader {
   readonly id: string;
   readonly term: number;
-  /** Until when the former leader itself hurries to lead again, in ms. */
+  /**
+   * Until when a restarted leader uses a shortened election delay to regain
+   * leadership, in ms.
+   */
   readonly earlyElectionUntilMs: number;
 }
 
-/** What a replica is told. */
+/** An input to a replica. */
 export type ReplicaEvent =
   | { readonly kind: "tick" }
-  /** Hands leadership over, to a certain follower where one is named. */
+  /** Transfers leadership, to any follower unless one is named. */
   | { readonly kind: "transfer"; readonly to?: string | undefined }
   | {
     readonly kind: "message";
@@ -107,12 +114,12 @@
     readonly message: messages.Message;
   }
   | { readonly kind: "propose"; readonly commands: readonly unknown[] }
-  /** Names the replicas to feed beside the voters. */
+  /** Sets the replicas that receive the log without a vote. */
   | { readonly kind: "setLearners"; readonly learners: readonly string[] }
-  /** Asks a leader to add or remove one voter; refused without effects. */
+  /** Adds or removes one voter; ignored if the change isn't allowed now. */
   | { readonly kind: "changeVoters"; readonly voters: readonly string[] };
 
-/** What a replica asks its driver to do, in order; saves come before sends. */
+/** An action for the driver; effects are executed in order, saves before sends. */
 export type Effect =
   | {
     readonly kind: "saveVote";
@@ -136,14 +143,15 @@
   | { readonly kind: "sendSnapshot"; readonly to: string }
   | { readonly kind: "commit"; readonly entries: readonly replicaLogs.Entry[] };
 
-/** A new state and what follows from the change. */
+/** A new state and the effects of the change. */
 export interface Transition {
   readonly state: ReplicaState;
   readonly effects: readonly Effect[];
 }
 
 /**
- * Lists the voters, as the newest entry of the log that names them says.
+ * Lists the voters named by the newest replica-set entry of the log, committed
+ * or not, or else by the configuration.
  *
  * @param state The replica.
  * @returns Their ids.
@@ -153,7 +161,7 @@
 }
 
 /**
- * Tells whether a replica votes and may lead.
+ * Reports whether a replica may vote and lead.
  *
  * @param state The replica.
  * @returns Whether it is admitted and among the voters.
@@ -164,7 +172,7 @@
 }
 
 /**
- * Says how many replicas make a majority.
+ * Returns the number of voters that form a majority.
  *
  * @param state The replica.
  * @returns The size of a quorum.
@@ -174,10 +182,11 @@
 }
 
 /**
- * Lists what a leader knows of the followers that count in a quorum.
+ * Lists the progress of the followers that count toward a quorum.
  *
  * @param state The leader.
- * @returns Progress of the admitted followers that vote.
+ * @returns Progress of the admitted voters except the leader; empty for another
+ * role.
  */
 export function listAdmittedProgress(state: ReplicaState): readonly Progress[] {
   if (state.role.kind !== "leader") return [];
@@ -190,7 +199,7 @@
 }
 
 /**
- * Lists the other voters.
+ * Lists the voters except this replica.
  *
  * @param state The replica.
  * @returns Their ids.
@@ -200,7 +209,8 @@
 }
 
 /**
- * Lists the replicas that a leader feeds: the other voters and the learners.
+ * Lists the replicas that a leader replicates to: the other voters and the
+ * learners.
  *
  * @param state The replica.
  * @returns Their ids, each once.
@@ -211,11 +221,11 @@
 }
 
 /**
- * Drops the entries up to an index, which a snapshot covers.
+ * Removes the log entries up to an index, which a snapshot covers.
  *
  * @param state The replica.
- * @param index Last entry to drop; none are dropped where that was done before.
- * @returns The replica with a shorter log.
+ * @param index Last entry to remove; nothing changes if it was removed before.
+ * @returns The replica with the shorter log.
  */
 export function trimLog(state: ReplicaState, index: number): ReplicaState {
   const { log } = state;
@@ -223,14 +233,14 @@
   return { ...state, log: replicaLogs.compactLog(log, last) };
 }
 
-/** Whether a leader holds back commands to hand its lead over. */
+/** Reports whether a leader refuses proposals to transfer its leadership. */
 export function isHandingOver(state: ReplicaState, nowMs: number): boolean {
   const { role } = state;
   return role.kind === "leader" && role.handoverUntilMs !== undefined &&
     nowMs < role.handoverUntilMs;
 }
 
-/** What a leader takes for known of a replica that it has not heard. */
+/** Creates the progress of a follower that has not replied yet. */
 export function createProgress(nextIndex: number): Progress {
   return {
     nextIndex,
--- a/src/consensus/replica_status.ts
+++ b/src/consensus/replica_status.ts
@@ -2,10 +2,10 @@
 import * as replicaSets from "./replica_set.ts";
 import * as replicaStates from "./replica_state.ts";
 
-/** Silence of a follower up to which it counts as present, in ms. */
+/** Maximum age of the last acknowledged request of a present voter, in ms. */
 const PRESENCE_TIMEOUT_MS = 1_000;
 
-/** What others may know of a replica. */
+/** Status of a replica, as shown to operators and other boxes. */
 export interface ReplicaStatus {
   readonly role: replicaStates.ReplicaState["role"]["kind"];
   readonly term: number;
@@ -16,59 +16,61 @@
   readonly voterSet: VoterSet;
 }
 
-/** How far a follower is, as its leader knows. */
+/** Replication status of a follower, as known to its leader. */
 export interface FollowerStatus {
   readonly id: string;
+  /** Last entry known to be replicated to it. */
   readonly matchIndex: number;
-  /** Time since the last answered message was sent, in ms. */
+  /** Age of the last acknowledged request, in ms. */
   readonly silentMs: number;
   /** False for a new replica that has not caught up. */
   readonly isAdmitted: boolean;
 }
 
-/** What explains that a replica leads, or that it does not. */
+/** Why a replica is, or isn't, an active leader. */
 export interface ReplicaHealth {
   readonly role: replicaStates.Role["kind"];
   readonly term: number;
   readonly leader: string | undefined;
-  /** Whether this replica may act as leader now. */
+  /** Whether the replica may act as leader now. */
   readonly hasAuthority: boolean;
   readonly isAdmitted: boolean;
-  /** Whether it is among the voters that its log names. */
+  /** Whether the replica is one of the voters in its log. */
   readonly isInSet: boolean;
   readonly set: VoterSet;
   readonly lastIndex: number;
-  /** Time since a leader that may act was known, in ms. */
+  /** Time since an active leader was last known, in ms. */
   readonly leaderlessMs: number;
-  /** How long the write under way has lasted, in ms; 0 for none. */
+  /** Duration of the current write so far, in ms; 0 for none. */
   readonly writingMs: number;
-  /** What a leader knows of its followers; undefined without the lead. */
+  /** Health of the followers; undefined unless the replica is the leader. */
   readonly followers: FollowersHealth | undefined;
 }
 
-/** What a leader knows of its followers together. */
+/** Summary of a leader's followers. */
 export interface FollowersHealth {
-  /** Voters that answered lately and count in a quorum, the leader among them. */
+  /** Admitted voters that replied recently, including the leader. */
   readonly presentVoters: number;
+  /** Number of voters that form a majority. */
   readonly quorum: number;
-  /** How long the follower that is fed longest has not counted, in ms. */
+  /** Longest time for which a follower has been catching up, in ms. */
   readonly fedMs: number;
 }
 
-/** Who votes, as the log of one replica says. */
+/** The voters according to the log of one replica. */
 export interface VoterSet {
   readonly voters: readonly string[];
-  /** Index of the entry that names them; 0 where none does. */
+  /** Index of the entry that names them; 0 if none does. */
   readonly index: number;
   /** Whether the replica knows that entry to be committed. */
   readonly isCommitted: boolean;
 }
 
 /**
- * Tells who votes as a replica's log says, and since which entry.
+ * Describes the voter set in force for a replica.
  *
  * @param state The replica.
- * @returns The set in force for this replica.
+ * @returns The voters and the entry that names them.
  */
 export function describeVoterSet(
   state: replicaStates.ReplicaState,
@@ -82,10 +84,10 @@
 }
 
 /**
- * Gives the id of the leader, as far as a replica knows.
+ * Returns the id of the leader that a replica knows.
  *
  * @param state The replica.
- * @returns The id, or undefined.
+ * @returns The id, or undefined if none is known.
  */
 export function getLeader(
   state: replicaStates.ReplicaState,
@@ -130,18 +132,18 @@
   };
 }
 
-/** What a replica's state alone does not tell of its health. */
+/** Health measurements that aren't part of the replica's state. */
 export type HealthTimings =
   & Pick<ReplicaHealth, "hasAuthority" | "leaderlessMs" | "writingMs">
   & Pick<FollowersHealth, "fedMs">;
 
 /**
- * Describes why a replica leads, or why it does not.
+ * Describes why a replica is, or isn't, an active leader.
  *
  * @param state The replica.
- * @param timings What was measured beside the state.
+ * @param timings Measurements outside the state.
  * @param nowMs Monotonic time, in ms.
- * @returns What explains it.
+ * @returns The health of the replica.
  */
 export function describeHealth(
   state: replicaStates.ReplicaState,
@@ -170,7 +172,7 @@
   };
 }
 
-/** Counts the voters that a leader may count on, itself among them. */
+/** Counts the admitted voters that replied recently, including the leader. */
 function countPresentVoters(
   state: replicaStates.ReplicaState,
   nowMs: number,
--- a/src/consensus/state_machine.ts
+++ b/src/consensus/state_machine.ts
@@ -1,12 +1,12 @@
-/** What the log is applied to. */
+/** A deterministic state machine that committed log entries are applied to. */
 export interface StateMachine {
-  /** Applies a committed command and gives its answer. */
+  /** Applies a committed command and returns the result for its proposer. */
   apply(command: unknown): unknown;
   /**
-   * Gives the state as plain JSON in parts, none of them large. What it gives
-   * must not change when later commands are applied.
+   * Returns the state as JSON values, split into small parts. The returned
+   * values must not change when later commands are applied.
    */
   save(): readonly unknown[];
-  /** Replaces the state by what `save` gave. */
+  /** Replaces the state with parts returned by `save`. */
   restore(parts: readonly unknown[]): void;
 }
--- a/src/consensus/step_replica.ts
+++ b/src/consensus/step_replica.ts
@@ -10,7 +10,7 @@
 import * as replicaLogs from "./replica_log.ts";
 import * as replicaStates from "./replica_state.ts";
 
-/** What a replica finds on its disk. */
+/** The persistent state of a replica. */
 export interface SavedReplica {
   readonly term: number;
   readonly votedFor: string | undefined;
@@ -18,7 +18,7 @@
   readonly log: replicaLogs.ReplicaLog;
 }
 
-/** What a replica finds in a folder that was made for a first start. */
+/** The state of a replica in a newly initialized data folder. */
 export const EMPTY_REPLICA: SavedReplica = {
   term: 0,
   votedFor: undefined,
@@ -27,12 +27,12 @@
 };
 
 /**
- * Starts a replica from what it saved. It gives no vote for one election
- * timeout, since it may have heard a leader just before it stopped; only that
- * leader itself may have it.
+ * Creates a replica from its saved state. It refuses votes for one election
+ * timeout, since a leader it heard from just before the restart may still hold a
+ * lease; only that leader is exempt.
  *
  * @param config The configuration.
- * @param saved What was on disk.
+ * @param saved The saved state.
  * @param nowMs Monotonic time, in ms.
  * @returns The replica as a follower.
  */
@@ -59,20 +59,20 @@
     formerLeader: leader === undefined ? undefined : {
       id: leader,
       term: saved.term,
-      earlyElectionUntilMs: earlyElectionUntilMs,
+      earlyElectionUntilMs,
     },
   };
   return elections.resetElection(state, nowMs);
 }
 
 /**
- * Moves a replica by one event. Nothing is written or sent here.
+ * Processes one event as a pure function, without I/O.
  *
  * @param state The replica.
- * @param event What happened.
+ * @param event The event.
  * @param nowMs Monotonic time, in ms.
- * @returns The new state, and effects to carry out in order: all saves must
- * be on disk before anything is sent.
+ * @returns The new state and the effects to execute in order: all saves must be
+ * on disk before any message is sent.
  */
 export function stepReplica(
   state: replicaStates.ReplicaState,
@@ -106,9 +106,8 @@
   }
   const graceMs = state.config.electionTimeoutMs;
   const isInGracePeriod = nowMs < state.role.leaderSinceMs + graceMs;
-  const { getLeaseExpiryMs: getAuthorityUntilMs, NEVER_SUSPENDED } =
-    leaderLeases;
-  const leaseExpiryMs = getAuthorityUntilMs(state, nowMs, NEVER_SUSPENDED);
+  const { getLeaseExpiryMs, NEVER_SUSPENDED } = leaderLeases;
+  const leaseExpiryMs = getLeaseExpiryMs(state, nowMs, NEVER_SUSPENDED);
   const hasLostQuorum = nowMs >= leaseExpiryMs + graceMs &&
     !leaderLeases.hasQuorumContact(state, nowMs);
   if (!isInGracePeriod && hasLostQuorum) return resetToFollower(state, nowMs);
@@ -116,7 +115,10 @@
   return replications.sendAppends(state, nowMs);
 }
 
-/** Follows nobody: a leader named after it fell silent steers callers to it. */
+/**
+ * Becomes a follower without a known leader, so that callers aren't directed to
+ * an unreachable one.
+ */
 function resetToFollower(
   state: replicaStates.ReplicaState,
   nowMs: number,
@@ -154,7 +156,7 @@
   }
 }
 
-/** Notes an answer; a leader that waits for a successor hands over with it. */
+/** Updates a follower's progress and completes a pending leadership transfer. */
 function handleAppendReply(
   state: replicaStates.ReplicaState,
   from: string,
@@ -170,7 +172,7 @@
   };
 }
 
-/** Takes an incarnation above the former self's, unless it counts already. */
+/** Adopts a higher incarnation, unless the replica is already admitted. */
 function handleRenewRequest(
   state: replicaStates.ReplicaState,
   request: messages.RenewRequest,
--- a/src/storage/_read_records.ts
+++ b/src/storage/_read_records.ts
@@ -1,25 +1,26 @@
 import * as fs from "node:fs";
 import * as records from "./record.ts";
 
-/** Bytes read from a file at a time, so that no file is held whole. */
+/** Number of bytes read from a file at a time. */
 const CHUNK_BYTES = 1024 * 1024;
 
-/** Where reading a file of records ended. */
+/** Result of reading a file of records. */
 export interface ReadSummary {
-  /** Bytes that are whole records. */
+  /** Length of the leading valid records, in bytes. */
   readonly validBytes: number;
-  /** Bytes after them. */
+  /** Number of bytes after them. */
   readonly trailingBytes: number;
-  /** Whether whole records stand after damaged bytes. */
+  /** Whether a valid record follows invalid bytes. */
   readonly isCorrupt: boolean;
 }
 
 /**
- * Reads a file of records one by one.
+ * Reads a file of records without loading the whole file.
  *
  * @param filePath The file.
- * @param onPayload Receives the payload of each whole record, in order.
- * @returns Where the whole records end.
+ * @param onPayload Receives the payload of each leading valid record, in order.
+ * @returns Where the leading valid records end.
+ * @throws The error of the file system.
  */
 export function readRecords(
   filePath: string,
@@ -44,9 +45,9 @@
     if (chunk.length === 0) {
       const isCorrupt = records.hasRecordFrom(trailing, 0);
       return {
-        validBytes: validBytes,
+        validBytes,
         trailingBytes: trailing.length,
-        isCorrupt: isCorrupt,
+        isCorrupt,
       };
     }
     const bytes = Buffer.concat([trailing, chunk]);
--- a/src/storage/durable_log.ts
+++ b/src/storage/durable_log.ts
@@ -6,33 +6,33 @@
 import * as encodeRecords from "./_encode_records.ts";
 
 const FORMAT_VERSION = 3;
-/** Format before, in which each record of a write stands by itself. */
+/** Previous format, which has no batches: each value is a record of its own. */
 const UNBATCHED_FORMAT_VERSION = 2;
-/** A snapshot that is being written; nothing reads it before its rename. */
+/** File name of a snapshot until it is complete. */
 const DRAFT_NAME = "snapshot.draft";
 
-/** First record of each log file. */
+/** First record of a log file. */
 interface FileHeader {
   readonly format: number;
   readonly owner: string;
 }
 
-/** A state in parts, so that none is held as one text. */
+/** A snapshot in parts, so that it is never encoded as one string. */
 export interface StoredSnapshot {
-  /** What the snapshot is of. */
+  /** Metadata of the snapshot. */
   readonly head: unknown;
   readonly parts: readonly unknown[];
 }
 
-/** What a data folder held when it was opened. */
+/** The content of a data folder when it was opened. */
 export interface LoadedLog {
   readonly snapshot: StoredSnapshot | undefined;
   readonly records: readonly unknown[];
-  /** Bytes of a torn tail that were cut off. */
+  /** Length of the torn tail that was truncated, in bytes. */
   readonly tornBytes: number;
 }
 
-/** A log with its content. */
+/** A log and its content. */
 export interface OpenedLog {
   readonly log: DurableLog;
   readonly loaded: LoadedLog;
@@ -53,15 +53,16 @@
 }
 
 /**
- * An append-only log with snapshots in one folder. Generation g is the file
- * `log.g` on top of `snapshot.g`; the rename of a new snapshot starts the next.
+ * An append-only log with snapshots in a folder. Generation g consists of
+ * `snapshot.g` (none for generation 0) and `log.g`, whose records follow it. A new
+ * generation starts when its snapshot is renamed into place.
  */
 export class DurableLog {
   readonly #folder: string;
   readonly #owner: string;
   #generation: number;
   #file: fsPromises.FileHandle;
-  /** Bytes of the log file that are whole records. */
+  /** Length of the log file without a failed append, in bytes. */
   #validBytes: number;
 
   private constructor(
@@ -78,10 +79,10 @@
   }
 
   /**
-   * Opens a data folder, repairing a torn tail.
+   * Opens a data folder and truncates a torn tail of its log.
    *
-   * @param folder The data folder; made if missing.
-   * @param owner Id of the box; a folder of another box is refused.
+   * @param folder The data folder; created if missing.
+   * @param owner Id of the box that owns the folder.
    * @throws FailureError `corruptLog` or `wrongFolder`.
    */
   static async open(folder: string, owner: string): Promise<OpenedLog> {
@@ -92,12 +93,12 @@
     const read = readLog(filePath, owner);
     const snapshot = readSnapshot(folder, generation);
     if (read.tornBytes > 0) truncateFile(filePath, read.validBytes);
-    // A process of the former version must not pass over what comes in this one.
+    // An older release would ignore batches, so it must not open the file again.
     if (read.isPreviousFormat) createLogFile(filePath, owner, read.records);
     syncFolder(folder);
     const file = await fsPromises.open(filePath, "a");
-    // A write whose process ended before its sync is read like any other; vouched
-    // for again and then lost with the power, it would never be sent anew.
+    // The last write may not have been synced when its process ended. Its records
+    // may be acknowledged from now on, so they must survive a power failure.
     await file.datasync();
     const log = new DurableLog(folder, owner, generation, file);
     return {
@@ -107,13 +108,12 @@
   }
 
   /**
-   * Appends records; they last once the promise resolves. A failed append
-   * leaves the log as it was, so that it can be tried again.
+   * Appends records; they are durable once the promise resolves. A failed append
+   * leaves the log unchanged and may be retried.
    *
-   * All records of a write stand under one checksum: pages of an unsynced write
-   * reach the disk in any order, and a whole record after a lost one would look
-   * like damage of what was confirmed, after which a box never starts again. Each
-   * write is synced before the next, so that at most one is torn.
+   * Each write has a single checksum: the pages of an unsynced write reach the
+   * disk in any order, and a valid record after a lost one would be taken for
+   * corruption. Each write is synced before the next, so at most one is torn.
    *
    * @throws The error of the file system.
    */
@@ -133,10 +133,10 @@
   }
 
   /**
-   * Replaces all that came before by a snapshot and the records that follow it.
+   * Replaces the log with a snapshot and the records that follow it.
    *
-   * @param snapshot The state.
-   * @param records What the new log begins with.
+   * @param snapshot The snapshot.
+   * @param records First records of the new log.
    */
   async compact(
     snapshot: StoredSnapshot,
@@ -147,10 +147,10 @@
   }
 
   /**
-   * Writes a snapshot part by part, beside the log, which takes records
-   * meanwhile. It holds nothing until `takeDraft`.
+   * Writes a snapshot part by part without installing it. Records may be appended
+   * in the meantime.
    *
-   * @param snapshot The state; it must not change meanwhile.
+   * @param snapshot The snapshot; must not change until the promise resolves.
    */
   async writeSnapshotDraft(snapshot: StoredSnapshot): Promise<void> {
     const { head, parts } = snapshot;
@@ -168,9 +168,9 @@
   }
 
   /**
-   * Puts the written snapshot in the place of the log.
+   * Replaces the log with the snapshot written by `writeSnapshotDraft`.
    *
-   * @param records What the new log begins with: all that follows the snapshot.
+   * @param records First records of the new log: all that follow the snapshot.
    */
   async installSnapshotDraft(records: readonly unknown[]): Promise<void> {
     const next = this.#generation + 1;
@@ -202,13 +202,14 @@
   }
 }
 
-/** First record of a snapshot file; its parts follow. */
+/** First record of a snapshot file, followed by the parts. */
 interface SnapshotHeader {
   readonly head: unknown;
+  /** Number of parts. */
   readonly parts: number;
 }
 
-/** Writes a log file whole or not at all. */
+/** Creates a log file atomically. */
 function createLogFile(
   filePath: string,
   owner: string,
@@ -247,17 +248,13 @@
   readonly records: readonly unknown[];
   readonly validBytes: number;
   readonly tornBytes: number;
-  /** Whether the file has the format before. */
+  /** Whether the file has the previous format. */
   readonly isPreviousFormat: boolean;
 }
 
 function readLog(filePath: string, owner: string): ReadLogFile {
   const values: unknown[] = [];
-  const {
-    validBytes: validBytes,
-    trailingBytes: trailingBytes,
-    isCorrupt: isCorrupt,
-  } = readRecords.readRecords(
+  const { validBytes, trailingBytes, isCorrupt } = readRecords.readRecords(
     filePath,
     (payload) => {
       const value = parsePayload(payload);
@@ -270,7 +267,7 @@
   checkHeader(header, filePath, owner);
   return {
     records: values.slice(1),
-    validBytes: validBytes,
+    validBytes,
     tornBytes: trailingBytes,
     isPreviousFormat: header?.format !== FORMAT_VERSION,
   };
@@ -311,7 +308,7 @@
   return new results.FailureError({
     code: "corruptLog",
     message:
-      `Cannot open the data folder: ${filePath} is damaged at byte ${offset} and has whole records after it`,
+      `Cannot open the data folder: ${filePath} is corrupt at byte ${offset}`,
     outcome: "notRun",
   });
 }
--- a/src/storage/full_disk_test.ts
+++ b/src/storage/full_disk_test.ts
@@ -6,7 +6,7 @@
 import * as durableLogs from "./durable_log.ts";
 import * as isDiskFull from "./is_disk_full.ts";
 
-/** A file whose writes put half their bytes down and then fail. */
+/** Makes each append write half of its bytes and fail; returns a restore function. */
 async function simulateFullDisk(): Promise<() => void> {
   const probe = await fsPromises.open(os.devNull, "r");
   const prototype = Object.getPrototypeOf(probe);
@@ -26,13 +26,13 @@
 
   after(() => fs.rmSync(folder, { recursive: true, force: true }));
 
-  it("leaves the log as it was, and takes the same records later", async () => {
+  it("leaves the log unchanged, so that the append can be retried", async () => {
     const { log } = await durableLogs.DurableLog.open(folder, "box-1");
     await log.append([{ index: 0 }]);
     const restoreWrites = await simulateFullDisk();
     try {
       await log.append([{ index: 1 }]);
-      throw new Error("the write did not fail");
+      throw new Error("the append did not fail");
     } catch (error) {
       chai.expect(isDiskFull.isDiskFull(error)).to.equal(true);
     } finally {
@@ -51,7 +51,7 @@
     chai.expect(opened.loaded.tornBytes).to.equal(0);
   });
 
-  it("takes no other failure for a full disk", () => {
+  it("is not reported for other errors", () => {
     chai.expect(isDiskFull.isDiskFull(new Error("bad"))).to.equal(false);
     chai.expect(isDiskFull.isDiskFull(undefined)).to.equal(false);
   });
--- a/src/storage/is_disk_full.ts
+++ b/src/storage/is_disk_full.ts
@@ -1,11 +1,11 @@
-/** Codes of a disk that takes no more bytes, for now. */
+/** Error codes of a full disk or an exhausted quota. */
 const DISK_FULL_CODES: ReadonlySet<unknown> = new Set(["ENOSPC", "EDQUOT"]);
 
 /**
- * Tells whether a write failed because the disk is full. Such a write may
- * succeed later; any other failure is final.
+ * Reports whether a write failed because the disk is full. Such a write may be
+ * retried; any other error is permanent.
  *
- * @param error What the write threw.
+ * @param error The error that the write threw.
  * @returns Whether the disk is full.
  */
 export function isDiskFull(error: unknown): boolean {
--- a/src/storage/large_write_test.ts
+++ b/src/storage/large_write_test.ts
@@ -5,11 +5,8 @@
 import * as chai from "chai";
 
 /*
- * All records of a write are encoded as one text, which in the heap takes as much
- * again as the commands, twice for most scripts, where a text of one record each did.
- * A store with 140 MB of heap, 90 MB of them in use, ran out of memory ("Reached
- * heap limit Allocation failed") at a write of 156 records of 98 KB of Chinese
- * text, which wait together while a sync takes long; written one by one they fit.
+ * Guards against running out of heap by encoding all records of an append as one
+ * string. Non-Latin text needs the most memory, two bytes per character.
  */
 
 const HEAP_MB = 140;
@@ -31,12 +28,12 @@
   `;
 }
 
-describe("a write of many large records", () => {
+describe("append of many large records", () => {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), "hoistscale-write-"));
 
   after(() => fs.rmSync(folder, { recursive: true, force: true }));
 
-  it("takes little more memory than the records themselves", () => {
+  it("needs little more heap than the records themselves", () => {
     const child = childProcess.spawnSync(
       process.execPath,
       [
--- a/src/storage/mod.ts
+++ b/src/storage/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Durable files of a box: a checksummed log with snapshots.
+ * Durable storage of a box: an append-only log with checksums and snapshots.
  *
  * @example
  * ```ts
--- a/src/storage/previous_format_test.ts
+++ b/src/storage/previous_format_test.ts
@@ -7,12 +7,9 @@
 import * as records from "./record.ts";
 
 /*
- * A log file of the former format, in which each record stands by itself, is gone on
- * with in the present one, all records of a write as one list, and goes on
- * saying that it has the former format until the next snapshot. A process of the
- * former version, as when boxes are set back to it, opens the file, takes each
- * list for one record of a kind that it does not know and passes it over: votes
- * and entries that were confirmed are gone, and nothing tells so.
+ * Guards against batches in a file whose header names the previous format: after
+ * a rollback, a release that doesn't know batches would silently ignore the
+ * acknowledged records in them.
  */
 
 const PREVIOUS_FORMAT = 2;
@@ -21,12 +18,12 @@
   return records.encodeRecord(Buffer.from(JSON.stringify(value)));
 }
 
-describe("a log file of the former format", () => {
-  const folder = fs.mkdtempSync(path.join(os.tmpdir(), "hoistscale-former-"));
+describe("log file of the previous format", () => {
+  const folder = fs.mkdtempSync(path.join(os.tmpdir(), "hoistscale-format-"));
 
   after(() => fs.rmSync(folder, { recursive: true, force: true }));
 
-  it("holds no list of records while it names the former format", async () => {
+  it("receives no batch while its header names the previous format", async () => {
     const file = path.join(folder, "log.0");
     const header = { format: PREVIOUS_FORMAT, owner: "box-1" };
     fs.writeFileSync(file, Buffer.concat([header, { index: 0 }].map(encode)));
@@ -42,8 +39,10 @@
       (payload) => values.push(JSON.parse(payload.toString("utf8"))),
     );
     const { format } = values[0] as { readonly format: number };
-    const hasList = values.some((value) => Array.isArray(value));
-    const message = `format ${format}, a list of records: ${hasList}`;
-    chai.expect(format === PREVIOUS_FORMAT && hasList, message).to.equal(false);
+    const hasBatch = values.some((value) => Array.isArray(value));
+    const message = `format ${format}, has a batch: ${hasBatch}`;
+    chai.expect(format === PREVIOUS_FORMAT && hasBatch, message).to.equal(
+      false,
+    );
   });
 });
--- a/src/storage/record.ts
+++ b/src/storage/record.ts
@@ -1,24 +1,25 @@
 import * as zlib from "node:zlib";
 
 /*
- * A record on disk: magic u32, length u32, CRC-32 u32 of the payload, payload.
- * The magic lets a reader tell a torn tail from damage in the middle.
+ * Format of a record, in big-endian order: magic (u32), payload length in bytes
+ * (u32), CRC-32 of the payload (u32), payload. The magic lets a reader find valid
+ * records after invalid bytes, which distinguishes corruption from a torn tail.
  */
 const MAGIC = 0x48_53_4c_31;
 const HEADER_BYTES = 12;
 
-/** A record found in a file. */
+/** A record decoded from a file. */
 export interface DecodedRecord {
   readonly payload: Buffer;
-  /** Offset after the record, in bytes. */
+  /** Offset of the first byte after the record. */
   readonly end: number;
 }
 
 /**
- * Encodes one record.
+ * Encodes a record.
  *
- * @param payload Its content.
- * @returns Its bytes on disk.
+ * @param payload The payload.
+ * @returns The encoded record.
  */
 export function encodeRecord(payload: Buffer): Buffer {
   const header = Buffer.alloc(HEADER_BYTES);
@@ -29,11 +30,11 @@
 }
 
 /**
- * Reads the record at an offset.
+ * Decodes the record at an offset.
  *
- * @param bytes The file.
- * @param offset Where the record begins, in bytes.
- * @returns The record, or undefined if there is no whole, undamaged one.
+ * @param bytes The content of the file.
+ * @param offset Offset of the record, in bytes.
+ * @returns The record, or undefined if it is incomplete or invalid.
  */
 export function decodeRecord(
   bytes: Buffer,
@@ -50,10 +51,10 @@
 }
 
 /**
- * Looks for a whole record anywhere after an offset.
+ * Reports whether a valid record begins at or after an offset.
  *
- * @param bytes The file.
- * @param offset Where to begin, in bytes.
+ * @param bytes The content of the file.
+ * @param offset Where to begin the search, in bytes.
  * @returns Whether there is one.
  */
 export function hasRecordFrom(bytes: Buffer, offset: number): boolean {
--- a/src/storage/storage_test.ts
+++ b/src/storage/storage_test.ts
@@ -14,7 +14,7 @@
   }
 }
 
-describe("storage", () => {
+describe("durable log", () => {
   let folder = "";
 
   beforeEach(() => {
@@ -34,11 +34,13 @@
     return path.join(folder, "log.0");
   }
 
-  it("cuts a torn tail at any byte and keeps all whole records", async () => {
+  it("truncates a torn tail at any byte and keeps all complete records", async () => {
     const file = await writeRecords(3);
     const bytes = fs.readFileSync(file);
-    const whole = fs.readFileSync(file).lastIndexOf("HSL1");
-    for (let length = whole + 1; length < bytes.length; length += 1) {
+    const lastRecordOffset = fs.readFileSync(file).lastIndexOf("HSL1");
+    for (
+      let length = lastRecordOffset + 1; length < bytes.length; length += 1
+    ) {
       fs.writeFileSync(file, bytes.subarray(0, length));
       const { log, loaded } = await durableLogs.DurableLog.open(
         folder,
@@ -46,11 +48,11 @@
       );
       await log.close();
       chai.expect(loaded.records).to.deep.equal([{ index: 0 }, { index: 1 }]);
-      chai.expect(loaded.tornBytes).to.equal(length - whole);
+      chai.expect(loaded.tornBytes).to.equal(length - lastRecordOffset);
     }
   });
 
-  it("refuses damage with whole records after it", async () => {
+  it("fails on invalid bytes followed by valid records", async () => {
     const file = await writeRecords(3);
     const bytes = fs.readFileSync(file);
     const second = bytes.indexOf("HSL1", 4);
@@ -64,44 +66,41 @@
     }
   });
 
-  // A box that lost power while it wrote several records at once would not start
-  // again: the pages of one write reach the disk in any order, so the first record
-  // was missing and a later one whole, which looks like damage of what was synced
-  // ("log.0 is damaged at byte 58 and has whole records after it"). Such a box is
-  // lost with all that its disk holds, though nothing of that write was confirmed.
-  it("cuts a write whose pages reached the disk in part, in any order", async () => {
+  // Guards against taking a write that was interrupted by a power failure for
+  // corruption of synced records, after which the box would not start again.
+  it("truncates an append of which any page is missing", async () => {
     const file = await writeRecords(2);
     const before = fs.statSync(file).size;
     const { log } = await durableLogs.DurableLog.open(folder, "box-1");
-    const longText = "x".repeat(600_000);
-    await log.append([{ index: 2 }, { index: 3, long: longText }, {
+    const long = "x".repeat(600_000);
+    await log.append([{ index: 2 }, { index: 3, long }, {
       index: 4,
     }]);
     await log.close();
-    const whole = fs.readFileSync(file);
-    const last = whole.length - 1;
+    const intact = fs.readFileSync(file);
+    const last = intact.length - 1;
     for (const at of [before, before + 20, before + 300_000, last]) {
-      const torn = Buffer.from(whole);
-      torn.fill(0, at, Math.min(at + 4_096, whole.length));
+      const torn = Buffer.from(intact);
+      torn.fill(0, at, Math.min(at + 4_096, intact.length));
       fs.writeFileSync(file, torn);
-      const { log: again, loaded } = await durableLogs.DurableLog.open(
+      const { log: reopened, loaded } = await durableLogs.DurableLog.open(
         folder,
         "box-1",
       );
-      await again.close();
+      await reopened.close();
       chai.expect(loaded.records).to.deep.equal([{ index: 0 }, { index: 1 }]);
-      chai.expect(loaded.tornBytes).to.equal(whole.length - before);
+      chai.expect(loaded.tornBytes).to.equal(intact.length - before);
     }
   });
 
-  it("refuses the folder of another box", async () => {
+  it("fails to open the folder of another box", async () => {
     await writeRecords(1);
     chai.expect(
       await getFailedCode(() => durableLogs.DurableLog.open(folder, "box-2")),
     ).to.equal("wrongFolder");
   });
 
-  it("reads the snapshot and what follows it, whatever a crash left of the next one", async () => {
+  it("reads the snapshot and its log and ignores an unfinished next generation", async () => {
     const { log } = await durableLogs.DurableLog.open(folder, "box-1");
     await log.append([{ index: 0 }]);
     await log.compact({ head: { state: 7 }, parts: [1, 2] }, [{ index: 1 }]);
@@ -131,7 +130,7 @@
     });
   });
 
-  it("takes records while a snapshot is written, and reads files larger than a chunk", async () => {
+  it("appends records during a snapshot and reads files larger than a chunk", async () => {
     const { log } = await durableLogs.DurableLog.open(folder, "box-1");
     const long = "x".repeat(700_000);
     await log.append([{ index: 0, long }, { index: 1, long }]);
@@ -159,7 +158,7 @@
     ]);
   });
 
-  it("refuses a snapshot that lacks parts", async () => {
+  it("fails to open a folder whose snapshot lacks parts", async () => {
     const { log } = await durableLogs.DurableLog.open(folder, "box-1");
     await log.compact({ head: 1, parts: ["a", "b"] }, []);
     await log.close();
--- a/src/storage/unsynced_tail_test.ts
+++ b/src/storage/unsynced_tail_test.ts
@@ -7,15 +7,11 @@
 import * as records from "./record.ts";
 
 /*
- * A process that ends between the write of a record and its sync leaves a whole
- * record in the memory of its machine, not on its disk. The next process reads
- * it like any other, and vouches for it at once: a follower whose leader sends the
- * same entry again has nothing to save, so nothing syncs it before it answers. Where
- * the machine then loses its power, an entry that was counted is gone: the leader
- * takes it for held for as long as it leads, and never sends it again.
+ * Guards against acknowledging a record that was written but not synced when its
+ * process ended: a power failure would lose it, and the leader would not resend it.
  */
 
-describe("a log whose last write was not synced when its process ended", () => {
+describe("log whose last write was not synced", () => {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), "hoistscale-tail-"));
   const { fsyncSync, fdatasyncSync } = fs;
 
@@ -29,7 +25,7 @@
     fs.rmSync(folder, { recursive: true, force: true });
   });
 
-  it("is synced before its records are given", async () => {
+  it("is synced before its records are returned", async () => {
     const { log } = await durableLogs.DurableLog.open(folder, "box-1");
     await log.append([{ index: 0 }]);
     await log.close();
