--- a/src/storage/storage_test.ts
+++ b/src/storage/storage_test.ts
@@ -39,7 +39,9 @@
     const bytes = fs.readFileSync(file);
     const lastRecordOffset = fs.readFileSync(file).lastIndexOf("HSL1");
     for (
-      let length = lastRecordOffset + 1; length < bytes.length; length += 1
+      let length = lastRecordOffset + 1;
+      length < bytes.length;
+      length += 1
     ) {
       fs.writeFileSync(file, bytes.subarray(0, length));
       const { log, loaded } = await durableLogs.DurableLog.open(
@@ -78,8 +80,8 @@
     }]);
     await log.close();
     const intact = fs.readFileSync(file);
-    const last = intact.length - 1;
-    for (const at of [before, before + 20, before + 300_000, last]) {
+    const final = intact.length - 1;
+    for (const at of [before, before + 20, before + 300_000, final]) {
       const torn = Buffer.from(intact);
       torn.fill(0, at, Math.min(at + 4_096, intact.length));
       fs.writeFileSync(file, torn);
@@ -108,12 +110,12 @@
     await log.close();
     fs.writeFileSync(path.join(folder, "log.2"), "half a file");
     fs.writeFileSync(path.join(folder, "snapshot.draft"), "half a file");
-    const { log: again, loaded } = await durableLogs.DurableLog.open(
+    const { log: reopened, loaded } = await durableLogs.DurableLog.open(
       folder,
       "box-1",
     );
-    await again.compact({ head: { state: 8 }, parts: [] }, []);
-    await again.close();
+    await reopened.compact({ head: { state: 8 }, parts: [] }, []);
+    await reopened.close();
     chai.expect(loaded.snapshot).to.deep.equal({
       head: { state: 7 },
       parts: [1, 2],
@@ -143,11 +145,11 @@
     await log.installSnapshotDraft([{ index: 2, long }]);
     await log.append([{ index: 3, long }]);
     await log.close();
-    const { log: again, loaded } = await durableLogs.DurableLog.open(
+    const { log: reopened, loaded } = await durableLogs.DurableLog.open(
       folder,
       "box-1",
     );
-    await again.close();
+    await reopened.close();
     chai.expect(loaded.snapshot).to.deep.equal({
       head: 1,
       parts: [long, long, long],
