--- a/src/consensus/mod.ts
+++ b/src/consensus/mod.ts
@@ -10,9 +10,8 @@
  * ```
  * @module
  */
-export * from "./leader_lease.ts";
-export * from "./state_machine.ts";
 export * from "./initialize_data_folder.ts";
+export * from "./leader_lease.ts";
 export * from "./message.ts";
 export * from "./replica_driver.ts";
 export * from "./replica_log.ts";
@@ -21,4 +20,5 @@
 export * from "./replica_set.ts";
 export * from "./replica_state.ts";
 export * from "./replica_status.ts";
+export * from "./state_machine.ts";
 export * from "./step_replica.ts";
