--- a/src/storage/storage_test.ts
+++ b/src/storage/storage_test.ts
@@ -80,8 +80,8 @@
     }]);
     await log.close();
     const intact = fs.readFileSync(file);
-    const final = intact.length - 1;
-    for (const at of [before, before + 20, before + 300_000, final]) {
+    const lastOffset = intact.length - 1;
+    for (const at of [before, before + 20, before + 300_000, lastOffset]) {
       const torn = Buffer.from(intact);
       torn.fill(0, at, Math.min(at + 4_096, intact.length));
       fs.writeFileSync(file, torn);
