--- a/src/caller/serve_completion.ts
+++ b/src/caller/serve_completion.ts
@@ -85,7 +85,7 @@
   const completion = parsed.value;
   const writer = new CompletionWriter(call.response, format, completion);
   const end = await generation.generateTokens({
-    service: models.getService(completion.model),
+    service: models.getServiceName(completion.model),
     model: completion.model,
     prompt: completion.prompt,
     maxTokens: completion.maxTokens,
--- a/src/capacity/capacity_orders.ts
+++ b/src/capacity/autoscaler.ts
@@ -7,28 +7,28 @@
 import type * as registry from "../registry/mod.ts";
 import type * as replicaGroups from "../replica_group/mod.ts";
 import type * as trafficConfig from "../traffic_config/mod.ts";
-import type * as capacityBooks from "./capacity_book.ts";
+import type * as capacityStates from "./capacity_state.ts";
 import * as demandWindows from "./demand_window.ts";
 import * as planCapacity from "./plan_capacity.ts";
 
 /** Between two looks at what the work needs, in ms. */
-const TICK_MS = 200;
+const CHECK_INTERVAL_MS = 200;
 /** Between two plans of a service, in ms; each call has its price. */
-const PLAN_MS = 1_000;
+const PLAN_INTERVAL_MS = 1_000;
 /** Time for which a peak counts, in ms: some rounds of steps 4 s apart. */
-const DEMAND_MS = 15_000;
+const DEMAND_WINDOW_MS = 15_000;
 /** Longest wait for a commit, in ms. */
-const COMMIT_MS = 1_000;
+const COMMIT_TIMEOUT_MS = 1_000;
 /**
  * Time for which a failure domain that refused an order, or took its spot
  * engines back, is passed over, in ms.
  */
-const SHORT_MS = 10_000;
+const UNAVAILABLE_MS = 10_000;
 /** Time beyond a start-up after which a spot engine counts as lost, in ms. */
-const MISSING_SLACK_MS = 5_000;
+const MISSING_GRACE_MS = 5_000;
 
 /** What capacity orders need. */
-export interface CapacityOrdersOptions {
+export interface AutoscalerOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly metrics: metricTypes.FleetMetrics;
@@ -36,50 +36,52 @@
   readonly servers: registry.ServerRegistry;
   readonly configuration: trafficConfig.ConfigurationHolder;
   readonly group: replicaGroups.ReplicaGroup;
-  readonly duty: duties.DutyHolder;
-  readonly book: capacityBooks.CapacityBook;
+  readonly duty: duties.DutyLease;
+  readonly state: capacityStates.CapacityState;
   readonly policy: planCapacity.CapacityPolicy;
   /** Address of the infrastructure. */
   readonly endpoint: fleetSettings.Endpoint;
   /** Places that the open steps of a service need; late ones get the time. */
-  readonly countNeededPlaces: (service: string, leastMs: number) => number;
+  readonly countNeededSlots: (service: string, leastMs: number) => number;
 }
 
 /** Orders engines as the work needs them; one box at a time does. */
-export class CapacityOrders {
-  readonly #options: CapacityOrdersOptions;
-  readonly #demand = new Map<string, demandWindows.DemandWindow>();
+export class Autoscaler {
+  readonly #options: AutoscalerOptions;
+  readonly #demandWindows = new Map<string, demandWindows.DemandWindow>();
   /** When a failure domain was found short, by service and domain. */
-  readonly #shortAtMs = new Map<string, number>();
+  readonly #unavailableAtMs = new Map<string, number>();
   /** Since when a domain has fewer spot engines than were asked for. */
   readonly #missingSinceMs = new Map<string, number>();
   #plannedAtMs = Number.NEGATIVE_INFINITY;
-  #isBusy = false;
+  #isOrdering = false;
   #isStopped = false;
 
-  constructor(options: CapacityOrdersOptions) {
+  constructor(options: AutoscalerOptions) {
     this.#options = options;
   }
 
   start(): void {
     if (this.#isStopped) return;
-    this.#observe();
-    this.#options.clock.startTimer(TICK_MS, () => this.start());
+    this.#checkDemand();
+    this.#options.clock.startTimer(CHECK_INTERVAL_MS, () => this.start());
   }
 
   stop(): void {
     this.#isStopped = true;
   }
 
-  #observe(): void {
+  #checkDemand(): void {
     const { clock, duty } = this.#options;
     if (!duty.canAct()) return;
     const services = this.#listServices();
-    for (const service of services) this.#noteService(service);
+    for (const service of services) this.#recordDemand(service);
     const nowMs = clock.getMonotonicMs();
-    if (this.#isBusy || nowMs - this.#plannedAtMs < PLAN_MS) return;
+    if (this.#isOrdering || nowMs - this.#plannedAtMs < PLAN_INTERVAL_MS) {
+      return;
+    }
     this.#plannedAtMs = nowMs;
-    void this.#orderAll(services);
+    void this.#adjustAll(services);
   }
 
   #listServices(): readonly trafficConfig.ScaledService[] {
@@ -87,50 +89,53 @@
     return [...services].filter(hasScaling);
   }
 
-  #noteService({ name, scaling }: trafficConfig.ScaledService): void {
-    const { clock, servers, countNeededPlaces } = this.#options;
+  #recordDemand({ name, scaling }: trafficConfig.ScaledService): void {
+    const { clock, servers, countNeededSlots: countNeededSlots } =
+      this.#options;
     const nowMs = clock.getMonotonicMs();
-    const demand = this.#demand.get(name) ??
-      new demandWindows.DemandWindow(DEMAND_MS);
-    this.#demand.set(name, demand);
-    demand.note(nowMs, countNeededPlaces(name, scaling.bootMs));
+    const demand = this.#demandWindows.get(name) ??
+      new demandWindows.DemandWindow(DEMAND_WINDOW_MS);
+    this.#demandWindows.set(name, demand);
+    demand.record(nowMs, countNeededSlots(name, scaling.bootMs));
     for (const server of servers.listAll()) {
       if (server.service !== name || !server.isSpot) continue;
       if (server.phase !== "draining") continue;
-      this.#shortAtMs.set(`${name} ${server.failureDomain}`, nowMs);
+      this.#unavailableAtMs.set(`${name} ${server.failureDomain}`, nowMs);
     }
   }
 
-  async #orderAll(
+  async #adjustAll(
     services: readonly trafficConfig.ScaledService[],
   ): Promise<void> {
-    this.#isBusy = true;
+    this.#isOrdering = true;
     try {
-      for (const service of services) await this.#orderService(service);
+      for (const service of services) await this.#adjustService(service);
     } finally {
-      this.#isBusy = false;
+      this.#isOrdering = false;
     }
   }
 
-  async #orderService(service: trafficConfig.ScaledService): Promise<void> {
-    const { book, policy } = this.#options;
+  async #adjustService(service: trafficConfig.ScaledService): Promise<void> {
+    const { state: state, policy } = this.#options;
     const { name } = service;
     const engines = this.#options.servers.listReady(name);
     if (engines.length === 0) return;
-    const base = book.getBase(name);
-    if (base === undefined) return this.#noteBase(name, engines.length);
+    const baseline = state.getBaseline(name);
+    if (baseline === undefined) {
+      return this.#recordBaseline(name, engines.length);
+    }
     const plans = planCapacity.planCapacity({
       policy,
-      base,
+      baseline: baseline,
       limits: service.scaling,
       slots: Math.max(...engines.map((engine) => engine.slots)),
-      neededPlaces: this.#demand.get(name)?.getPeak() ?? 0,
+      neededSlots: this.#demandWindows.get(name)?.getPeak() ?? 0,
       domains: this.#describeDomains(service, engines),
     });
-    for (const plan of plans) await this.#order(name, plan);
+    for (const plan of plans) await this.#orderSpotEngines(name, plan);
   }
 
-  async #noteBase(service: string, engines: number): Promise<void> {
+  async #recordBaseline(service: string, engines: number): Promise<void> {
     await this.#propose({ kind: "noteCapacityBase", service, engines });
   }
 
@@ -140,7 +145,7 @@
   ): readonly planCapacity.DomainEngines[] {
     const nowMs = this.#options.clock.getMonotonicMs();
     return [...scaling.prices.keys()].map((domain) => {
-      const shortAtMs = this.#shortAtMs.get(`${name} ${domain}`);
+      const unavailableAtMs = this.#unavailableAtMs.get(`${name} ${domain}`);
       return {
         domain,
         lasting: engines.filter((engine) =>
@@ -152,7 +157,8 @@
           ).length,
           bootMs: scaling.bootMs,
         }),
-        isShort: shortAtMs !== undefined && nowMs - shortAtMs < SHORT_MS,
+        isUnavailable: unavailableAtMs !== undefined &&
+          nowMs - unavailableAtMs < UNAVAILABLE_MS,
       };
     });
   }
@@ -166,31 +172,34 @@
     domain: string,
     { present, bootMs }: { readonly present: number; readonly bootMs: number },
   ): number {
-    const { clock, book } = this.#options;
+    const { clock, state: state } = this.#options;
     const nowMs = clock.getMonotonicMs();
     const key = `${service} ${domain}`;
-    const ordered = book.getDesired({ service, domain, engines: "spot" });
+    const ordered = state.getDesiredCount({ service, domain, engines: "spot" });
     if (present >= ordered) {
       this.#missingSinceMs.delete(key);
       return ordered;
     }
     const sinceMs = this.#missingSinceMs.get(key) ?? nowMs;
     this.#missingSinceMs.set(key, sinceMs);
-    return nowMs - sinceMs > bootMs + MISSING_SLACK_MS ? present : ordered;
+    return nowMs - sinceMs > bootMs + MISSING_GRACE_MS ? present : ordered;
   }
 
   /** Orders once what was agreed on before; what is refused is agreed on, too. */
-  async #order(service: string, plan: planCapacity.SpotPlan): Promise<void> {
-    const { dialect, duty, endpoint, log, clock, book, metrics } =
+  async #orderSpotEngines(
+    service: string,
+    plan: planCapacity.SpotPlan,
+  ): Promise<void> {
+    const { dialect, duty, endpoint, log, clock, state: state, metrics } =
       this.#options;
     const { domain, desired } = plan;
-    const order: capacityBooks.CapacityOrder = {
+    const order: capacityStates.CapacityOrder = {
       service,
       domain,
       engines: "spot",
       desired,
     };
-    const before = book.getDesired(order);
+    const previous = state.getDesiredCount(order);
     this.#missingSinceMs.delete(`${service} ${domain}`);
     if (!await this.#propose({ kind: "noteCapacityOrder", order })) return;
     if (!duty.canAct()) return;
@@ -205,9 +214,9 @@
       service,
       domain,
       desired,
-      before,
+      before: previous,
       fence: duty.getFence(),
-      neededPlaces: this.#demand.get(service)?.getPeak(),
+      neededPlaces: this.#demandWindows.get(service)?.getPeak(),
       engines: this.#options.servers.listReady(service).length,
       outcome: outcome.kind,
       status: "status" in outcome ? outcome.status : undefined,
@@ -215,13 +224,16 @@
     });
     if (outcome.kind === "taken") return;
     const nowMs = clock.getMonotonicMs();
-    this.#shortAtMs.set(`${service} ${domain}`, nowMs);
-    const former = { ...order, desired: before };
-    await this.#propose({ kind: "noteCapacityOrder", order: former });
+    this.#unavailableAtMs.set(`${service} ${domain}`, nowMs);
+    const previousOrder = { ...order, desired: previous };
+    await this.#propose({ kind: "noteCapacityOrder", order: previousOrder });
   }
 
-  async #propose(command: capacityBooks.CapacityCommand): Promise<boolean> {
-    const result = await this.#options.group.propose(command, COMMIT_MS);
+  async #propose(command: capacityStates.CapacityCommand): Promise<boolean> {
+    const result = await this.#options.group.propose(
+      command,
+      COMMIT_TIMEOUT_MS,
+    );
     return result.kind === "ok";
   }
 }
--- a/src/capacity/capacity_book.ts
+++ b/src/capacity/capacity_state.ts
@@ -4,7 +4,7 @@
 export interface CapacityOrder {
   readonly service: string;
   readonly domain: string;
-  readonly engines: planCapacity.EngineKind;
+  readonly engines: planCapacity.PurchaseOption;
   readonly desired: number;
 }
 
@@ -26,17 +26,17 @@
 }
 
 /** What all replicas agree was ordered. */
-export class CapacityBook {
+export class CapacityState {
   #orders = new Map<string, CapacityOrder>();
   #bases = new Map<string, number>();
 
   /** Engines that were asked for last; 0 where none were. */
-  getDesired(order: Omit<CapacityOrder, "desired">): number {
+  getDesiredCount(order: Omit<CapacityOrder, "desired">): number {
     return this.#orders.get(createKey(order))?.desired ?? 0;
   }
 
   /** Engines that a service had at first; undefined before that is noted. */
-  getBase(service: string): number | undefined {
+  getBaseline(service: string): number | undefined {
     return this.#bases.get(service);
   }
 
--- a/src/capacity/demand_window.ts
+++ b/src/capacity/demand_window.ts
@@ -1,7 +1,7 @@
 /** A number of places that were needed, and when. */
-interface Sample {
+interface DemandPoint {
   readonly atMs: number;
-  readonly places: number;
+  readonly slots: number;
 }
 
 /**
@@ -9,25 +9,25 @@
  * peaks of the last rounds tell what the next one needs.
  */
 export class DemandWindow {
-  readonly #keepMs: number;
-  #samples: readonly Sample[] = [];
+  readonly #windowMs: number;
+  #points: readonly DemandPoint[] = [];
 
-  /** @param keepMs How long a peak counts, in ms. */
-  constructor(keepMs: number) {
-    this.#keepMs = keepMs;
+  /** @param windowMs How long a peak counts, in ms. */
+  constructor(windowMs: number) {
+    this.#windowMs = windowMs;
   }
 
   /** Notes how many places are needed now. */
-  note(nowMs: number, places: number): void {
-    const sinceMs = nowMs - this.#keepMs;
+  record(nowMs: number, slots: number): void {
+    const sinceMs = nowMs - this.#windowMs;
     // What a newer and higher number outlives needs no keeping.
-    const kept = this.#samples.filter((sample) =>
-      sample.atMs > sinceMs && sample.places > places
+    const kept = this.#points.filter((point) =>
+      point.atMs > sinceMs && point.slots > slots
     );
-    this.#samples = [...kept, { atMs: nowMs, places }];
+    this.#points = [...kept, { atMs: nowMs, slots: slots }];
   }
 
   getPeak(): number {
-    return Math.max(0, ...this.#samples.map((sample) => sample.places));
+    return Math.max(0, ...this.#points.map((point) => point.slots));
   }
 }
--- a/src/capacity/mod.ts
+++ b/src/capacity/mod.ts
@@ -9,7 +9,7 @@
  * ```
  * @module
  */
-export * from "./capacity_book.ts";
-export * from "./capacity_orders.ts";
+export * from "./capacity_state.ts";
+export * from "./autoscaler.ts";
 export * from "./demand_window.ts";
 export * from "./plan_capacity.ts";
--- a/src/capacity/plan_capacity.ts
+++ b/src/capacity/plan_capacity.ts
@@ -1,7 +1,7 @@
 import type * as trafficConfig from "../traffic_config/mod.ts";
 
 /** How an engine is paid for. */
-export type EngineKind =
+export type PurchaseOption =
   /** Stays until it is given back. */
   | "lasting"
   /** Cheaper; taken back with those of its failure domain, at short notice. */
@@ -29,19 +29,19 @@
   /** Spot engines asked for last; those that are starting among them. */
   readonly orderedSpot: number;
   /** Whether it has none to be had, or takes its spot engines back. */
-  readonly isShort: boolean;
+  readonly isUnavailable: boolean;
 }
 
 /** What a plan is made from. */
-export interface CapacitySituation {
+export interface CapacityInput {
   readonly policy: CapacityPolicy;
   readonly limits: CapacityLimits;
   /** Engines that there were at first. */
-  readonly base: number;
+  readonly baseline: number;
   /** Runs that an engine takes at once. */
   readonly slots: number;
   /** Most places that open steps needed lately to be in time. */
-  readonly neededPlaces: number;
+  readonly neededSlots: number;
   readonly domains: readonly DomainEngines[];
 }
 
@@ -56,64 +56,67 @@
  * being taken back: one lost with a domain costs its runs some 10 ms of reading
  * each, and a start-up time until it is replaced.
  */
-const MAX_SPOT_PRICE = 0.6;
+const MAX_SPOT_PRICE_RATIO = 0.6;
 /** Spot engines above the plan that are kept: giving back and ordering cost. */
-const KEPT_SURPLUS = 2;
+const MAX_KEPT_SURPLUS = 2;
 
 /**
  * Plans the spot engines of each failure domain: what the work needs beyond the
  * lasting engines, evenly over the domains that have any, so that the loss of one
  * domain's takes as few as possible; where that leaves a choice, the cheapest.
  *
- * @param situation What is known.
+ * @param input What is known.
  * @returns The domains whose number changes.
  */
 export function planCapacity(
-  situation: CapacitySituation,
+  input: CapacityInput,
 ): readonly SpotPlan[] {
-  const { limits, domains } = situation;
+  const { limits, domains } = input;
   const { spotPrice = Number.POSITIVE_INFINITY } = limits;
-  if (spotPrice > MAX_SPOT_PRICE) return [];
+  if (spotPrice > MAX_SPOT_PRICE_RATIO) return [];
   const lasting = domains.reduce((sum, { lasting }) => sum + lasting, 0);
-  const wanted = Math.max(0, countWanted(situation) - lasting);
-  const spread = spreadEvenly(wanted, situation);
+  const desiredSpot = Math.max(0, countDesiredEngines(input) - lasting);
+  const spotByDomain = spreadEvenly(desiredSpot, input);
   const ordered = domains.reduce((sum, item) => sum + item.orderedSpot, 0);
-  const planned = [...spread.values()].reduce((sum, count) => sum + count, 0);
-  const isSurplus = planned < ordered && ordered - planned <= KEPT_SURPLUS;
+  const planned = [...spotByDomain.values()].reduce(
+    (sum, count) => sum + count,
+    0,
+  );
+  const isSurplus = planned < ordered && ordered - planned <= MAX_KEPT_SURPLUS;
   return domains.flatMap(({ domain, orderedSpot }) => {
-    const desired = spread.get(domain) ?? 0;
+    const desired = spotByDomain.get(domain) ?? 0;
     if (desired === orderedSpot) return [];
     if (isSurplus && desired < orderedSpot) return [];
     return [{ domain, desired }];
   });
 }
 
-function countWanted({
+function countDesiredEngines({
   policy,
-  base,
+  baseline: baseline,
   slots,
-  neededPlaces,
-}: CapacitySituation): number {
+  neededSlots: neededSlots,
+}: CapacityInput): number {
   switch (policy.kind) {
     case "fixed":
-      return base;
+      return baseline;
     case "planned":
       return Math.max(
-        base,
-        Math.ceil(neededPlaces * policy.headroom / Math.max(1, slots)),
+        baseline,
+        Math.ceil(neededSlots * policy.headroom / Math.max(1, slots)),
       );
   }
 }
 
 /** Gives one engine after the other to the domain that has the fewest. */
 function spreadEvenly(
-  wanted: number,
-  { limits, domains }: CapacitySituation,
+  total: number,
+  { limits, domains }: CapacityInput,
 ): ReadonlyMap<string, number> {
   const counts = new Map<string, number>();
-  const open = domains.filter((item) => !item.isShort);
-  for (let left = wanted; left > 0; left -= 1) {
-    const next = open
+  const available = domains.filter((item) => !item.isUnavailable);
+  for (let remaining = total; remaining > 0; remaining -= 1) {
+    const next = available
       .filter((item) => count(item) + item.lasting < limits.maximum)
       .toSorted((a, b) => count(a) - count(b) || getPrice(a) - getPrice(b))[0];
     if (next === undefined) break;
--- a/src/duty/duty_client.ts
+++ b/src/duty/duty_client.ts
@@ -3,12 +3,12 @@
 import * as httpClient from "../http_client/mod.ts";
 
 /** Longest wait for the infrastructure's answer, in ms. */
-const CALL_MS = 1_000;
-const CONNECT_MS = 400;
-const FIRST_OTHER_STATUS = 300;
+const CALL_TIMEOUT_MS = 1_000;
+const CONNECT_TIMEOUT_MS = 400;
+const FIRST_NON_SUCCESS_STATUS = 300;
 
 /** What the infrastructure said to a call. */
-export type DutyOutcome =
+export type DutyCallOutcome =
   | { readonly kind: "taken" }
   | { readonly kind: "refused"; readonly status: number }
   /** It may be taken now or later. */
@@ -24,7 +24,7 @@
 export async function sendDutyCall(
   endpoint: fleetSettings.Endpoint,
   request: dialects.RawRequestWithBody,
-): Promise<DutyOutcome> {
+): Promise<DutyCallOutcome> {
   const { method, target, headers, body } = request;
   const sent = await httpClient.sendRequest({
     address: endpoint.address,
@@ -33,15 +33,15 @@
     path: target,
     headers,
     ...(body === undefined ? {} : { body }),
-    timeoutMs: CALL_MS,
-    connectTimeoutMs: CONNECT_MS,
+    timeoutMs: CALL_TIMEOUT_MS,
+    connectTimeoutMs: CONNECT_TIMEOUT_MS,
     isFreshConnection: true,
   });
   if (sent.kind !== "answered") {
     return { kind: "unanswered", reason: sent.message };
   }
   const { status } = sent.head;
-  return status < FIRST_OTHER_STATUS
+  return status < FIRST_NON_SUCCESS_STATUS
     ? { kind: "taken" }
     : { kind: "refused", status };
 }
--- a/src/duty/duty_holder.ts
+++ b/src/duty/duty_lease.ts
@@ -6,16 +6,16 @@
 import * as planHandover from "./plan_handover.ts";
 
 /** Between two looks at who holds the duties, in ms. */
-const TICK_MS = 40;
+const CHECK_INTERVAL_MS = 40;
 /** Margin on the lease of the former holder, for its last calls' way, in ms. */
 const LEASE_MARGIN_MS = 250;
 /** Longest wait until the other replicas know the holder, in ms. */
-const CLAIM_MS = 1_000;
+const CLAIM_TIMEOUT_MS = 1_000;
 /**
  * Time between two handovers to the former holder, in ms; one that lost its
  * leadership again so soon is slow and should not lead.
  */
-const HANDOVER_MS = 10_000;
+const HANDOVER_INTERVAL_MS = 10_000;
 
 /** Names the box that holds the duties from now on. */
 export interface NoteHolder {
@@ -32,7 +32,7 @@
 }
 
 /** What a duty holder needs. */
-export interface DutyHolderOptions {
+export interface DutyLeaseOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly metrics: metricTypes.FleetMetrics;
@@ -52,20 +52,20 @@
  * infrastructure: the leader of a replica group, once the last call of the
  * former holder lies a whole lease back. The term of the group is its fence.
  */
-export class DutyHolder {
-  readonly #options: DutyHolderOptions;
+export class DutyLease {
+  readonly #options: DutyLeaseOptions;
   #isStopped = false;
   #isClaiming = false;
-  #transferred = { term: 0, atMs: Number.NEGATIVE_INFINITY };
+  #lastHandover = { term: 0, atMs: Number.NEGATIVE_INFINITY };
 
-  constructor(options: DutyHolderOptions) {
+  constructor(options: DutyLeaseOptions) {
     this.#options = options;
   }
 
   start(): void {
     if (this.#isStopped) return;
     if (!this.canAct()) void this.#claim();
-    this.#options.clock.startTimer(TICK_MS, () => this.start());
+    this.#options.clock.startTimer(CHECK_INTERVAL_MS, () => this.start());
   }
 
   stop(): void {
@@ -105,41 +105,43 @@
     const { group, leaseMs, box, log, machine, metrics } = this.#options;
     if (this.#isClaiming || !group.hasAuthority()) return;
     if (group.getReignMs() < leaseMs + LEASE_MARGIN_MS) {
-      return this.#transferToHolder();
+      return this.#transferToPreviousHolder();
     }
     this.#isClaiming = true;
-    const former = machine.getHolder();
+    const previousHolder = machine.getHolder();
     const command: NoteHolder = { kind: "noteHolder", box };
-    const claimed = await group.propose(command, CLAIM_MS);
+    const claimed = await group.propose(command, CLAIM_TIMEOUT_MS);
     this.#isClaiming = false;
     metrics.countClaim(claimed.kind);
     log.write("info", "duties.claimed", {
       fence: group.getTerm(),
-      former,
+      former: previousHolder,
       outcome: claimed.kind,
     });
   }
 
   /** Lets the former holder lead where it is sound; it need not wait. */
-  #transferToHolder(): void {
+  #transferToPreviousHolder(): void {
     const { group, clock, log, id } = this.#options;
     const nowMs = clock.getMonotonicMs();
     const term = group.getTerm();
-    const isSameTerm = this.#transferred.term === term;
-    if (!isSameTerm && nowMs - this.#transferred.atMs < HANDOVER_MS) return;
-    const heir = planHandover.planHandover({
+    const isRepeated = this.#lastHandover.term === term;
+    if (!isRepeated && nowMs - this.#lastHandover.atMs < HANDOVER_INTERVAL_MS) {
+      return;
+    }
+    const successor = planHandover.planHandover({
       ...this.#describeHolder(),
       self: id,
     });
-    if (heir === undefined) return;
-    if (!isSameTerm) {
-      log.write("info", "leadership.transferred", { holder: heir, term });
-      this.#transferred = { term, atMs: nowMs };
+    if (successor === undefined) return;
+    if (!isRepeated) {
+      log.write("info", "leadership.transferred", { holder: successor, term });
+      this.#lastHandover = { term, atMs: nowMs };
     }
-    group.transferTo(heir);
+    group.transferTo(successor);
   }
 
-  #describeHolder(): Omit<planHandover.HandoverSituation, "self"> {
+  #describeHolder(): Omit<planHandover.HandoverInput, "self"> {
     const { group, machine, directory, leaseMs } = this.#options;
     const holder = directory.findByName(machine.getHolder() ?? "");
     const isRetiring = holder !== undefined &&
@@ -147,8 +149,8 @@
     return {
       holder: holder?.id,
       isHolderLeaving: holder?.isLeaving === true || isRetiring,
-      reignMs: group.getReignMs(),
-      waitMs: leaseMs + LEASE_MARGIN_MS,
+      leadershipMs: group.getReignMs(),
+      claimDelayMs: leaseMs + LEASE_MARGIN_MS,
       voters: group.listVoters(),
       followers: group.getStatus()?.followers ?? [],
     };
--- a/src/duty/duty_holder_test.ts
+++ b/src/duty/duty_lease_test.ts
@@ -5,33 +5,33 @@
 import * as metrics from "../metrics/mod.ts";
 import type * as replicaGroups from "../replica_group/mod.ts";
 import * as results from "../results/mod.ts";
-import * as dutyHolders from "./duty_holder.ts";
+import * as dutyLeases from "./duty_lease.ts";
 
 const LEASE_MS = 3_000;
 /** A lease, its margin, and a look at the state. */
-const CLAIMED_MS = LEASE_MS + 250 + 80;
+const CLAIM_DELAY_MS = LEASE_MS + 250 + 80;
 
 /** A group that one box leads, and what it agreed on. */
 class FakeGroup {
   readonly #clock: clocks.FakeClock;
-  #ledSinceMs: number;
-  hasLead = true;
+  #leaderSinceMs: number;
+  isLeader = true;
   /** Whether a quorum confirms what is proposed. */
-  confirms = true;
+  hasQuorum = true;
   holder: string | undefined;
   term = 7;
 
   constructor(clock: clocks.FakeClock) {
     this.#clock = clock;
-    this.#ledSinceMs = clock.getMonotonicMs();
+    this.#leaderSinceMs = clock.getMonotonicMs();
   }
 
   hasAuthority(): boolean {
-    return this.hasLead;
+    return this.isLeader;
   }
 
   getReignMs(): number {
-    return this.#clock.getMonotonicMs() - this.#ledSinceMs;
+    return this.#clock.getMonotonicMs() - this.#leaderSinceMs;
   }
 
   getTerm(): number {
@@ -39,14 +39,14 @@
   }
 
   /** Begins to lead in a later term. */
-  renewLead(): void {
+  startTerm(): void {
     this.term += 1;
-    this.hasLead = true;
-    this.#ledSinceMs = this.#clock.getMonotonicMs();
+    this.isLeader = true;
+    this.#leaderSinceMs = this.#clock.getMonotonicMs();
   }
 
-  propose(command: dutyHolders.NoteHolder): Promise<results.Result<null>> {
-    if (!this.confirms) {
+  propose(command: dutyLeases.NoteHolder): Promise<results.Result<null>> {
+    if (!this.hasQuorum) {
       return Promise.resolve(
         results.createFailure("changeUnknown", "no quorum"),
       );
@@ -77,10 +77,10 @@
 describe("holder of the duties", () => {
   let clock = new clocks.FakeClock();
   let group = new FakeGroup(clock);
-  let holder = createHolder();
+  let holder = createLease();
 
-  function createHolder(): dutyHolders.DutyHolder {
-    return new dutyHolders.DutyHolder({
+  function createLease(): dutyLeases.DutyLease {
+    return new dutyLeases.DutyLease({
       clock,
       log: new logs.Log("box", "error", () => {}),
       metrics: new metrics.FleetMetrics(),
@@ -98,7 +98,7 @@
   beforeEach(() => {
     clock = new clocks.FakeClock();
     group = new FakeGroup(clock);
-    holder = createHolder();
+    holder = createLease();
     holder.start();
   });
 
@@ -116,42 +116,42 @@
     group.holder = "box-b";
     await wait(LEASE_MS);
     chai.expect(holder.canAct()).to.equal(false);
-    await wait(CLAIMED_MS - LEASE_MS);
+    await wait(CLAIM_DELAY_MS - LEASE_MS);
     chai.expect(holder.canAct()).to.equal(true);
     chai.expect(holder.getFence()).to.equal(7);
   });
 
   it("acts at once where it was the holder before", async () => {
-    await wait(CLAIMED_MS);
-    group.hasLead = false;
+    await wait(CLAIM_DELAY_MS);
+    group.isLeader = false;
     chai.expect(holder.canAct()).to.equal(false);
-    group.renewLead();
+    group.startTerm();
     chai.expect(holder.canAct()).to.equal(true);
     chai.expect(holder.getFence()).to.equal(8);
   });
 
   it("does not act while no quorum knows that it is the holder", async () => {
     group.holder = "box-b";
-    group.confirms = false;
-    await wait(2 * CLAIMED_MS);
+    group.hasQuorum = false;
+    await wait(2 * CLAIM_DELAY_MS);
     chai.expect(holder.canAct()).to.equal(false);
-    group.confirms = true;
+    group.hasQuorum = true;
     await wait(100);
     chai.expect(holder.canAct()).to.equal(true);
   });
 
   it("does not act after another box has become the holder", async () => {
-    await wait(CLAIMED_MS);
-    group.hasLead = false;
+    await wait(CLAIM_DELAY_MS);
+    group.isLeader = false;
     group.holder = "box-b";
-    group.renewLead();
+    group.startTerm();
     chai.expect(holder.canAct()).to.equal(false);
     await wait(LEASE_MS);
     chai.expect(holder.canAct()).to.equal(false);
   });
 
   it("does not act once it is stopped", async () => {
-    await wait(CLAIMED_MS);
+    await wait(CLAIM_DELAY_MS);
     holder.stop();
     chai.expect(holder.canAct()).to.equal(false);
   });
--- a/src/duty/mod.ts
+++ b/src/duty/mod.ts
@@ -12,5 +12,5 @@
  * @module
  */
 export * from "./duty_client.ts";
-export * from "./duty_holder.ts";
+export * from "./duty_lease.ts";
 export * from "./plan_handover.ts";
--- a/src/fleet_daemon/store_box.ts
+++ b/src/fleet_daemon/store_box.ts
@@ -20,11 +20,11 @@
 export class StoreBox {
   readonly #group: replicaGroups.ReplicaGroup;
   readonly #dispatcher: dispatch.Dispatcher;
-  readonly #duty: duties.DutyHolder;
+  readonly #duty: duties.DutyLease;
   readonly #usage: usages.UsageReporter | undefined;
-  readonly #capacity: capacity.CapacityOrders | undefined;
-  readonly #orders: weightOrders.WeightOrders;
-  readonly #knownEngines: weightOrders.KnownEngines;
+  readonly #capacity: capacity.Autoscaler | undefined;
+  readonly #orders: weightOrders.WeightOrderScheduler;
+  readonly #knownEngines: weightOrders.EngineTracker;
   readonly #crashKeeper: crashGuards.CrashKeeper;
   readonly #parts: boxParts.BoxParts;
   readonly #machine: submissions.SubmissionMachine;
@@ -62,7 +62,7 @@
     const engines = new dispatch.EngineTable(clock);
     const shared = { ...parts, group, machine, engines };
     this.#dispatcher = new dispatch.Dispatcher(shared);
-    this.#duty = new duties.DutyHolder({
+    this.#duty = new duties.DutyLease({
       ...shared,
       box: settings.box.name,
       id: settings.box.address,
@@ -70,15 +70,15 @@
     });
     this.#usage = this.#createUsageReporter();
     this.#capacity = this.#createCapacityOrders();
-    this.#orders = new weightOrders.WeightOrders({
+    this.#orders = new weightOrders.WeightOrderScheduler({
       ...shared,
       duty: this.#duty,
       onLoading: (engine, model) => this.#dispatcher.moveRuns(engine, model),
       onLoaded: () => this.#dispatcher.wake(),
     });
-    this.#knownEngines = new weightOrders.KnownEngines({
+    this.#knownEngines = new weightOrders.EngineTracker({
       ...shared,
-      onFound: () => this.#dispatcher.wake(),
+      onDiscovered: () => this.#dispatcher.wake(),
     });
     this.#crashKeeper = this.#createCrashKeeper();
     this.#createSubmissionService(changed, wanted);
@@ -144,19 +144,19 @@
     });
   }
 
-  #createCapacityOrders(): capacity.CapacityOrders | undefined {
+  #createCapacityOrders(): capacity.Autoscaler | undefined {
     const { settings } = this.#parts;
     const policy = dutySettings.getCapacityPolicy(settings);
     const endpoint = settings.infrastructure?.address;
     if (policy === undefined || endpoint === undefined) return undefined;
-    return new capacity.CapacityOrders({
+    return new capacity.Autoscaler({
       ...this.#parts,
       group: this.#group,
       duty: this.#duty,
-      book: this.#machine.getCapacity(),
+      state: this.#machine.getCapacity(),
       policy,
       endpoint,
-      countNeededPlaces: (service, leastMs) =>
+      countNeededSlots: (service, leastMs) =>
         this.#dispatcher.countNeededPlaces(service, leastMs),
     });
   }
--- a/src/model_version/get_service.ts
+++ b/src/model_version/get_service_name.ts
@@ -5,6 +5,6 @@
  * @param model Name of the model.
  * @returns Name of the service.
  */
-export function getService(model: string): string {
+export function getServiceName(model: string): string {
   return model.split(":")[0] ?? model;
 }
--- a/src/model_version/mod.ts
+++ b/src/model_version/mod.ts
@@ -8,5 +8,5 @@
  * ```
  * @module
  */
-export * from "./get_service.ts";
+export * from "./get_service_name.ts";
 export * from "./model_version.ts";
--- a/src/replica_group/simulated_store_test.ts
+++ b/src/replica_group/simulated_store_test.ts
@@ -40,7 +40,7 @@
 interface Run {
   readonly process: processes.SimulatedProcess;
   readonly group: replicaGroups.ReplicaGroup;
-  readonly duty: duties.DutyHolder | undefined;
+  readonly duty: duties.DutyLease | undefined;
   readonly machine: groupMachines.GroupMachine;
   readonly directory: fleet.BoxDirectory;
   readonly methods: ReadonlyMap<string, rpc.RpcHandler>;
@@ -123,7 +123,7 @@
     );
     const log = this.#createLog();
     const group = this.#createGroup({ process, machine, directory, methods });
-    const duty = leaseMs === undefined ? undefined : new duties.DutyHolder({
+    const duty = leaseMs === undefined ? undefined : new duties.DutyLease({
       clock: process,
       log,
       metrics: { countClaim: () => {} } as unknown as metrics.FleetMetrics,
--- a/src/submission/saved_parts.ts
+++ b/src/submission/saved_parts.ts
@@ -1,4 +1,4 @@
-import type * as capacityBooks from "../capacity/capacity_book.ts";
+import type * as capacityBooks from "../capacity/capacity_state.ts";
 import type * as crashRecords from "../crash_record/mod.ts";
 import type * as registry from "../registry/mod.ts";
 import type * as usageBooks from "../usage/usage_book.ts";
--- a/src/submission/submission_command.ts
+++ b/src/submission/submission_command.ts
@@ -1,7 +1,7 @@
-import type * as capacityBooks from "../capacity/capacity_book.ts";
+import type * as capacityBooks from "../capacity/capacity_state.ts";
 import type * as accounts from "../client_account/mod.ts";
 import type * as crashRecords from "../crash_record/mod.ts";
-import type * as dutyHolders from "../duty/duty_holder.ts";
+import type * as dutyHolders from "../duty/duty_lease.ts";
 import type * as registry from "../registry/mod.ts";
 import type * as usageBooks from "../usage/usage_book.ts";
 import type * as submissions from "./submission.ts";
--- a/src/submission/submission_machine.ts
+++ b/src/submission/submission_machine.ts
@@ -1,5 +1,5 @@
 import type * as consensus from "../consensus/mod.ts";
-import * as capacityBooks from "../capacity/capacity_book.ts";
+import * as capacityBooks from "../capacity/capacity_state.ts";
 import type * as accounts from "../client_account/mod.ts";
 import * as crashRecords from "../crash_record/mod.ts";
 import * as registry from "../registry/mod.ts";
@@ -43,7 +43,7 @@
 export class SubmissionMachine implements consensus.StateMachine {
   readonly #onChange: () => void;
   readonly #usage = new usageBooks.UsageBook();
-  readonly #capacity = new capacityBooks.CapacityBook();
+  readonly #capacity = new capacityBooks.CapacityState();
   readonly #crashes = new crashRecords.CrashTable();
   #records = new Map<string, MutableRecord>();
   #versions = new Map<string, number>();
@@ -74,7 +74,7 @@
   }
 
   /** What is agreed on about capacity. */
-  getCapacity(): capacityBooks.CapacityBook {
+  getCapacity(): capacityBooks.CapacityState {
     return this.#capacity;
   }
 
--- a/src/trainer/step_feed.ts
+++ b/src/trainer/step_feed.ts
@@ -177,7 +177,7 @@
     let spans: readonly steps.VersionSpan[] = [];
     let startedMs = clock.getMonotonicMs();
     const end = await generation.generateTokens({
-      service: models.getService(parameters.model),
+      service: models.getServiceName(parameters.model),
       model: parameters.model,
       prompt,
       maxTokens: parameters.maxTokens,
--- a/src/usage/clock_ahead_test.ts
+++ b/src/usage/clock_ahead_test.ts
@@ -57,7 +57,7 @@
         getReignMs: () => Number.POSITIVE_INFINITY,
         getName: () => "store-1",
         getFence: () => 1,
-      } as unknown as duties.DutyHolder,
+      } as unknown as duties.DutyLease,
       endpoint: { address: "127.0.0.1", port: 1 },
     });
     reporter.start();
--- a/src/usage/usage_reporter.ts
+++ b/src/usage/usage_reporter.ts
@@ -38,7 +38,7 @@
   readonly dialect: dialects.Dialect;
   readonly server: rpc.MethodTable;
   readonly group: replicaGroups.ReplicaGroup;
-  readonly duty: duties.DutyHolder;
+  readonly duty: duties.DutyLease;
   readonly book: usageBooks.UsageBook;
   readonly times: usageWindows.WindowTimes;
   /** Address of the infrastructure. */
@@ -193,7 +193,7 @@
 }
 
 /** Whether a report was taken, or refused so that repeating it is no use. */
-function isSettled(outcome: duties.DutyOutcome): boolean {
+function isSettled(outcome: duties.DutyCallOutcome): boolean {
   switch (outcome.kind) {
     case "taken":
       return true;
--- a/src/weight_orders/assign_engines.ts
+++ b/src/weight_orders/assign_engines.ts
@@ -1,16 +1,16 @@
 /** Which models each engine loads new versions of, by engine id. */
-export type EngineHomes = ReadonlyMap<string, ReadonlySet<string>>;
+export type EngineModels = ReadonlyMap<string, ReadonlySet<string>>;
 
 /** What an assignment goes by. */
 export interface AssignmentInput {
   /** Ids of the engines that run. */
   readonly engines: readonly string[];
   /** Engines that each trained model should have, by model. */
-  readonly wanted: ReadonlyMap<string, number>;
-  readonly before: EngineHomes;
+  readonly engineCounts: ReadonlyMap<string, number>;
+  readonly previous: EngineModels;
 }
 
-type MutableHomes = Map<string, Set<string>>;
+type MutableEngineModels = Map<string, Set<string>>;
 
 /**
  * Tells how many engines should load a model. Each engine has time for one
@@ -23,13 +23,13 @@
  * @param lag Versions that a step of the model may lag behind the newest.
  * @returns Engines for the model, one at least.
  */
-export function countWantedEngines(
+export function countDesiredEngines(
   engines: number,
   models: number,
   lag: number,
 ): number {
-  const turns = lag < 1 ? 1 : 2;
-  const share = Math.round((engines * turns) / Math.max(1, models));
+  const modelsPerEngine = lag < 1 ? 1 : 2;
+  const share = Math.round((engines * modelsPerEngine) / Math.max(1, models));
   return Math.min(engines, Math.max(1, share));
 }
 
@@ -41,33 +41,50 @@
  * @param input Engines, models and the assignment so far.
  * @returns The new assignment.
  */
-export function assignEngines(input: AssignmentInput): EngineHomes {
-  const { engines, wanted, before } = input;
-  const homes: MutableHomes = new Map(
+export function assignEngines(input: AssignmentInput): EngineModels {
+  const { engines, engineCounts: engineCounts, previous: previous } = input;
+  const assignment: MutableEngineModels = new Map(
     engines.toSorted().map((engine) => [
       engine,
       new Set(
-        [...before.get(engine) ?? []].filter((model) => wanted.has(model)),
+        [...previous.get(engine) ?? []].filter((model) =>
+          engineCounts.has(model)
+        ),
       ),
     ]),
   );
-  for (const [model, count] of wanted) setCount(homes, model, count);
-  while (moveOne(homes));
-  return homes;
+  for (const [model, count] of engineCounts) {
+    setEngineCount(assignment, model, count);
+  }
+  while (moveOneModel(assignment));
+  return assignment;
 }
 
-function setCount(homes: MutableHomes, model: string, count: number): void {
-  const having = sortByHomes(homes).filter(([, held]) => held.has(model));
-  for (const [, held] of having.slice(count)) held.delete(model);
-  const lacking = sortByHomes(homes).filter(([, held]) => !held.has(model));
-  for (const [, held] of lacking.slice(0, Math.max(0, count - having.length))) {
-    held.add(model);
+function setEngineCount(
+  assignment: MutableEngineModels,
+  model: string,
+  count: number,
+): void {
+  const assigned = sortByModelCount(assignment).filter(([, models]) =>
+    models.has(model)
+  );
+  for (const [, models] of assigned.slice(count)) models.delete(model);
+  const unassigned = sortByModelCount(assignment).filter(([, models]) =>
+    !models.has(model)
+  );
+  for (
+    const [, models] of unassigned.slice(
+      0,
+      Math.max(0, count - assigned.length),
+    )
+  ) {
+    models.add(model);
   }
 }
 
 /** Moves a model from the engine with most to the one with fewest models. */
-function moveOne(homes: MutableHomes): boolean {
-  const sorted = sortByHomes(homes);
+function moveOneModel(assignment: MutableEngineModels): boolean {
+  const sorted = sortByModelCount(assignment);
   const least = sorted.at(0)?.[1];
   const most = sorted.at(-1)?.[1];
   if (least === undefined || most === undefined) return false;
@@ -79,8 +96,8 @@
   return true;
 }
 
-function sortByHomes(
-  homes: MutableHomes,
+function sortByModelCount(
+  assignment: MutableEngineModels,
 ): readonly (readonly [string, Set<string>])[] {
-  return [...homes].toSorted(([, a], [, b]) => a.size - b.size);
+  return [...assignment].toSorted(([, a], [, b]) => a.size - b.size);
 }
--- a/src/weight_orders/assign_turns_test.ts
+++ b/src/weight_orders/assign_parities_test.ts
@@ -1,25 +1,25 @@
 import * as chai from "chai";
 import * as fastCheck from "fast-check";
-import * as assignTurns from "./assign_turns.ts";
+import * as assignParities from "./assign_parities.ts";
 
 function assign(
   engines: readonly string[],
-  before: assignTurns.EngineTurns = new Map(),
+  previous: assignParities.EngineParities = new Map(),
   version = 1,
-): assignTurns.EngineTurns {
-  return assignTurns.assignTurns({
+): assignParities.EngineParities {
+  return assignParities.assignParities({
     models: ["m"],
-    homes: new Map(engines.map((id) => [id, new Set(["m"])] as const)),
-    before,
+    engineModels: new Map(engines.map((id) => [id, new Set(["m"])] as const)),
+    previous: previous,
     getVersion: () => version,
   });
 }
 
-function list(turns: assignTurns.EngineTurns): readonly (readonly [
+function list(parities: assignParities.EngineParities): readonly (readonly [
   string,
-  assignTurns.Turn,
+  assignParities.VersionParity,
 ])[] {
-  return [...turns.get("m") ?? []];
+  return [...parities.get("m") ?? []];
 }
 
 describe("turns of engines at versions", () => {
@@ -29,8 +29,8 @@
     // instead of 13 on a day on which engines were ordered.
     const before = assign(["b", "c", "d", "e"]);
     const after = assign(["a", "b", "c", "d", "e"], before);
-    for (const [id, turn] of list(before)) {
-      chai.expect(after.get("m")?.get(id)).to.equal(turn);
+    for (const [id, parity] of list(before)) {
+      chai.expect(after.get("m")?.get(id)).to.equal(parity);
     }
   });
 
@@ -42,13 +42,13 @@
       fastCheck.property(ids, ids, (first, second) => {
         const before = assign(first);
         const after = assign(second, before);
-        const odd = list(after).filter(([, turn]) => turn === 1).length;
+        const odd = list(after).filter(([, parity]) => parity === 1).length;
         const even = second.length - odd;
         chai.expect(Math.abs(even - odd)).to.be.at.most(1);
         const kept = list(before).filter(([id]) => second.includes(id));
-        const keptOdd = kept.filter(([, turn]) => turn === 1).length;
-        const changed = kept.filter(([id, turn]) =>
-          after.get("m")?.get(id) !== turn
+        const keptOdd = kept.filter(([, parity]) => parity === 1).length;
+        const changed = kept.filter(([id, parity]) =>
+          after.get("m")?.get(id) !== parity
         );
         const surplus = Math.abs(kept.length - 2 * keptOdd) / 2;
         chai.expect(changed.length).to.be.at.most(Math.ceil(surplus));
@@ -59,14 +59,14 @@
   });
 
   it("are found from the versions held where nothing else is known", () => {
-    const turns = assignTurns.assignTurns({
+    const parities = assignParities.assignParities({
       models: ["m"],
-      homes: new Map(
+      engineModels: new Map(
         ["a", "b", "c"].map((id) => [id, new Set(["m"])] as const),
       ),
-      before: new Map(),
+      previous: new Map(),
       getVersion: (id) => id === "b" ? 7 : 8,
     });
-    chai.expect(list(turns)).to.deep.equal([["a", 0], ["b", 1], ["c", 0]]);
+    chai.expect(list(parities)).to.deep.equal([["a", 0], ["b", 1], ["c", 0]]);
   });
 });
--- a/src/weight_orders/engine_starts_test.ts
+++ b/src/weight_orders/engine_restart_test.ts
@@ -10,7 +10,7 @@
 import type * as metrics from "../metrics/mod.ts";
 import * as registry from "../registry/mod.ts";
 import * as submissions from "../submission/mod.ts";
-import * as weightOrders from "./weight_orders.ts";
+import * as weightOrderSchedulers from "./weight_order_scheduler.ts";
 
 /** The parts of a dialect that orders use. */
 const DIALECT = {
@@ -34,7 +34,7 @@
 } as unknown as dialects.Dialect;
 
 /** Turns in which something must happen, each of 1 ms or more. */
-const MAX_TURNS = 1_500;
+const MAX_WAITS = 1_500;
 const STEP_MS = 20;
 
 describe("orders to an engine that starts again under its id", () => {
@@ -46,10 +46,10 @@
   let servers = new registry.ServerRegistry(clock, 60_000);
   let engines = new dispatch.EngineTable(clock);
   let orders: dialects.VersionOrder[] = [];
-  let weights: weightOrders.WeightOrders | undefined;
+  let scheduler: weightOrderSchedulers.WeightOrderScheduler | undefined;
   let state = { born: 1_000, version: 1, orders: 0 };
   /** Whether an order that is taken shows in the state at once. */
-  let loadsAtOnce = true;
+  let loadsImmediately = true;
 
   const engine = http.createServer((request, response) => {
     const chunks: Buffer[] = [];
@@ -58,7 +58,7 @@
       if (request.method === "POST") {
         const order = JSON.parse(Buffer.concat(chunks).toString());
         orders.push(order);
-        const version = loadsAtOnce ? order.version : state.version;
+        const version = loadsImmediately ? order.version : state.version;
         state = { ...state, version, orders: state.orders + 1 };
         response.writeHead(202);
         return void response.end(JSON.stringify({ born: state.born }));
@@ -87,13 +87,13 @@
   beforeEach(() => {
     orders = [];
     state = { born: 1_000, version: 1, orders: 0 };
-    loadsAtOnce = true;
+    loadsImmediately = true;
     clock = new clocks.FakeClock();
     servers = new registry.ServerRegistry(clock, 60_000);
     engines = new dispatch.EngineTable(clock);
     const machine = new submissions.SubmissionMachine(() => {});
     machine.apply({ kind: "nameVersion", model: "m", version: 2 });
-    weights = new weightOrders.WeightOrders({
+    scheduler = new weightOrderSchedulers.WeightOrderScheduler({
       clock,
       log: new logs.Log("box", "error", () => {}),
       metrics: { countOrder: () => {} } as unknown as metrics.FleetMetrics,
@@ -103,7 +103,7 @@
         canAct: () => true,
         getName: () => "box",
         getFence: () => 1,
-      } as unknown as duties.DutyHolder,
+      } as unknown as duties.DutyLease,
       machine,
       engines,
       refusedReports: { note: () => {} },
@@ -111,13 +111,13 @@
       onLoading: () => {},
       onLoaded: () => {},
     });
-    servers.merge(createStart(1_000));
-    weights.start();
+    servers.merge(createProcess(1_000));
+    scheduler.start();
   });
 
-  afterEach(() => weights?.stop());
+  afterEach(() => scheduler?.stop());
 
-  function createStart(born: number): registry.RegisteredServer {
+  function createProcess(born: number): registry.RegisteredServer {
     const { port } = engine.address() as net.AddressInfo;
     const models = [{ name: "m", version: 1 }];
     return serverFixtures.createServer("e-1", { port, models, born });
@@ -126,7 +126,7 @@
   /** Lets time pass until something holds; tells how long it took, in ms. */
   async function waitUntil(isDone: () => boolean): Promise<number> {
     const startMs = clock.getMonotonicMs();
-    for (let turn = 0; turn < MAX_TURNS && !isDone(); turn += 1) {
+    for (let attempt = 0; attempt < MAX_WAITS && !isDone(); attempt += 1) {
       clock.extendBy(STEP_MS);
       await new Promise((resolve) => setTimeout(resolve, 1));
     }
@@ -141,7 +141,7 @@
     await waitUntil(() => getVersion() === 2);
     chai.expect(orders).to.have.length(1);
     state = { born: 2_000, version: 1, orders: 0 };
-    servers.merge(createStart(2_000));
+    servers.merge(createProcess(2_000));
     chai.expect(getVersion()).to.equal(1);
     await waitUntil(() => getVersion() === 2);
     chai.expect(orders.map((order) => order.expectedOrders)).to.deep.equal([
@@ -151,11 +151,11 @@
   });
 
   it("orders a load anew at once that the former start had only acknowledged", async () => {
-    loadsAtOnce = false;
+    loadsImmediately = false;
     await waitUntil(() => orders.length === 1);
-    loadsAtOnce = true;
+    loadsImmediately = true;
     state = { born: 2_000, version: 1, orders: 0 };
-    servers.merge(createStart(2_000));
+    servers.merge(createProcess(2_000));
     const tookMs = await waitUntil(() => orders.length === 2);
     chai.expect(tookMs).to.be.lessThan(1_000);
     await waitUntil(() => getVersion() === 2);
@@ -163,15 +163,15 @@
   });
 
   it("learns of the later start from its state, before a heartbeat tells it", async () => {
-    loadsAtOnce = false;
+    loadsImmediately = false;
     await waitUntil(() => orders.length === 1);
-    loadsAtOnce = true;
+    loadsImmediately = true;
     state = { born: 2_000, version: 1, orders: 0 };
     await waitUntil(() => servers.get("e-1")?.born === 2_000);
     await waitUntil(() => getVersion() === 2);
-    chai.expect(engines.getVersion(createStart(1_000), "m")).to.equal(1);
+    chai.expect(engines.getVersion(createProcess(1_000), "m")).to.equal(1);
     chai.expect(orders).to.have.length(2);
-    servers.merge({ ...createStart(1_000), sequence: 99 });
+    servers.merge({ ...createProcess(1_000), sequence: 99 });
     chai.expect(servers.get("e-1")?.born).to.equal(2_000);
   });
 });
--- a/src/weight_orders/known_engines.ts
+++ b/src/weight_orders/engine_tracker.ts
@@ -4,18 +4,18 @@
 import * as registry from "../registry/mod.ts";
 import type * as replicaGroups from "../replica_group/mod.ts";
 import type * as submissions from "../submission/mod.ts";
-import * as listEngines from "./list_engines.ts";
+import * as listReadyEngines from "./list_ready_engines.ts";
 import * as orderClients from "./order_client.ts";
 
 /** Between two comparisons of the engines with those kept, in ms. */
-const LOOK_MS = 100;
+const COMPARE_INTERVAL_MS = 100;
 /** Longest wait until the other stores keep a change of the engines, in ms. */
-const COMMIT_MS = 2_000;
+const COMMIT_TIMEOUT_MS = 2_000;
 /** Silence after which an engine that said no farewell is forgotten, in ms. */
-const FORGET_MS = 10_000;
+const SILENCE_TIMEOUT_MS = 10_000;
 
 /** What the known engines need. */
-export interface KnownEnginesOptions {
+export interface EngineTrackerOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly dialect: dialects.Dialect;
@@ -26,9 +26,9 @@
   >;
   readonly machine: submissions.SubmissionMachine;
   readonly refusedReports: Pick<registry.RefusedReports, "note">;
-  readonly isService: listEngines.IsService;
+  readonly isService: listReadyEngines.IsConfiguredService;
   /** Told when engines were found that no heartbeat had named yet. */
-  readonly onFound: () => void;
+  readonly onDiscovered: () => void;
 }
 
 /**
@@ -36,22 +36,22 @@
  * as after a restart of all boxes, asks those kept for their state, instead of
  * waiting up to a heartbeat's time for each.
  */
-export class KnownEngines {
-  readonly #options: KnownEnginesOptions;
-  #askedTerm = 0;
-  #isBusy = false;
+export class EngineTracker {
+  readonly #options: EngineTrackerOptions;
+  #probedTerm = 0;
+  #isProposing = false;
   /** Kept engines that are not ready, and since when, in monotonic ms. */
   #missingSince: ReadonlyMap<string, number> = new Map();
   #isStopped = false;
 
-  constructor(options: KnownEnginesOptions) {
+  constructor(options: EngineTrackerOptions) {
     this.#options = options;
   }
 
   start(): void {
     if (this.#isStopped) return;
     this.#compare();
-    this.#options.clock.startTimer(LOOK_MS, () => this.start());
+    this.#options.clock.startTimer(COMPARE_INTERVAL_MS, () => this.start());
   }
 
   stop(): void {
@@ -61,28 +61,34 @@
   #compare(): void {
     const { group } = this.#options;
     if (!group.hasAuthority()) return;
-    if (group.getTerm() !== this.#askedTerm) {
-      this.#askedTerm = group.getTerm();
-      void this.#askAll();
+    if (group.getTerm() !== this.#probedTerm) {
+      this.#probedTerm = group.getTerm();
+      void this.#probeAll();
     }
-    void this.#keepChanges();
+    void this.#replicateChanges();
   }
 
   /** Asks the kept engines that were not heard yet. */
-  async #askAll(): Promise<void> {
+  async #probeAll(): Promise<void> {
     const { machine, servers } = this.#options;
-    const unheard = machine.listEngines().filter((engine) =>
+    const unregistered = machine.listEngines().filter((engine) =>
       servers.get(engine.id) === undefined
     );
-    await Promise.all(unheard.map((engine) => this.#ask(engine)));
+    await Promise.all(unregistered.map((engine) => this.#probe(engine)));
   }
 
-  async #ask(engine: registry.ServerReport): Promise<void> {
-    const { dialect, log, servers, refusedReports, onFound } = this.#options;
+  async #probe(engine: registry.ServerReport): Promise<void> {
+    const {
+      dialect,
+      log,
+      servers,
+      refusedReports,
+      onDiscovered: onDiscovered,
+    } = this.#options;
     const reading = await orderClients.readReport(engine, dialect);
     if (this.#isStopped) return;
     if (reading.kind === "refused") refusedReports.note(reading.refusal);
-    const found = findServer(engine, reading);
+    const found = createReadyReport(engine, reading);
     log.write("info", "engine.asked", {
       server: engine.id,
       born: engine.born,
@@ -91,32 +97,32 @@
     });
     if (found === undefined) return;
     servers.merge(found);
-    onFound();
+    onDiscovered();
   }
 
   /** Has the stores keep engines that came, and forget those that went. */
-  async #keepChanges(): Promise<void> {
+  async #replicateChanges(): Promise<void> {
     const { machine, group, servers, isService } = this.#options;
-    if (this.#isBusy) return;
-    const ready = listEngines.listEngines(servers, isService);
-    const kept = new Set(
+    if (this.#isProposing) return;
+    const ready = listReadyEngines.listReadyEngines(servers, isService);
+    const recorded = new Set(
       machine.listEngines().map(registry.createLifetimeKey),
     );
-    const added = ready.filter((engine) => !kept.has(engine.lifetime));
-    const gone = this.#listGone(ready);
+    const added = ready.filter((engine) => !recorded.has(engine.lifetime));
+    const gone = this.#listRemoved(ready);
     if (added.length === 0 && gone.length === 0) return;
-    this.#isBusy = true;
+    this.#isProposing = true;
     const command: submissions.SubmissionCommand = {
       kind: "keepEngines",
       added,
       gone,
     };
-    await group.propose(command, COMMIT_MS);
-    this.#isBusy = false;
+    await group.propose(command, COMMIT_TIMEOUT_MS);
+    this.#isProposing = false;
   }
 
   /** Kept engines that are to be forgotten. */
-  #listGone(ready: readonly registry.RegisteredServer[]): readonly string[] {
+  #listRemoved(ready: readonly registry.RegisteredServer[]): readonly string[] {
     const nowMs = this.#options.clock.getMonotonicMs();
     const readyIds = new Set(ready.map((engine) => engine.id));
     const missing = this.#options.machine.listEngines()
@@ -128,13 +134,13 @@
     return missing.filter((id) => {
       const phase = this.#options.servers.get(id)?.phase;
       if (phase === "draining" || phase === "gone") return true;
-      return nowMs - (this.#missingSince.get(id) ?? nowMs) > FORGET_MS;
+      return nowMs - (this.#missingSince.get(id) ?? nowMs) > SILENCE_TIMEOUT_MS;
     });
   }
 }
 
 /** What a kept engine is known to be, if it takes work. */
-function findServer(
+function createReadyReport(
   engine: registry.ServerReport,
   reading: orderClients.EngineReading,
 ): registry.ServerReport | undefined {
--- a/src/weight_orders/known_engines_test.ts
+++ b/src/weight_orders/engine_tracker_test.ts
@@ -8,7 +8,7 @@
 import * as serverFixtures from "../fixtures/create_server.ts";
 import * as results from "../results/mod.ts";
 import * as submissions from "../submission/mod.ts";
-import * as knownEngines from "./known_engines.ts";
+import * as engineTrackers from "./engine_tracker.ts";
 
 /** The parts of a dialect that asking for a state uses. */
 const DIALECT = {
@@ -23,23 +23,23 @@
 } as unknown as dialects.Dialect;
 
 /** Turns of 1 ms in which an answer must come. */
-const MAX_TURNS = 500;
+const MAX_WAITS = 500;
 
 describe("known engines", () => {
   /** Start that each engine tells. */
   let born: number | undefined;
   let states: Readonly<Record<string, boolean>> = {};
-  let asked: readonly string[] = [];
+  let probed: readonly string[] = [];
   let clock = new clocks.FakeClock();
   let machine = new submissions.SubmissionMachine(() => {});
   let servers = new registry.ServerRegistry(clock, 1_000);
-  let found = 0;
-  let known: knownEngines.KnownEngines | undefined;
+  let discoveries = 0;
+  let tracker: engineTrackers.EngineTracker | undefined;
   let term = 1;
 
   const engine = http.createServer((request, response) => {
     const id = String(request.headers["server"]);
-    asked = [...asked, id];
+    probed = [...probed, id];
     if (states[id] === undefined) {
       response.writeHead(421).end();
       return;
@@ -63,14 +63,14 @@
   });
 
   beforeEach(() => {
-    asked = [];
+    probed = [];
     born = undefined;
-    found = 0;
+    discoveries = 0;
     term = 1;
     clock = new clocks.FakeClock();
     machine = new submissions.SubmissionMachine(() => {});
     servers = new registry.ServerRegistry(clock, 1_000);
-    known = new knownEngines.KnownEngines({
+    tracker = new engineTrackers.EngineTracker({
       clock,
       log: new logs.Log("box", "error", () => {}),
       dialect: DIALECT,
@@ -84,13 +84,13 @@
       machine,
       refusedReports: { note: () => {} },
       isService: (name) => name !== "unnamed",
-      onFound: () => {
-        found += 1;
+      onDiscovered: () => {
+        discoveries += 1;
       },
     });
   });
 
-  afterEach(() => known?.stop());
+  afterEach(() => tracker?.stop());
 
   function createEngine(id: string): registry.RegisteredServer {
     const { port } = engine.address() as net.AddressInfo;
@@ -98,16 +98,20 @@
     return serverFixtures.createServer(id, { port, models });
   }
 
-  async function awaitAsked(count: number): Promise<void> {
-    for (let turn = 0; turn < MAX_TURNS && asked.length < count; turn += 1) {
+  async function awaitProbes(count: number): Promise<void> {
+    for (
+      let attempt = 0;
+      attempt < MAX_WAITS && probed.length < count;
+      attempt += 1
+    ) {
       await new Promise((resolve) => setTimeout(resolve, 1));
     }
-    for (let turn = 0; turn < 20; turn += 1) {
+    for (let attempt = 0; attempt < 20; attempt += 1) {
       await new Promise((resolve) => setTimeout(resolve, 1));
     }
   }
 
-  function listKept(): readonly string[] {
+  function listRecorded(): readonly string[] {
     return machine.listEngines().map((kept) => kept.id);
   }
 
@@ -122,12 +126,12 @@
       added: ["sound", "leaving", "gone"].map(createEngine),
       gone: [],
     });
-    known?.start();
-    await awaitAsked(3);
+    tracker?.start();
+    await awaitProbes(3);
     const ready = servers.listReady("lm");
     chai.expect(ready.map(({ id }) => id)).to.deep.equal(["sound"]);
     chai.expect(ready[0]?.models).to.deep.equal([{ name: "m", version: 7 }]);
-    chai.expect(found).to.equal(1);
+    chai.expect(discoveries).to.equal(1);
   });
 
   it("asks none that was heard, and asks once a term", async () => {
@@ -135,11 +139,11 @@
     const added = ["heard", "kept"].map(createEngine);
     machine.apply({ kind: "keepEngines", added, gone: [] });
     servers.merge(createEngine("heard"));
-    known?.start();
-    await awaitAsked(1);
+    tracker?.start();
+    await awaitProbes(1);
     clock.extendBy(100);
-    await awaitAsked(1);
-    chai.expect(asked).to.deep.equal(["kept"]);
+    await awaitProbes(1);
+    chai.expect(probed).to.deep.equal(["kept"]);
   });
 
   it("keeps the later start of an engine, and asks none for a former one", async () => {
@@ -147,7 +151,7 @@
     // leader asked for a start that was gone, and took what answered for it.
     states = { a: false };
     servers.merge({ ...createEngine("a"), born: 1_000 });
-    known?.start();
+    tracker?.start();
     chai.expect(listBorn()).to.deep.equal([1_000]);
     servers.merge({ ...createEngine("a"), born: 2_000, sequence: 0 });
     await Promise.resolve();
@@ -163,8 +167,8 @@
     born = 2_000;
     const added = [{ ...createEngine("a"), born: 1_000, sequence: 70 }];
     machine.apply({ kind: "keepEngines", added, gone: [] });
-    known?.start();
-    await awaitAsked(1);
+    tracker?.start();
+    await awaitProbes(1);
     chai.expect(servers.get("a")?.born).to.equal(2_000);
     chai.expect(servers.merge({ ...createEngine("a"), born: 2_000 })).to.not
       .equal("old");
@@ -172,8 +176,8 @@
 
   it("keeps no server of a service that no configuration names", () => {
     servers.merge({ ...createEngine("a"), service: "unnamed" });
-    known?.start();
-    chai.expect(listKept()).to.deep.equal([]);
+    tracker?.start();
+    chai.expect(listRecorded()).to.deep.equal([]);
   });
 
   it("keeps engines that come, and forgets those that leave or stay silent", () => {
@@ -181,13 +185,13 @@
     servers.merge(createEngine("a"));
     servers.merge(createEngine("b"));
     servers.merge(serverFixtures.createServer("plain"));
-    known?.start();
-    chai.expect(listKept()).to.deep.equal(["a", "b"]);
+    tracker?.start();
+    chai.expect(listRecorded()).to.deep.equal(["a", "b"]);
     servers.markGone({ id: "a", born: undefined });
     clock.extendBy(300);
     return Promise.resolve().then(() => {
       clock.extendBy(100);
-      chai.expect(listKept()).to.deep.equal(["b"]);
+      chai.expect(listRecorded()).to.deep.equal(["b"]);
     });
   });
 });
--- a/src/weight_orders/list_due_loads.ts
+++ b/src/weight_orders/list_due_loads.ts
@@ -1,5 +1,5 @@
 import type * as registry from "../registry/mod.ts";
-import type * as assignTurns from "./assign_turns.ts";
+import type * as assignParities from "./assign_parities.ts";
 import * as planVersion from "./plan_version.ts";
 
 /** A load that is due at an engine. */
@@ -14,7 +14,7 @@
   /** Engines that take work, those that should load first at the front. */
   readonly engines: readonly registry.RegisteredServer[];
   /** Engines that share each model, and the versions at which they load it. */
-  readonly turns: assignTurns.EngineTurns;
+  readonly parities: assignParities.EngineParities;
   /** Newest named version of each model; 1 for a model without one. */
   readonly versions: ReadonlyMap<string, number>;
   /** Versions that the newest step of a model may lag behind, by model. */
@@ -34,28 +34,28 @@
  * @returns Due loads, most urgent first.
  */
 export function listDueLoads(input: DueLoadsInput): readonly DueLoad[] {
-  const { engines, turns, versions, lags, getVersion } = input;
+  const { engines, parities: parities, versions, lags, getVersion } = input;
   const models = [...lags.keys()];
-  const usable = new Map(
+  const usableCounts = new Map(
     models.map((model) => {
       const oldest = (versions.get(model) ?? 1) - (lags.get(model) ?? 0);
-      const able = engines.filter((engine) =>
+      const usable = engines.filter((engine) =>
         getVersion(engine, model) >= oldest
       );
-      return [model, able.length] as const;
+      return [model, usable.length] as const;
     }),
   );
   const due = models.flatMap((model) => {
     const newest = versions.get(model) ?? 1;
     const lag = lags.get(model) ?? 0;
     return engines.filter((engine) => {
-      const place = turns.get(model)?.get(engine.id);
-      if (place === undefined) return false;
-      const wanted = planVersion.planVersion({ newest, lag, place });
-      return getVersion(engine, model) < wanted;
+      const parity = parities.get(model)?.get(engine.id);
+      if (parity === undefined) return false;
+      const target = planVersion.planVersion({ newest, lag, parity: parity });
+      return getVersion(engine, model) < target;
     }).map((engine): DueLoad => ({ engine, model, version: newest }));
   });
   return due.toSorted((a, b) =>
-    (usable.get(a.model) ?? 0) - (usable.get(b.model) ?? 0)
+    (usableCounts.get(a.model) ?? 0) - (usableCounts.get(b.model) ?? 0)
   );
 }
--- a/src/weight_orders/list_engines.ts
+++ b/src/weight_orders/list_ready_engines.ts
@@ -1,7 +1,7 @@
 import type * as registry from "../registry/mod.ts";
 
 /** Tells whether a configuration names a service; true while there is none. */
-export type IsService = (name: string) => boolean;
+export type IsConfiguredService = (name: string) => boolean;
 
 /**
  * Lists the servers that hold models, take work and were heard lately.
@@ -10,14 +10,14 @@
  * @param isService Servers of other services are passed over.
  * @returns The engines, service by service.
  */
-export function listEngines(
+export function listReadyEngines(
   servers: Pick<registry.ServerRegistry, "listAll" | "listReady">,
-  isService: IsService,
+  isService: IsConfiguredService,
 ): readonly registry.RegisteredServer[] {
-  const holding = servers.listAll().filter((server) =>
+  const modelServers = servers.listAll().filter((server) =>
     server.models.length > 0 && server.phase === "ready"
   );
-  const services = new Set(holding.map((server) => server.service));
+  const services = new Set(modelServers.map((server) => server.service));
   return [...services].filter(isService).flatMap((service) =>
     servers.listReady(service)
   )
--- /dev/null
+++ b/src/weight_orders/load_tracker_test.ts
@@ -0,0 +1,41 @@
+import * as chai from "chai";
+import * as clocks from "../clock/mod.ts";
+import * as loadTrackers from "./load_tracker.ts";
+
+describe("loads at once", () => {
+  let clock = new clocks.FakeClock();
+  let tracker = new loadTrackers.LoadTracker(clock);
+
+  beforeEach(() => {
+    clock = new clocks.FakeClock();
+    tracker = new loadTrackers.LoadTracker(clock);
+  });
+
+  it("counts a load until it ends", () => {
+    tracker.begin("a");
+    tracker.begin("b");
+    clock.extendBy(500);
+    chai.expect(tracker.countRunning()).to.equal(2);
+    tracker.end("a", true);
+    chai.expect(tracker.countRunning()).to.equal(1);
+  });
+
+  it("counts a load whose end is not seen no longer than loads take", () => {
+    tracker.begin("silent");
+    clock.extendBy(901);
+    chai.expect(tracker.countRunning()).to.equal(0);
+  });
+
+  it("learns how long loads take, from those that were seen to end", () => {
+    for (let load = 0; load < 40; load += 1) {
+      tracker.begin("a");
+      clock.extendBy(2_000);
+      tracker.end("a", true);
+    }
+    chai.expect(tracker.getExpectedLoadMs()).to.be.closeTo(1_800, 10);
+    tracker.begin("a");
+    clock.extendBy(9_000);
+    tracker.end("a", false);
+    chai.expect(tracker.getExpectedLoadMs()).to.be.closeTo(1_800, 10);
+  });
+});
--- a/src/weight_orders/mod.ts
+++ b/src/weight_orders/mod.ts
@@ -9,7 +9,7 @@
  * @module
  */
 export * from "./assign_engines.ts";
-export * from "./known_engines.ts";
+export * from "./engine_tracker.ts";
 export * from "./order_client.ts";
 export * from "./plan_version.ts";
-export * from "./weight_orders.ts";
+export * from "./weight_order_scheduler.ts";
--- a/src/weight_orders/order_client.ts
+++ b/src/weight_orders/order_client.ts
@@ -3,11 +3,11 @@
 import * as registry from "../registry/mod.ts";
 
 /** Longest wait for the answer to an order or a report, in ms. */
-const CALL_MS = 600;
-const CONNECT_MS = 250;
-const TAKEN_STATUS = 202;
-const HELD_STATUS = 200;
-const OTHER_SERVER_STATUS = 421;
+const CALL_TIMEOUT_MS = 600;
+const CONNECT_TIMEOUT_MS = 250;
+const ACCEPTED_STATUS = 202;
+const OK_STATUS = 200;
+const MISDIRECTED_STATUS = 421;
 
 /** What an engine said to an order. */
 export type OrderOutcome =
@@ -18,7 +18,7 @@
     readonly kind: "refused";
     readonly status: number;
     /** Whether another server than the engine answered at its address. */
-    readonly isOther: boolean;
+    readonly isMisdirected: boolean;
   }
   /** A later start of the engine answered; it was given no order. */
   | { readonly kind: "reborn"; readonly born: number }
@@ -47,19 +47,19 @@
     return { kind: "unanswered", reason: sent.message };
   }
   const born = dialect.parseOrderAnswer(sent.body);
-  if (born !== undefined && isLater(engine, born)) {
+  if (born !== undefined && isLaterProcess(engine, born)) {
     return { kind: "reborn", born };
   }
   switch (sent.head.status) {
-    case TAKEN_STATUS:
+    case ACCEPTED_STATUS:
       return { kind: "taken" };
-    case HELD_STATUS:
+    case OK_STATUS:
       return { kind: "held" };
     default:
       return {
         kind: "refused",
         status: sent.head.status,
-        isOther: sent.head.status === OTHER_SERVER_STATUS,
+        isMisdirected: sent.head.status === MISDIRECTED_STATUS,
       };
   }
 }
@@ -91,7 +91,7 @@
     dialect.createReportRequest(engine.id),
     false,
   );
-  if (sent.kind !== "answered" || sent.head.status !== HELD_STATUS) {
+  if (sent.kind !== "answered" || sent.head.status !== OK_STATUS) {
     return { kind: "unread", message: `Cannot read the state of ${engine.id}` };
   }
   const reading = dialect.parseEngineReport(sent.body, engine.id);
@@ -111,7 +111,7 @@
   }
 }
 
-function isLater(engine: registry.Lifetime, born: number): boolean {
+function isLaterProcess(engine: registry.Lifetime, born: number): boolean {
   return registry.compareLifetimes({ born }, engine) === "later";
 }
 
@@ -128,8 +128,8 @@
     path: target,
     headers,
     ...(body === undefined ? {} : { body }),
-    timeoutMs: CALL_MS,
-    connectTimeoutMs: CONNECT_MS,
+    timeoutMs: CALL_TIMEOUT_MS,
+    connectTimeoutMs: CONNECT_TIMEOUT_MS,
     isFreshConnection,
   });
 }
--- a/src/weight_orders/weight_orders_test.ts
+++ b/src/weight_orders/plan_loads_test.ts
@@ -1,7 +1,7 @@
 import * as chai from "chai";
 import * as fastCheck from "fast-check";
 import * as assignEngines from "./assign_engines.ts";
-import * as assignTurns from "./assign_turns.ts";
+import * as assignParities from "./assign_parities.ts";
 import * as serverFixtures from "../fixtures/create_server.ts";
 import * as listDueLoads from "./list_due_loads.ts";
 import * as planVersion from "./plan_version.ts";
@@ -11,17 +11,17 @@
 function assignTo(
   engines: readonly string[],
   lag: number,
-  before: assignEngines.EngineHomes,
-): assignEngines.EngineHomes {
-  const count = assignEngines.countWantedEngines(
+  previous: assignEngines.EngineModels,
+): assignEngines.EngineModels {
+  const count = assignEngines.countDesiredEngines(
     engines.length,
     MODELS.length,
     lag,
   );
   return assignEngines.assignEngines({
     engines,
-    wanted: new Map(MODELS.map((model) => [model, count])),
-    before,
+    engineCounts: new Map(MODELS.map((model) => [model, count])),
+    previous: previous,
   });
 }
 
@@ -38,12 +38,14 @@
         (before, after, lag) => {
           const first = assignTo(before, lag, new Map());
           const second = assignTo(after, lag, first);
-          const count = assignEngines.countWantedEngines(after.length, 3, lag);
+          const count = assignEngines.countDesiredEngines(after.length, 3, lag);
           for (const model of MODELS) {
-            const having = [...second.values()].filter((held) =>
+            const assigned = [...second.values()].filter((held) =>
               held.has(model)
             );
-            chai.expect(having).to.have.length(after.length === 0 ? 0 : count);
+            chai.expect(assigned).to.have.length(
+              after.length === 0 ? 0 : count,
+            );
           }
           const sizes = [...second.values()].map((held) => held.size);
           chai.expect(Math.max(0, ...sizes) - Math.min(3, ...sizes)).to.be
@@ -69,33 +71,33 @@
   });
 
   it("has an engine serve two models where it loads every other version", () => {
-    const count = assignEngines.countWantedEngines;
+    const count = assignEngines.countDesiredEngines;
     chai.expect([count(8, 3, 0), count(8, 3, 1)]).to.deep.equal([3, 5]);
     chai.expect([count(6, 1, 1), count(6, 2, 1)]).to.deep.equal([6, 6]);
     chai.expect(count(1, 4, 0)).to.equal(1);
   });
 
   it("assigns nothing while no model is known", () => {
-    const homes = assignEngines.assignEngines({
+    const engineModels = assignEngines.assignEngines({
       engines: ["e"],
-      wanted: new Map(),
-      before: new Map(),
+      engineCounts: new Map(),
+      previous: new Map(),
     });
-    chai.expect(homes.get("e")?.size).to.equal(0);
+    chai.expect(engineModels.get("e")?.size).to.equal(0);
   });
 
   describe("due loads", () => {
     const engines = ["a", "b", "c", "d"].map((id) =>
       serverFixtures.createServer(id)
     );
-    const homes = new Map(
+    const engineModels = new Map(
       engines.map((engine) => [engine.id, new Set(["m", "n"])] as const),
     );
     const lags = new Map([["m", 1], ["n", 1]]);
-    const turns = assignTurns.assignTurns({
+    const parities = assignParities.assignParities({
       models: ["m", "n"],
-      homes,
-      before: new Map(),
+      engineModels: engineModels,
+      previous: new Map(),
       getVersion: () => 1,
     });
 
@@ -105,7 +107,7 @@
     ): readonly string[] {
       return listDueLoads.listDueLoads({
         engines,
-        turns,
+        parities: parities,
         lags,
         versions: new Map(Object.entries(versions)),
         getVersion: (engine, model) => getVersion(engine.id, model),
@@ -120,8 +122,8 @@
     it("are none once each engine holds the newest or the one before", () => {
       chai.expect(list({ m: 2, n: 1 }, (id) => id < "c" ? 2 : 1)).to.have
         .length(1);
-      const turns = new Set(["a", "c"]);
-      chai.expect(list({ m: 2, n: 1 }, (id) => turns.has(id) ? 2 : 1)).to.deep
+      const current = new Set(["a", "c"]);
+      chai.expect(list({ m: 2, n: 1 }, (id) => current.has(id) ? 2 : 1)).to.deep
         .equal([]);
     });
 
@@ -135,20 +137,20 @@
   });
 
   it("has each engine load every version where steps may not lag", () => {
-    const wanted = [0, 1].map((place) =>
-      planVersion.planVersion({ newest: 7, lag: 0, place })
+    const targets = [0, 1].map((parity) =>
+      planVersion.planVersion({ newest: 7, lag: 0, parity: parity })
     );
-    chai.expect(wanted).to.deep.equal([7, 7]);
+    chai.expect(targets).to.deep.equal([7, 7]);
   });
 
   it("has engines take turns where steps may lag, none more than one behind", () => {
     for (let newest = 2; newest < 8; newest += 1) {
-      const wanted = [0, 1, 2, 3].map((place) =>
-        planVersion.planVersion({ newest, lag: 1, place })
+      const targets = [0, 1, 2, 3].map((parity) =>
+        planVersion.planVersion({ newest, lag: 1, parity: parity })
       );
-      chai.expect(wanted.filter((version) => version === newest)).to.have
+      chai.expect(targets.filter((version) => version === newest)).to.have
         .length(2);
-      chai.expect(Math.min(...wanted)).to.equal(newest - 1);
+      chai.expect(Math.min(...targets)).to.equal(newest - 1);
     }
   });
 });
--- a/src/weight_orders/plan_version.ts
+++ b/src/weight_orders/plan_version.ts
@@ -1,11 +1,11 @@
 /** What decides which version an engine should hold. */
-export interface VersionNeed {
+export interface VersionPlanInput {
   /** Newest named version. */
   readonly newest: number;
   /** Versions that a new step may lag behind the newest. */
   readonly lag: number;
   /** Even or odd versions, by whether this is; see the turns of engines. */
-  readonly place: number;
+  readonly parity: number;
 }
 
 /**
@@ -14,12 +14,12 @@
  * then ready at half the engines at once, each engine stops half as often, and
  * all engines may serve every step.
  *
- * @param need What decides.
+ * @param input What decides.
  * @returns The oldest version that the engine should hold.
  */
-export function planVersion(need: VersionNeed): number {
-  const { newest, lag, place } = need;
+export function planVersion(input: VersionPlanInput): number {
+  const { newest, lag, parity: parity } = input;
   if (lag < 1) return newest;
-  const isTurn = (newest + place) % 2 === 0;
-  return isTurn ? newest : newest - 1;
+  const isOwnVersion = (newest + parity) % 2 === 0;
+  return isOwnVersion ? newest : newest - 1;
 }
--- a/src/weight_orders/weight_orders.ts
+++ b/src/weight_orders/weight_order_scheduler.ts
@@ -7,38 +7,38 @@
 import type * as registry from "../registry/mod.ts";
 import type * as submissions from "../submission/mod.ts";
 import * as assignEngines from "./assign_engines.ts";
-import * as assignTurns from "./assign_turns.ts";
+import * as assignParities from "./assign_parities.ts";
 import * as listDueLoads from "./list_due_loads.ts";
-import * as listEngines from "./list_engines.ts";
-import * as loadLanes from "./load_lanes.ts";
+import * as listReadyEngines from "./list_ready_engines.ts";
+import * as loadTrackers from "./load_tracker.ts";
 import * as orderClients from "./order_client.ts";
 
-const TICK_MS = 40;
+const CHECK_INTERVAL_MS = 40;
 /**
  * Share of the engines that load at once; more would slow each other down
  * (measured: two of six and two of eight load at full speed).
  */
-const LOADING_SHARE = 0.3;
+const MAX_LOADING_FRACTION = 0.3;
 /** Between two looks at an engine whose load should have ended, in ms. */
-const REPORT_MS = 60;
+const POLL_INTERVAL_MS = 60;
 /** Time after which an order without effect is given up, in ms. */
-const ORDER_PATIENCE_MS = 4_000;
+const LOAD_TIMEOUT_MS = 4_000;
 /** Pause before an engine that refused is asked again, in ms. */
-const REFUSED_MS = 500;
+const RETRY_DELAY_MS = 500;
 
 /** What the weight orders need. */
-export interface WeightOrdersOptions {
+export interface WeightOrderSchedulerOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly metrics: metrics.FleetMetrics;
   readonly dialect: dialects.Dialect;
   readonly servers: registry.ServerRegistry;
   /** Says whether this box is the one that orders. */
-  readonly duty: duties.DutyHolder;
+  readonly duty: duties.DutyLease;
   readonly machine: submissions.SubmissionMachine;
   readonly engines: dispatch.EngineTable;
   readonly refusedReports: Pick<registry.RefusedReports, "note">;
-  readonly isService: listEngines.IsService;
+  readonly isService: listReadyEngines.IsConfiguredService;
   /** Told when an engine begins to load a model. */
   readonly onLoading: (
     engine: registry.RegisteredServer,
@@ -49,29 +49,29 @@
 }
 
 /** Moves engines to the newest named versions, one box at a time. */
-export class WeightOrders {
-  readonly #options: WeightOrdersOptions;
+export class WeightOrderScheduler {
+  readonly #options: WeightOrderSchedulerOptions;
   /** Starts of engines that are being read or ordered. */
-  readonly #busy = new Set<registry.LifetimeKey>();
-  readonly #lanes: loadLanes.LoadLanes;
+  readonly #busyEngines = new Set<registry.LifetimeKey>();
+  readonly #loads: loadTrackers.LoadTracker;
   /** Orders that each start of an engine has taken, as last read from it. */
-  readonly #orders = new Map<registry.LifetimeKey, number>();
+  readonly #orderCounts = new Map<registry.LifetimeKey, number>();
   /** By id alone: an engine that starts again keeps its models. */
-  #homes: assignEngines.EngineHomes = new Map();
-  #turns: assignTurns.EngineTurns = new Map();
+  #engineModels: assignEngines.EngineModels = new Map();
+  #parities: assignParities.EngineParities = new Map();
   /** Loads that may run at once. */
-  #most = 1;
+  #maxConcurrentLoads = 1;
   #isStopped = false;
 
-  constructor(options: WeightOrdersOptions) {
+  constructor(options: WeightOrderSchedulerOptions) {
     this.#options = options;
-    this.#lanes = new loadLanes.LoadLanes(options.clock);
+    this.#loads = new loadTrackers.LoadTracker(options.clock);
   }
 
   start(): void {
     if (this.#isStopped) return;
-    this.#checkEngines();
-    this.#options.clock.startTimer(TICK_MS, () => this.start());
+    this.#scheduleLoads();
+    this.#options.clock.startTimer(CHECK_INTERVAL_MS, () => this.start());
   }
 
   stop(): void {
@@ -82,49 +82,56 @@
     return !this.#isStopped && this.#options.duty.canAct();
   }
 
-  #checkEngines(): void {
+  #scheduleLoads(): void {
     if (!this.#canOrder()) return;
     const engines = this.#listEngines();
     const lags = new Map(
-      listModels(engines).map((model) => [model, this.#getLag(model)] as const),
+      listModels(engines).map((model) =>
+        [model, this.#getVersionLag(model)] as const
+      ),
+    );
+    this.#assignModels(engines, lags);
+    this.#maxConcurrentLoads = Math.max(
+      1,
+      Math.round(engines.length * MAX_LOADING_FRACTION),
     );
-    this.#assign(engines, lags);
-    this.#most = Math.max(1, Math.round(engines.length * LOADING_SHARE));
     const due = listDueLoads.listDueLoads({
       engines,
-      turns: this.#turns,
+      parities: this.#parities,
       versions: this.#options.machine.getVersions(),
       lags,
       getVersion: (engine, model) =>
         this.#options.engines.getVersion(engine, model),
     });
     for (const load of due) {
-      if (this.#lanes.count() >= this.#most) return;
-      if (!this.#busy.has(load.engine.lifetime)) void this.#runLoad(load);
+      if (this.#loads.countRunning() >= this.#maxConcurrentLoads) return;
+      if (!this.#busyEngines.has(load.engine.lifetime)) {
+        void this.#runLoad(load);
+      }
     }
   }
 
   /** Assigns the engines to the models, by how far steps of each may lag. */
-  #assign(
+  #assignModels(
     engines: readonly registry.RegisteredServer[],
     lags: ReadonlyMap<string, number>,
   ): void {
-    const wanted = new Map(
+    const engineCounts = new Map(
       [...lags].map(([model, lag]) => [
         model,
-        assignEngines.countWantedEngines(engines.length, lags.size, lag),
+        assignEngines.countDesiredEngines(engines.length, lags.size, lag),
       ]),
     );
-    this.#homes = assignEngines.assignEngines({
+    this.#engineModels = assignEngines.assignEngines({
       engines: engines.map((engine) => engine.id),
-      wanted,
-      before: this.#homes,
+      engineCounts: engineCounts,
+      previous: this.#engineModels,
     });
     const byId = new Map(engines.map((engine) => [engine.id, engine]));
-    this.#turns = assignTurns.assignTurns({
+    this.#parities = assignParities.assignParities({
       models: [...lags.keys()],
-      homes: this.#homes,
-      before: this.#turns,
+      engineModels: this.#engineModels,
+      previous: this.#parities,
       getVersion: (id, model) => {
         const engine = byId.get(id);
         if (engine === undefined) return 0;
@@ -136,14 +143,14 @@
   /** Engines, those with the fewest runs first. */
   #listEngines(): readonly registry.RegisteredServer[] {
     const { servers, engines, isService } = this.#options;
-    return listEngines.listEngines(servers, isService)
+    return listReadyEngines.listReadyEngines(servers, isService)
       .toSorted((a, b) =>
         engines.getRunning(a.lifetime) - engines.getRunning(b.lifetime)
       );
   }
 
   /** Versions that the newest submission of a model allowed to lag. */
-  #getLag(model: string): number {
+  #getVersionLag(model: string): number {
     const record = this.#options.machine.listAll().findLast((other) =>
       other.submission.model === model
     );
@@ -153,29 +160,35 @@
 
   async #runLoad(load: listDueLoads.DueLoad): Promise<void> {
     const { engine } = load;
-    this.#busy.add(engine.lifetime);
-    let isSeen = false;
+    this.#busyEngines.add(engine.lifetime);
+    let isObserved = false;
     try {
-      isSeen = await this.#load(load);
+      isObserved = await this.#orderLoad(load);
     } finally {
-      this.#lanes.end(engine.lifetime, isSeen);
-      this.#busy.delete(engine.lifetime);
+      this.#loads.end(engine.lifetime, isObserved);
+      this.#busyEngines.delete(engine.lifetime);
       this.#options.engines.setLoading(engine.lifetime, undefined);
       this.#options.onLoaded();
     }
   }
 
   /** @returns Whether the load was seen from its order to its end. */
-  async #load(load: listDueLoads.DueLoad): Promise<boolean> {
+  async #orderLoad(load: listDueLoads.DueLoad): Promise<boolean> {
     const { clock, dialect, engines, duty, log, metrics } = this.#options;
     const { engine, model, version } = load;
-    if (!this.#orders.has(engine.lifetime) && !await this.#refresh(load)) {
-      await clocks.sleep(clock, REFUSED_MS);
+    if (
+      !this.#orderCounts.has(engine.lifetime) &&
+      !await this.#refreshReport(load)
+    ) {
+      await clocks.sleep(clock, RETRY_DELAY_MS);
       return false;
     }
     if (engines.getVersion(engine, model) >= version) return false;
-    if (!this.#canOrder() || this.#lanes.count() >= this.#most) return false;
-    this.#lanes.begin(engine.lifetime);
+    if (
+      !this.#canOrder() ||
+      this.#loads.countRunning() >= this.#maxConcurrentLoads
+    ) return false;
+    this.#loads.begin(engine.lifetime);
     engines.setLoading(engine.lifetime, model);
     this.#options.onLoading(engine, model);
     const order: dialects.VersionOrder = {
@@ -183,8 +196,8 @@
       version,
       holder: duty.getName(),
       fence: duty.getFence(),
-      letsRunsEnd: this.#hasSingleVersion(model),
-      expectedOrders: this.#orders.get(engine.lifetime),
+      letsRunsEnd: this.#hasSingleVersionSubmission(model),
+      expectedOrders: this.#orderCounts.get(engine.lifetime),
     };
     const outcome = await orderClients.sendOrder(engine, order, dialect);
     metrics.countOrder(outcome.kind);
@@ -200,20 +213,20 @@
     });
     switch (outcome.kind) {
       case "taken":
-        await clocks.sleep(clock, this.#lanes.getLoadMs());
+        await clocks.sleep(clock, this.#loads.getExpectedLoadMs());
         return await this.#awaitLoaded(load);
       case "held":
         engines.prove(engine.lifetime, model, version);
         return false;
       case "refused":
-        this.#orders.delete(engine.lifetime);
-        if (outcome.isOther) this.#options.servers.markAbsent(engine);
-        await clocks.sleep(clock, REFUSED_MS);
+        this.#orderCounts.delete(engine.lifetime);
+        if (outcome.isMisdirected) this.#options.servers.markAbsent(engine);
+        await clocks.sleep(clock, RETRY_DELAY_MS);
         return false;
       case "reborn":
         // The later start tells what it holds by its report.
-        this.#orders.delete(engine.lifetime);
-        await this.#refresh(load);
+        this.#orderCounts.delete(engine.lifetime);
+        await this.#refreshReport(load);
         return false;
       case "unanswered":
         await this.#awaitLoaded(load);
@@ -222,7 +235,7 @@
   }
 
   /** Whether an open submission wants texts of one version. */
-  #hasSingleVersion(model: string): boolean {
+  #hasSingleVersionSubmission(model: string): boolean {
     return this.#options.machine.listAll().some((record) =>
       !record.isEnded && record.submission.terms.isSingleVersion &&
       record.submission.model === model
@@ -232,22 +245,22 @@
   /** Reads the engine's state until it holds the version or patience ends. */
   async #awaitLoaded(load: listDueLoads.DueLoad): Promise<boolean> {
     const { clock, engines, servers } = this.#options;
-    const endMs = clock.getMonotonicMs() + ORDER_PATIENCE_MS;
+    const endMs = clock.getMonotonicMs() + LOAD_TIMEOUT_MS;
     while (clock.getMonotonicMs() < endMs && !this.#isStopped) {
       const current = servers.get(load.engine.id);
       const isReplaced = current?.lifetime !== load.engine.lifetime;
       if (isReplaced || current?.phase !== "ready") return false;
-      await this.#refresh(load);
+      await this.#refreshReport(load);
       const held = engines.getVersion(load.engine, load.model);
       if (held >= load.version) return true;
-      await clocks.sleep(clock, REPORT_MS);
+      await clocks.sleep(clock, POLL_INTERVAL_MS);
     }
-    this.#orders.delete(load.engine.lifetime);
+    this.#orderCounts.delete(load.engine.lifetime);
     return false;
   }
 
   /** Reads what an engine holds; false when it could not be read. */
-  async #refresh(load: listDueLoads.DueLoad): Promise<boolean> {
+  async #refreshReport(load: listDueLoads.DueLoad): Promise<boolean> {
     const { engines } = this.#options;
     const { engine } = load;
     const reading = await orderClients.readReport(
@@ -255,10 +268,10 @@
       this.#options.dialect,
     );
     if (reading.kind !== "ok") {
-      this.#noteUnread(engine, reading);
+      this.#handleReadFailure(engine, reading);
       return false;
     }
-    this.#orders.set(engine.lifetime, reading.value.orders);
+    this.#orderCounts.set(engine.lifetime, reading.value.orders);
     if (reading.value.isBusy) return true;
     for (const { name, version } of reading.value.models) {
       engines.prove(engine.lifetime, name, version);
@@ -267,12 +280,12 @@
   }
 
   /** What was known of its orders may not hold any more. */
-  #noteUnread(
+  #handleReadFailure(
     engine: registry.RegisteredServer,
     reading: Exclude<orderClients.EngineReading, { kind: "ok" }>,
   ): void {
     const { log, servers, refusedReports } = this.#options;
-    this.#orders.delete(engine.lifetime);
+    this.#orderCounts.delete(engine.lifetime);
     switch (reading.kind) {
       case "reborn":
         log.write("info", "engine.reborn", {
--- a/src/weight_rollout/plan_orders.ts
+++ b/src/weight_rollout/plan_orders.ts
@@ -35,7 +35,7 @@
 }
 
 /** An adapter is named `base:name`. */
-function createLoad(target: WeightTarget): engines.OrderAction {
+function createLoadAction(target: WeightTarget): engines.OrderAction {
   const kind = target.model.includes(":") ? "loadAdapter" : "load";
   return { kind, model: target.model, weightVersion: target.weightVersion };
 }
@@ -48,15 +48,15 @@
   if (engine.role !== engine.wantedRole) {
     return { engineId, action: { kind: "setRole", role: engine.wantedRole } };
   }
-  const [behind] = targets
+  const [mostOutdated] = targets
     .map((target) => ({
       target,
       lag: target.weightVersion - (engine.models.get(target.model) ?? 0),
     }))
     .filter((entry) => entry.lag > 0)
     .sort((a, b) => b.lag - a.lag);
-  if (behind === undefined) return undefined;
-  return { engineId, action: createLoad(behind.target) };
+  if (mostOutdated === undefined) return undefined;
+  return { engineId, action: createLoadAction(mostOutdated.target) };
 }
 
 /**
