--- a/src/consensus/replica_driver.ts
+++ b/src/consensus/replica_driver.ts
@@ -24,7 +24,7 @@
 /** Interval between checks for a leader, in ms. */
 const LEADER_CHECK_MS = 1_000;
 
-/** Runs a replica: executes its effects and feeds it messages and timer ticks. */
+/** Runs a replica: executes its effects and passes it messages and ticks. */
 export class ReplicaDriver {
   readonly #options: replicaOptions.ReplicaDriverOptions;
   readonly #writer: durableWriters.DurableWriter;
