--- a/src/consensus/replica_driver.ts
+++ b/src/consensus/replica_driver.ts
@@ -292,9 +292,8 @@
   }
 
   /**
-   * Replaces the log with a snapshot. If the same batch admits the replica, its
-   * identity is saved as not admitted here: a power failure before the remaining
-   * writes would otherwise leave a voter that lacks committed entries.
+   * Replaces the log with a snapshot. An admission in the same batch is saved only
+   * afterwards: a power failure must not leave a voter without committed entries.
    */
   *#persistSnapshot(
     snapshot: messages.Snapshot,
