--- a/src/fleet_daemon/box_parts.ts
+++ b/src/fleet_daemon/box_parts.ts
@@ -101,7 +101,7 @@
     crashGuard,
     loads: new forwarding.ServerLoads(clock),
     failureDomain: settings.box.failureDomain,
-    weighsLoad: true,
+    isLoadAware: true,
   });
   return { ...shared, crashGuard, forwarder, link };
 }
--- a/src/fleet_daemon/caller_calls.ts
+++ b/src/fleet_daemon/caller_calls.ts
@@ -217,11 +217,11 @@
       priority: getPriority(sender, route),
       targetAtMs: routed.arrivedAtMs + route.targetLatencyMs,
       deadlineAtMs: routed.deadlineAtMs,
-      attempts: route.attempts,
+      maxAttempts: route.attempts,
       isRepeatable: route.kind === "repeatable",
       retriesErrors: true,
       hedgeMs: Math.max(MIN_HEDGE_MS, route.targetLatencyMs * HEDGE_SHARE),
-      onBegun: (begunAtMs) => this.#countUsage(sender, begunAtMs),
+      onStarted: (begunAtMs) => this.#countUsage(sender, begunAtMs),
       cancellation,
     });
     this.#note(routed, outcome);
