--- a/src/consensus/_election.ts
+++ b/src/consensus/_election.ts
@@ -1,24 +1,24 @@
 import * as authorities from "./leader_lease.ts";
 import * as electionDelays from "./_election_delay.ts";
 import * as formerLeaders from "./_former_leader.ts";
-import * as latenesses from "./_lateness.ts";
+import * as heartbeatGaps from "./_heartbeat_gap.ts";
 import type * as messages from "./message.ts";
 import * as replicaLogs from "./replica_log.ts";
 import * as replications from "./_replication.ts";
 import * as replicaStates from "./replica_state.ts";
 
 /** Draws the next election time: one to two election timeouts from now. */
-export function resetElection(
+export function resetElectionTimer(
   state: replicaStates.ReplicaState,
   nowMs: number,
 ): replicaStates.ReplicaState {
-  if (formerLeaders.canHurry(state, nowMs)) {
+  if (formerLeaders.canStartEarlyElection(state, nowMs)) {
     const waitMs = state.config.electionTimeoutMs *
-      formerLeaders.HURRY_SHARE;
+      formerLeaders.EARLY_ELECTION_FRACTION;
     return { ...state, electionAtMs: nowMs + waitMs };
   }
   const { seed, electionTimeoutMs } = state.config;
-  const electionAtMs = nowMs + latenesses.getPatienceMs(state) +
+  const electionAtMs = nowMs + heartbeatGaps.getExtraDelayMs(state) +
     electionDelays.drawDelay(seed, state.electionDelayCount, electionTimeoutMs);
   return {
     ...state,
@@ -74,7 +74,7 @@
   nowMs: number,
 ): replicaStates.Transition {
   const votes = new Set([state.config.id]);
-  const next = resetElection(
+  const next = resetElectionTimer(
     { ...state, role: { kind: "preCandidate", votes } },
     nowMs,
   );
@@ -95,13 +95,13 @@
   const term = state.term + 1;
   const votes = new Set([state.config.id]);
   const votedFor = state.config.id;
-  const next = resetElection(
+  const next = resetElectionTimer(
     { ...state, term, votedFor, role: { kind: "candidate", votes } },
     nowMs,
   );
   const save: replicaStates.Effect = { kind: "saveVote", term, votedFor };
   if (votes.size >= replicaStates.getQuorumSize(state)) {
-    const won = startLeading(next, nowMs);
+    const won = startLeadership(next, nowMs);
     return { state: won.state, effects: [save, ...won.effects] };
   }
   return {
@@ -110,7 +110,7 @@
   };
 }
 
-function startLeading(
+function startLeadership(
   state: replicaStates.ReplicaState,
   nowMs: number,
 ): replicaStates.Transition {
@@ -174,7 +174,7 @@
   nowMs: number,
 ): messages.VoteRefusal | undefined {
   const isBlocked = !request.isTransfer && hasRecentLeader(state, nowMs) &&
-    !formerLeaders.isOwnLeader(state, from);
+    !formerLeaders.isKnownLeader(state, from);
   if (isBlocked) return "leaderHeard";
   if (request.term < state.term) return "oldTerm";
   return state.identity.isAdmitted ? undefined : "notAdmitted";
@@ -218,7 +218,7 @@
     );
     return { ...refused, effects: [...entered.effects, ...refused.effects] };
   }
-  const voted = resetElection({ ...current, votedFor: from }, nowMs);
+  const voted = resetElectionTimer({ ...current, votedFor: from }, nowMs);
   return {
     state: voted,
     effects: [
@@ -287,7 +287,7 @@
   }
   return reply.isPreVote
     ? startElection(counted, nowMs)
-    : startLeading(counted, nowMs);
+    : startLeadership(counted, nowMs);
 }
 
 /**
--- a/src/consensus/_membership.ts
+++ b/src/consensus/_membership.ts
@@ -7,7 +7,7 @@
 const NO_EFFECTS: readonly replicaStates.Effect[] = [];
 
 /** Keeps progress of exactly the replicas that a leader feeds now. */
-function renewProgress(
+function updateProgress(
   state: replicaStates.ReplicaState,
 ): replicaStates.ReplicaState {
   const { role } = state;
@@ -32,11 +32,11 @@
   const isSame = learners.length === state.learners.length &&
     learners.every((id) => state.learners.includes(id));
   if (isSame) return { state, effects: NO_EFFECTS };
-  const renewed = renewProgress({ ...state, learners });
-  if (renewed.role.kind !== "leader") {
-    return { state: renewed, effects: NO_EFFECTS };
+  const updated = updateProgress({ ...state, learners });
+  if (updated.role.kind !== "leader") {
+    return { state: updated, effects: NO_EFFECTS };
   }
-  return replications.sendAppends(renewed, nowMs);
+  return replications.sendAppends(updated, nowMs);
 }
 
 /**
@@ -59,7 +59,7 @@
   };
   const log = replicaLogs.appendEntries(state.log, [entry]);
   const sent = replications.sendAppends(
-    renewProgress({ ...state, log }),
+    updateProgress({ ...state, log }),
     nowMs,
   );
   return {
--- a/src/consensus/initialize_data_folder.ts
+++ b/src/consensus/initialize_data_folder.ts
@@ -34,7 +34,7 @@
     await log.append(
       voters === undefined
         ? [{ kind: "identity", identity }]
-        : savedRecords.createFounding(voters, wallMs),
+        : savedRecords.createBootstrapRecords(voters, wallMs),
     );
   }
   await log.close();
--- a/src/consensus/replica_driver.ts
+++ b/src/consensus/replica_driver.ts
@@ -2,11 +2,11 @@
 import * as csp from "../csp/mod.ts";
 import type * as results from "../results/mod.ts";
 import type * as storage from "../storage/mod.ts";
-import * as appliedMachines from "./_applied_machine.ts";
-import * as noticeTellers from "./_notice_teller.ts";
+import * as appliedMachines from "./_log_applier.ts";
+import * as noticeTellers from "./_notice_reporter.ts";
 import * as driverEvents from "./_driver_event.ts";
 import * as durableWriters from "./_durable_writer.ts";
-import * as logCutters from "./_log_cutter.ts";
+import * as logCutters from "./_log_compactor.ts";
 import * as openReplicas from "./_open_replica.ts";
 import * as savedRecords from "./_saved_record.ts";
 import * as proposalTables from "./_proposals.ts";
@@ -32,12 +32,12 @@
   readonly #proposals = new proposalTables.ProposalTable();
   readonly #timer: tickTimers.TickTimer;
   #state: replicaStates.ReplicaState;
-  readonly #applied: appliedMachines.AppliedMachine;
+  readonly #applied: appliedMachines.LogApplier;
   #isStopped = false;
   #running: Promise<void> = Promise.resolve();
   readonly #snapshots: snapshotTransfers.SnapshotExchange;
-  readonly #compactor: logCutters.LogCutter;
-  readonly #notices: noticeTellers.NoticeTeller;
+  readonly #compactor: logCutters.LogCompactor;
+  readonly #notices: noticeTellers.NoticeReporter;
   readonly #suspensions: clocks.SuspensionWatch;
 
   private constructor(
@@ -49,7 +49,7 @@
     this.#suspensions = new clocks.SuspensionWatch(options.clock);
     this.#writer = new durableWriters.DurableWriter(log, options.clock);
     this.#state = state;
-    this.#compactor = new logCutters.LogCutter({
+    this.#compactor = new logCutters.LogCompactor({
       ...options,
       writer: this.#writer,
       snapshotIndex: state.log.snapshotIndex,
@@ -63,12 +63,12 @@
     this.#timer = new tickTimers.TickTimer(options.clock, () => {
       this.#enqueue({ kind: "tick" });
     });
-    this.#applied = new appliedMachines.AppliedMachine(
+    this.#applied = new appliedMachines.LogApplier(
       options.stateMachine,
       this.#proposals,
       state.log,
     );
-    this.#notices = new noticeTellers.NoticeTeller(options, state);
+    this.#notices = new noticeTellers.NoticeReporter(options, state);
   }
 
   /**
@@ -112,7 +112,7 @@
 
   /** Returns the index of the last applied entry. */
   getAppliedIndex(): number {
-    return this.#applied.getIndex();
+    return this.#applied.getAppliedIndex();
   }
 
   /** Returns the id of the leader, or undefined if it is unknown. */
@@ -148,7 +148,11 @@
 
   /** Accepts a message from another replica; drops it if the inbox is full. */
   receive(from: string, message: messages.DriverMessage): void {
-    const complete = this.#snapshots.take(from, message, this.#state.term);
+    const complete = this.#snapshots.handleMessage(
+      from,
+      message,
+      this.#state.term,
+    );
     if (complete === undefined) return;
     this.#enqueue({ kind: "message", from, message: complete });
   }
@@ -188,7 +192,7 @@
     this.#inbox.close();
     this.#writer.stop();
     await this.#running;
-    await this.#compactor.settle();
+    await this.#compactor.waitUntilIdle();
     await this.#writer.close();
   }
 
@@ -223,16 +227,16 @@
     for (;;) {
       const first = yield* this.#inbox.take();
       if (first === csp.CLOSED) return;
-      const batch = driverEvents.collectRound(this.#inbox, first);
+      const batch = driverEvents.collectBatch(this.#inbox, first);
       const effects = this.#processBatch(batch);
       yield* this.#persistEffects(effects);
       if (this.#isStopped) return;
       for (const effect of effects) this.#executeEffect(effect);
-      this.#state = yield* this.#compactor.cut(
+      this.#state = yield* this.#compactor.compact(
         this.#state,
         this.#snapshots.findNeededIndex(this.#state),
       );
-      this.#compactor.startDraft(this.#applied, this.#state.log);
+      this.#compactor.startSnapshot(this.#applied, this.#state.log);
       this.#notices.observe(this.#state, this.hasAuthority());
       this.#scheduleTick();
     }
@@ -242,7 +246,7 @@
     batch: readonly driverEvents.DriverEvent[],
   ): readonly replicaStates.Effect[] {
     const proposals = batch.filter((event) => event.kind === "proposal");
-    if (this.#state.role.kind !== "leader") this.#snapshots.drop();
+    if (this.#state.role.kind !== "leader") this.#snapshots.pause();
     const effects = batch.flatMap((event) =>
       event.kind === "replica" ? this.#step(event.event) : []
     );
@@ -258,7 +262,7 @@
     if (
       role.kind !== "leader" || replicaStates.isHandingOver(this.#state, nowMs)
     ) {
-      proposalTables.refuseProposals(proposals, this.getLeader());
+      proposalTables.rejectProposals(proposals, this.getLeader());
       return [];
     }
     const firstIndex = replicaLogs.getLastIndex(this.#state.log) + 1;
@@ -270,7 +274,7 @@
   }
 
   #step(event: replicaStates.ReplicaEvent): readonly replicaStates.Effect[] {
-    this.#notices.noteEvent(this.#state, event);
+    this.#notices.recordEvent(this.#state, event);
     const nowMs = this.#options.clock.getMonotonicMs();
     const transition = stepReplica.stepReplica(this.#state, event, nowMs);
     this.#state = transition.state;
@@ -329,7 +333,7 @@
         return this.#snapshots.send(effect.to, this.#state.term);
       case "commit":
         for (const entry of effect.entries) this.#applied.apply(entry);
-        this.#compactor.add(effect.entries);
+        this.#compactor.recordApplied(effect.entries);
     }
   }
 }
--- a/src/consensus/simulated_node_test.ts
+++ b/src/consensus/simulated_node_test.ts
@@ -91,7 +91,7 @@
     disk: founders.includes(config.id)
       ? {
         snapshot: undefined,
-        records: savedRecords.createFounding(founders, 0),
+        records: savedRecords.createBootstrapRecords(founders, 0),
       }
       : createEmptyDisk(0),
     suspendedUntilMs: 0,
--- a/src/consensus/snapshot_transfer_test.ts
+++ b/src/consensus/snapshot_transfer_test.ts
@@ -40,10 +40,10 @@
       turn += 1;
       if (message.kind !== "snapshotPart") continue;
       if (losses[turn % losses.length] === true) continue;
-      const { reply, whole } = receiver.take(message);
+      const { reply, whole } = receiver.addPart(message);
       if (whole !== undefined) arrived.push(whole);
       if (losses[(turn * 7) % losses.length] !== true) {
-        sender.takeReply("b", reply, 3);
+        sender.handleReply("b", reply, 3);
       }
     }
     clock.extendBy(100);
@@ -88,10 +88,12 @@
 
   it("leave parts of an earlier transfer out", () => {
     const receiver = new transfers.SnapshotReceiver();
-    receiver.take(createPart("x", 0));
-    chai.expect(receiver.take(createPart("y", 1)).reply.received).to.equal(0);
-    receiver.take(createPart("y", 0));
-    const { whole } = receiver.take(createPart("y", 1));
+    receiver.addPart(createPart("x", 0));
+    chai.expect(receiver.addPart(createPart("y", 1)).reply.received).to.equal(
+      0,
+    );
+    receiver.addPart(createPart("y", 0));
+    const { whole } = receiver.addPart(createPart("y", 1));
     chai.expect(whole?.snapshot.state).to.deep.equal(["y0", "y1"]);
   });
 });
--- a/src/consensus/step_replica.ts
+++ b/src/consensus/step_replica.ts
@@ -5,7 +5,7 @@
 import * as handovers from "./_handover.ts";
 import * as memberships from "./_membership.ts";
 import * as replications from "./_replication.ts";
-import * as heartbeatGaps from "./_lateness.ts";
+import * as heartbeatGaps from "./_heartbeat_gap.ts";
 import type * as messages from "./message.ts";
 import * as replicaLogs from "./replica_log.ts";
 import * as replicaStates from "./replica_state.ts";
@@ -62,7 +62,7 @@
       earlyElectionUntilMs,
     },
   };
-  return elections.resetElection(state, nowMs);
+  return elections.resetElectionTimer(state, nowMs);
 }
 
 /**
@@ -127,7 +127,7 @@
     ...state,
     role: { kind: "follower" },
   };
-  return { state: elections.resetElection(follower, nowMs), effects: [] };
+  return { state: elections.resetElectionTimer(follower, nowMs), effects: [] };
 }
 
 function handleMessage(
@@ -196,11 +196,11 @@
 ): replicaStates.Transition {
   if (message.term < state.term) return rejectStaleLeader(state, from, message);
   const entered = elections.enterTerm(state, message.term, from);
-  const updated = elections.resetElection(
+  const updated = elections.resetElectionTimer(
     {
       ...entered.state,
       leaderContactAtMs: nowMs,
-      heartbeatGap: heartbeatGaps.noteLateness(state, message.term, nowMs),
+      heartbeatGap: heartbeatGaps.recordHeartbeat(state, message.term, nowMs),
     },
     nowMs,
   );
--- a/src/fleet/_known_digest.ts
+++ b/src/fleet/_state_digest.ts
@@ -11,7 +11,7 @@
  * @param servers All remembered servers.
  * @returns The digest.
  */
-export function computeKnownDigest(
+export function computeStateDigest(
   boxes: readonly boxRecords.BoxRecord[],
   servers: readonly registry.ServerReport[],
 ): string {
@@ -20,7 +20,7 @@
   const lines = [
     ...boxes.map((box) => `${box.id} ${boxRecords.describeContent(box)}`),
     ...present.map((server) =>
-      `${server.id} ${registry.describeContent(server)}`
+      `${server.id} ${registry.createContentKey(server)}`
     ),
   ];
   return crypto.createHash("sha1").update(lines.toSorted().join("\n"))
--- a/src/replica_group/simulated_disk_test.ts
+++ b/src/replica_group/simulated_disk_test.ts
@@ -51,7 +51,7 @@
 
   /** Writes what a founding voter begins with. */
   found(voters: readonly string[]): void {
-    this.#records = [...savedRecords.createFounding(voters, 0)];
+    this.#records = [...savedRecords.createBootstrapRecords(voters, 0)];
     this.#summary = undefined;
   }
 
