--- a/src/audit_trail/audit_record.ts
+++ b/src/audit_trail/audit_record.ts
@@ -1,36 +1,37 @@
-/** One accepted change. */
+/** An accepted change. */
 export interface AuditRecord {
-  /** Configuration revision that the change made. */
+  /** Configuration revision created by the change. */
   readonly revision: number;
-  /** Leader's wall time at acceptance, in ms since the epoch. */
+  /** Wall time of the leader at acceptance, in ms since the epoch. */
   readonly atMs: number;
   readonly account: string;
-  /** Name of the template, or undefined for a change of the account. */
+  /** Name of the rollout template; undefined for a change of the account. */
   readonly template: string | undefined;
   readonly operator: string;
   readonly requestId: string;
-  /** Values before, as JSON text; undefined when created. */
+  /** Previous values as JSON; undefined for a creation. */
   readonly before: string | undefined;
+  /** New values as JSON. */
   readonly after: string;
 }
 
-/** Which records to list. */
+/** Criteria for audit records; all given ones must match. */
 export interface AuditFilter {
   readonly account?: string | undefined;
   readonly template?: string | undefined;
   readonly operator?: string | undefined;
-  /** Only records after this revision. */
+  /** Exclusive lower bound of the revision. */
   readonly afterRevision?: number | undefined;
-  /** Only records from this wall time on, in ms. */
+  /** Inclusive lower bound of the wall time, in ms since the epoch. */
   readonly fromMs?: number | undefined;
 }
 
 /**
- * Tells whether a record passes a filter.
+ * Tells whether a record matches a filter.
  *
  * @param record The record.
- * @param filter The filter; what it leaves out passes.
- * @returns Whether it passes.
+ * @param filter The filter; omitted criteria match every record.
+ * @returns Whether the record matches.
  */
 export function matchRecord(record: AuditRecord, filter: AuditFilter): boolean {
   if (filter.account !== undefined && record.account !== filter.account) {
--- a/src/audit_trail/mod.ts
+++ b/src/audit_trail/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The audit trail: who changed what, when, from what to what.
+ * Audit trail: records of accepted changes to accounts and rollout templates.
  *
  * @example
  * ```ts
--- a/src/call_claim/call_claim.ts
+++ b/src/call_claim/call_claim.ts
@@ -1,28 +1,29 @@
-/** An answer that is kept to be given again. */
+/** An answer stored for repeated requests. */
 export interface StoredAnswer {
   readonly status: number;
   readonly contentType: string;
   readonly bodyBase64: string;
 }
 
-/** How far a claimed call is. */
+/** State of a claimed call. */
 export type ClaimState =
   | { readonly kind: "pending" }
   | { readonly kind: "answered"; readonly answer: StoredAnswer }
-  /** It was sent and no whole answer came; it may have run. */
+  /** Sent without receiving a complete answer; it may have been executed. */
   | { readonly kind: "unknown" };
 
-/** A claim on a call that must not be repeated. */
+/** A claim on a call that must run at most once. */
 export interface CallClaim {
-  /** Digest of method, path and body; a key serves one call only. */
+  /** Digest of method, path and body; detects a key reused for another call. */
   readonly digest: string;
   /** Id of the attempt that holds the claim. */
   readonly claimId: string;
+  /** Wall time of the claim, in ms since the epoch. */
   readonly atMs: number;
   readonly state: ClaimState;
 }
 
-/** What became of an attempt to claim a call. */
+/** Outcome of an attempt to claim a call. */
 export type ClaimDecision =
   | { readonly kind: "claimed"; readonly claim: CallClaim }
   | { readonly kind: "answered"; readonly answer: StoredAnswer }
@@ -31,41 +32,41 @@
   | { readonly kind: "keyReused" };
 
 /**
- * Decides on a claim: the first attempt holds it until it is released.
+ * Decides on a claim. The first attempt holds it until it is released.
  *
- * @param held The claim now, if any.
- * @param wanted The claim asked for.
- * @returns The decision; `claimed` again for the attempt that holds it.
+ * @param current The current claim, if any.
+ * @param requested The requested claim.
+ * @returns The decision; `claimed` also for a repeat by the attempt that holds it.
  */
 export function decideClaim(
-  held: CallClaim | undefined,
-  wanted: CallClaim,
+  current: CallClaim | undefined,
+  requested: CallClaim,
 ): ClaimDecision {
-  if (held === undefined) return { kind: "claimed", claim: wanted };
-  if (held.digest !== wanted.digest) return { kind: "keyReused" };
-  switch (held.state.kind) {
+  if (current === undefined) return { kind: "claimed", claim: requested };
+  if (current.digest !== requested.digest) return { kind: "keyReused" };
+  switch (current.state.kind) {
     case "answered":
-      return { kind: "answered", answer: held.state.answer };
+      return { kind: "answered", answer: current.state.answer };
     case "unknown":
       return { kind: "unknown" };
     case "pending":
-      return held.claimId === wanted.claimId
-        ? { kind: "claimed", claim: held }
+      return current.claimId === requested.claimId
+        ? { kind: "claimed", claim: current }
         : { kind: "heldByOther" };
   }
 }
 
 /**
- * Tells whether an attempt holds a claim that is still pending.
+ * Tells whether an attempt holds a pending claim.
  *
- * @param held The claim now, if any.
- * @param claimId The attempt.
- * @returns Whether the attempt may end or release the claim.
+ * @param current The current claim, if any.
+ * @param claimId Id of the attempt.
+ * @returns Whether the attempt may finish or release the claim.
  */
-export function isPendingFor(
-  held: CallClaim | undefined,
+export function isPendingClaimOf(
+  current: CallClaim | undefined,
   claimId: string,
-): held is CallClaim {
-  return held !== undefined && held.claimId === claimId &&
-    held.state.kind === "pending";
+): current is CallClaim {
+  return current !== undefined && current.claimId === claimId &&
+    current.state.kind === "pending";
 }
--- a/src/call_claim/mod.ts
+++ b/src/call_claim/mod.ts
@@ -1,10 +1,15 @@
 /**
- * The call claim aggregate: a call that must not be repeated runs at most once.
+ * Call claims: ensure that a call with an idempotency key runs at most once.
  *
  * @example
  * ```ts
  * import * as claims from "../call_claim/mod.ts";
- * claims.decideClaim(undefined, { digest: "d", claimId: "a", atMs: 0, answer: undefined });
+ * claims.decideClaim(undefined, {
+ *   digest: "d",
+ *   claimId: "a",
+ *   atMs: 0,
+ *   state: { kind: "pending" },
+ * });
  * ```
  * @module
  */
--- a/src/change_check/check_change.ts
+++ b/src/change_check/check_change.ts
@@ -2,13 +2,13 @@
 import * as results from "../results/mod.ts";
 
 /**
- * Merges values onto an object and checks the whole against a schema. A null
- * removes a value.
+ * Merges a change into an object and validates the result against a schema. A
+ * null removes a value.
  *
- * @param schema What the whole must be.
- * @param current The object now, if any.
- * @param change The values to set.
- * @returns The whole, or `badParameters` naming each value that is wrong.
+ * @param schema Schema of the result.
+ * @param current The current object, if any.
+ * @param change Values to set or remove.
+ * @returns The merged object, or `badParameters` with each invalid value.
  */
 export function checkChange<T>(
   schema: z.ZodType<T>,
--- a/src/change_check/mod.ts
+++ b/src/change_check/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Checks of operators' changes against a schema.
+ * Validation of configuration changes by operators.
  *
  * @example
  * ```ts
--- a/src/control/box_table.ts
+++ b/src/control/box_table.ts
@@ -1,108 +1,109 @@
 import type * as protocols from "./protocol.ts";
 
-/** What the leader knows of one box. */
+/** State of one box as known to the leader. */
 export interface BoxRecord {
   readonly view: protocols.BoxView;
-  /** Revision that the box confirmed. */
+  /** Configuration revision that the box confirmed last. */
   readonly revision: number;
-  /** Leader's monotonic time until which the box may hold a lease, in ms. */
+  /** Monotonic time on the leader until which the box may hold a lease, in ms. */
   readonly leaseUntilMs: number;
 }
 
-/** All boxes that have synced with this leader. */
+/** Boxes that have synced with this leader. */
 export interface BoxTable {
   readonly records: ReadonlyMap<string, BoxRecord>;
-  /** When this leader began to lead, in ms. */
-  readonly leadSinceMs: number;
+  /** Monotonic time at which this leader was elected, in ms. */
+  readonly leaderSinceMs: number;
+  /** Duration of a lease, in ms. */
   readonly leaseMs: number;
 }
 
-/** Time for which a box without a lease is still listed, in leases. */
-const LISTED_LEASES = 30;
+/** Time for which a box without a lease stays in the table, in lease durations. */
+const RETENTION_LEASES = 30;
 
 /**
- * Notes what a box confirmed.
+ * Records a sync request of a box; its lease does not change.
  *
  * @param table The table.
- * @param view The box.
- * @param revision Revision that it holds.
- * @returns The table.
+ * @param view The box, as it describes itself.
+ * @param revision Configuration revision that the box confirmed.
+ * @returns The updated table.
  */
 export function recordSync(
   table: BoxTable,
   view: protocols.BoxView,
   revision: number,
 ): BoxTable {
-  const old = table.records.get(view.id);
-  const leaseUntilMs = old?.leaseUntilMs ?? 0;
+  const previous = table.records.get(view.id);
+  const leaseUntilMs = previous?.leaseUntilMs ?? 0;
   const record = { view, revision, leaseUntilMs };
   return { ...table, records: new Map([...table.records, [view.id, record]]) };
 }
 
 /**
- * Notes that a box is given a lease.
+ * Records that a box is granted a lease.
  *
  * @param table The table.
- * @param id The box.
- * @param nowMs Monotonic time, in ms.
- * @returns The table.
+ * @param id Id of the box; an unknown box is ignored.
+ * @param nowMs Current monotonic time, in ms.
+ * @returns The updated table.
  */
 export function grantLease(
   table: BoxTable,
   id: string,
   nowMs: number,
 ): BoxTable {
-  const old = table.records.get(id);
-  if (old === undefined) return table;
-  const record = { ...old, leaseUntilMs: nowMs + table.leaseMs };
+  const previous = table.records.get(id);
+  if (previous === undefined) return table;
+  const record = { ...previous, leaseUntilMs: nowMs + table.leaseMs };
   return { ...table, records: new Map([...table.records, [id, record]]) };
 }
 
 /**
- * Tells whether a revision is in force everywhere: every box confirmed it or
- * surely has no lease. A lease that an earlier leader gave ends within one
- * lease of this leader's start.
+ * Tells whether a revision is in force on all boxes: every box has confirmed it
+ * or can no longer hold a lease. Leases granted by an earlier leader expire
+ * within one lease duration of this leader's election.
  *
  * @param table The table.
- * @param revision The revision.
- * @param nowMs Monotonic time, in ms.
- * @returns Whether it is.
+ * @param revision The configuration revision.
+ * @param nowMs Current monotonic time, in ms.
+ * @returns Whether the revision is in force.
  */
 export function isInForce(
   table: BoxTable,
   revision: number,
   nowMs: number,
 ): boolean {
-  if (nowMs < table.leadSinceMs + table.leaseMs) return false;
+  if (nowMs < table.leaderSinceMs + table.leaseMs) return false;
   return [...table.records.values()].every((record) =>
     record.revision >= revision || record.leaseUntilMs < nowMs
   );
 }
 
 /**
- * Drops boxes that have had no lease for long.
+ * Removes boxes whose lease expired long ago.
  *
  * @param table The table.
- * @param nowMs Monotonic time, in ms.
- * @returns The table.
+ * @param nowMs Current monotonic time, in ms.
+ * @returns The updated table; the same object if nothing was removed.
  */
-export function dropSilent(table: BoxTable, nowMs: number): BoxTable {
-  const keepMs = table.leaseMs * LISTED_LEASES;
-  const kept = [...table.records].filter(([, record]) =>
-    record.leaseUntilMs + keepMs > nowMs
+export function removeExpiredBoxes(table: BoxTable, nowMs: number): BoxTable {
+  const retentionMs = table.leaseMs * RETENTION_LEASES;
+  const retained = [...table.records].filter(([, record]) =>
+    record.leaseUntilMs + retentionMs > nowMs
   );
-  if (kept.length === table.records.size) return table;
-  return { ...table, records: new Map(kept) };
+  if (retained.length === table.records.size) return table;
+  return { ...table, records: new Map(retained) };
 }
 
 /**
- * Lists the boxes that callers may be sent to.
+ * Lists the boxes that hold a lease and so may serve callers.
  *
  * @param table The table.
- * @param nowMs Monotonic time, in ms.
- * @returns Boxes with a lease, draining ones marked.
+ * @param nowMs Current monotonic time, in ms.
+ * @returns The boxes, including draining ones.
  */
-export function listLive(
+export function listLeasedBoxes(
   table: BoxTable,
   nowMs: number,
 ): readonly protocols.BoxView[] {
--- a/src/control/box_table_test.ts
+++ b/src/control/box_table_test.ts
@@ -18,7 +18,7 @@
 function createTable(): boxTables.BoxTable {
   const empty: boxTables.BoxTable = {
     records: new Map(),
-    leadSinceMs: 0,
+    leaderSinceMs: 0,
     leaseMs: LEASE_MS,
   };
   const synced = ["a", "b"].reduce(
@@ -31,36 +31,36 @@
   );
 }
 
-describe("in force", () => {
-  it("needs every box with a lease to have confirmed the revision", () => {
-    const one = boxTables.recordSync(createTable(), createView("a"), 2);
-    chai.expect(boxTables.isInForce(one, 2, 200)).to.equal(false);
+describe("box table", () => {
+  it("reports a revision in force once every leased box confirmed it", () => {
+    const updated = boxTables.recordSync(createTable(), createView("a"), 2);
+    chai.expect(boxTables.isInForce(updated, 2, 200)).to.equal(false);
     chai.expect(
       boxTables.isInForce(
-        boxTables.recordSync(one, createView("b"), 2),
+        boxTables.recordSync(updated, createView("b"), 2),
         2,
         200,
       ),
     ).to.equal(true);
   });
 
-  it("holds once the lease of a silent box has surely run out", () => {
+  it("reports a revision in force once the lease of a silent box has expired", () => {
     const one = boxTables.recordSync(createTable(), createView("a"), 2);
     chai.expect(boxTables.isInForce(one, 2, 250)).to.equal(false);
     chai.expect(boxTables.isInForce(one, 2, 251)).to.equal(true);
   });
 
-  it("waits out the leases that an earlier leader gave", () => {
+  it("waits for leases of an earlier leader to expire", () => {
     const fresh: boxTables.BoxTable = {
       records: new Map(),
-      leadSinceMs: 1_000,
+      leaderSinceMs: 1_000,
       leaseMs: LEASE_MS,
     };
     chai.expect(boxTables.isInForce(fresh, 1, 1_099)).to.equal(false);
     chai.expect(boxTables.isInForce(fresh, 1, 1_100)).to.equal(true);
   });
 
-  it("never takes a box's configuration back to an older revision", () => {
+  it("ignores a configuration change with an older revision", () => {
     const change = {
       revision: 5,
       accounts: [],
--- a/src/control/control_service.ts
+++ b/src/control/control_service.ts
@@ -9,27 +9,29 @@
 import type * as settings from "../settings/mod.ts";
 import * as leaderSessions from "./leader_session.ts";
 import * as protocols from "./protocol.ts";
-import * as stateMachines from "./state_machine.ts";
+import * as stateMachines from "./control_state_machine.ts";
 
-const MAX_AUDIT_REPLY = 1_000;
-const REFRESH_MS = 100;
-const RESIGN_MS = 1_000;
-const RESIGN_TRY_MS = 20;
+/** Maximum number of audit records in a reply. */
+const MAX_AUDIT_RECORDS = 1_000;
+const REFRESH_INTERVAL_MS = 100;
+const RESIGN_TIMEOUT_MS = 1_000;
+const RESIGN_RETRY_DELAY_MS = 20;
 
-/** What a control service needs. */
+/** Options of a control service. */
 export interface ControlServiceOptions {
   readonly settings: settings.Settings;
   readonly control: settings.ControlSettings;
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly server: rpc.RpcServer;
+  /** Called when the replica cannot continue. */
   readonly onFatal: (error: unknown) => void;
 }
 
-/** A replica of the state, and the leader's services while it leads. */
+/** Runs a replica of the control state and serves its RPC methods. */
 export class ControlService {
   readonly #options: ControlServiceOptions;
-  readonly #machine: stateMachines.StateMachine;
+  readonly #stateMachine: stateMachines.ControlStateMachine;
   readonly #changed = new csp.Signal();
   readonly #peers: ReadonlyMap<string, rpc.RpcClient>;
   #driver: consensus.ReplicaDriver | undefined;
@@ -38,7 +40,7 @@
 
   constructor(options: ControlServiceOptions) {
     this.#options = options;
-    this.#machine = new stateMachines.StateMachine(() =>
+    this.#stateMachine = new stateMachines.ControlStateMachine(() =>
       this.#changed.notify()
     );
     const { replicas, box } = options.settings;
@@ -48,7 +50,7 @@
     );
   }
 
-  /** Opens the data folder and starts to take part. */
+  /** Opens the data folder, starts the replica and registers its methods. */
   async start(): Promise<void> {
     const { settings: { box, replicas }, control, clock, onFatal } =
       this.#options;
@@ -63,25 +65,25 @@
       },
       clock,
       dataFolder: control.dataFolder,
-      machine: this.#machine,
+      machine: this.#stateMachine,
       snapshotEntries: control.snapshotEntries,
       send: (to, message) => this.#sendMessage(to, message),
       onFatal,
     });
-    this.#addMethods();
-    this.#startRefresh();
+    this.#registerMethods();
+    this.#scheduleRefresh();
   }
 
-  /** Hands leadership over before a planned stop, within a bounded time. */
+  /** Transfers leadership before a planned stop; gives up after a timeout. */
   async resign(): Promise<void> {
     const { clock } = this.#options;
-    const endMs = clock.getMonotonicMs() + RESIGN_MS;
+    const endMs = clock.getMonotonicMs() + RESIGN_TIMEOUT_MS;
     while (
       this.#driver?.getStatus().role === "leader" &&
       clock.getMonotonicMs() < endMs
     ) {
       this.#driver.transfer();
-      await clocks.sleep(clock, RESIGN_TRY_MS);
+      await clocks.sleep(clock, RESIGN_RETRY_DELAY_MS);
     }
   }
 
@@ -92,10 +94,10 @@
   }
 
   getState(): replicated.ReplicatedState {
-    return this.#machine.getState();
+    return this.#stateMachine.getState();
   }
 
-  /** The session of this leader, or undefined without authority. */
+  /** Gets the session of the current term; undefined without leader authority. */
   getSession(): leaderSessions.LeaderSession | undefined {
     const driver = this.#driver;
     if (driver === undefined || !driver.hasAuthority()) return undefined;
@@ -105,12 +107,12 @@
     return this.#session;
   }
 
-  /** Monotonic ms until which this replica surely leads. */
+  /** Gets the monotonic time until which leadership is guaranteed, in ms. */
   getAuthorityUntilMs(): number {
     return this.#driver?.getAuthorityUntilMs() ?? 0;
   }
 
-  /** Proposes a command of the leader itself. */
+  /** Proposes a command to the local replica, which must lead. */
   propose(
     command: replicated.Command,
     timeoutMs: number,
@@ -135,15 +137,15 @@
     );
   }
 
-  #startRefresh(): void {
+  #scheduleRefresh(): void {
     if (this.#isStopped) return;
-    this.#options.clock.startTimer(REFRESH_MS, () => {
+    this.#options.clock.startTimer(REFRESH_INTERVAL_MS, () => {
       this.getSession()?.refresh();
-      this.#startRefresh();
+      this.#scheduleRefresh();
     });
   }
 
-  #addMethods(): void {
+  #registerMethods(): void {
     const { server } = this.#options;
     server.add(
       protocols.METHODS.consensus,
@@ -153,21 +155,21 @@
     );
     server.add(
       protocols.METHODS.sync,
-      (request: protocols.SyncRequest) => this.#answerSync(request),
+      (request: protocols.SyncRequest) => this.#handleSync(request),
     );
     server.add(
       protocols.METHODS.propose,
-      (request: protocols.ProposeRequest) => this.#answerPropose(request),
+      (request: protocols.ProposeRequest) => this.#handlePropose(request),
     );
     server.add(
       protocols.METHODS.awaitInForce,
-      (request: protocols.InForceRequest) => this.#answerInForce(request),
+      (request: protocols.InForceRequest) => this.#handleAwaitInForce(request),
     );
     server.add(
       protocols.METHODS.readAudit,
-      (request: protocols.AuditRequest) => this.#answerAudit(request),
+      (request: protocols.AuditRequest) => this.#handleReadAudit(request),
     );
-    server.add(protocols.METHODS.readStatus, () => this.#answerStatus());
+    server.add(protocols.METHODS.readStatus, () => this.#handleReadStatus());
   }
 
   #sendMessage(to: string, message: consensus.DriverMessage): void {
@@ -182,13 +184,13 @@
     return { kind: "notLeader", leader: this.#driver?.getLeader() };
   }
 
-  async #answerSync(
+  async #handleSync(
     request: protocols.SyncRequest,
   ): Promise<protocols.SyncReply> {
     const session = this.getSession();
     if (session === undefined) return this.#createNotLeader();
     session.recordSync(request.box, request.revision);
-    if (!this.#hasNews(session, request)) {
+    if (!this.#hasChanges(session, request)) {
       const { clock, settings: { lease } } = this.#options;
       await this.#changed.wait(clock, lease.syncWaitMs);
     }
@@ -197,11 +199,11 @@
     return this.#createSyncReply(session, request);
   }
 
-  #hasNews(
+  #hasChanges(
     session: leaderSessions.LeaderSession,
     request: protocols.SyncRequest,
   ): boolean {
-    if (this.#machine.getState().revision > request.revision) return true;
+    if (this.#stateMachine.getState().revision > request.revision) return true;
     const membership = session.getMembership();
     return membership !== undefined &&
       membership.version !== request.membershipVersion;
@@ -212,20 +214,20 @@
     request: protocols.SyncRequest,
   ): protocols.SyncReply {
     const membership = session.getMembership();
-    const isKnown = membership?.version === request.membershipVersion;
+    const isCurrent = membership?.version === request.membershipVersion;
     return {
       kind: "synced",
       term: session.term,
       leaseMs: this.#options.settings.lease.leaseMs,
       config: stateMachines.collectChange(
-        this.#machine.getState(),
+        this.#stateMachine.getState(),
         request.revision,
       ),
-      membership: isKnown ? undefined : membership,
+      membership: isCurrent ? undefined : membership,
     };
   }
 
-  async #answerPropose(
+  async #handlePropose(
     request: protocols.ProposeRequest,
   ): Promise<protocols.ProposeReply> {
     const result = await this.propose(request.command, request.timeoutMs);
@@ -238,7 +240,7 @@
     };
   }
 
-  async #answerInForce(
+  async #handleAwaitInForce(
     request: protocols.InForceRequest,
   ): Promise<protocols.InForceReply> {
     const session = this.getSession();
@@ -251,21 +253,21 @@
     return { kind: "waited", isInForce };
   }
 
-  #answerAudit(request: protocols.AuditRequest): protocols.AuditReply {
+  #handleReadAudit(request: protocols.AuditRequest): protocols.AuditReply {
     if (this.getSession() === undefined) return this.#createNotLeader();
-    const records = this.#machine.getState().audit
+    const records = this.#stateMachine.getState().audit
       .filter((record) => audit.matchRecord(record, request.filter))
-      .takeLast(Math.min(request.limit, MAX_AUDIT_REPLY));
+      .takeLast(Math.min(request.limit, MAX_AUDIT_RECORDS));
     return { kind: "audit", records: [...records] };
   }
 
-  #answerStatus(): protocols.StatusReply {
+  #handleReadStatus(): protocols.StatusReply {
     const session = this.getSession();
     const driver = this.#driver;
     if (session === undefined || driver === undefined) {
       return this.#createNotLeader();
     }
-    const state = this.#machine.getState();
+    const state = this.#stateMachine.getState();
     return {
       kind: "status",
       leader: this.#options.settings.box.id,
--- a/src/control/state_machine.ts
+++ b/src/control/control_state_machine.ts
@@ -2,12 +2,12 @@
 import * as replicated from "../replicated_state/mod.ts";
 import type * as protocols from "./protocol.ts";
 
-/** The replicated state under the consensus log. */
-export class StateMachine implements consensus.Machine {
+/** State machine of the control replicas. */
+export class ControlStateMachine implements consensus.Machine {
   readonly #onChange: () => void;
   #state = replicated.EMPTY_STATE;
 
-  /** @param onChange Told when the configuration revision rose. */
+  /** @param onChange Called after a change of the revision or a restore. */
   constructor(onChange: () => void) {
     this.#onChange = onChange;
   }
@@ -17,13 +17,13 @@
   }
 
   apply(command: unknown): replicated.CommandAnswer {
-    const before = this.#state.revision;
+    const previousRevision = this.#state.revision;
     const applied = replicated.applyCommand(
       this.#state,
       command as replicated.Command,
     );
     this.#state = applied.state;
-    if (this.#state.revision !== before) this.#onChange();
+    if (this.#state.revision !== previousRevision) this.#onChange();
     return applied.answer;
   }
 
@@ -38,11 +38,11 @@
 }
 
 /**
- * Collects the configuration that is newer than a revision.
+ * Collects the configuration values that are newer than a revision.
  *
- * @param state The state.
- * @param afterRevision The revision that is held already.
- * @returns Whole values, each with its revision.
+ * @param state The replicated state.
+ * @param afterRevision Revision that the receiver already has.
+ * @returns The complete changed values, each with its revision.
  */
 export function collectChange(
   state: replicated.ReplicatedState,
--- a/src/control/control_view.ts
+++ b/src/control/control_view.ts
@@ -3,18 +3,18 @@
 import * as templates from "../rollout_template/mod.ts";
 import type * as protocols from "./protocol.ts";
 
-/** What a box holds of the configuration and the membership. */
+/** Configuration and membership as known to a box. */
 export interface ControlView {
   readonly revision: number;
   readonly accounts: ReadonlyMap<string, accounts.ClientAccount>;
-  /** Accounts by the SHA-256 of each of their tokens. */
+  /** Client accounts by the SHA-256 hash of each of their tokens. */
   readonly accountsByToken: ReadonlyMap<string, accounts.ClientAccount>;
   readonly templates: ReadonlyMap<string, templates.RolloutTemplate>;
   readonly models: ReadonlyMap<string, models.ModelVersion>;
   readonly membership: protocols.Membership;
 }
 
-/** A box that holds nothing. */
+/** View of a box that has not synced yet. */
 export const EMPTY_VIEW: ControlView = {
   revision: 0,
   accounts: new Map(),
@@ -24,37 +24,37 @@
   membership: { version: "", boxes: [], servers: [] },
 };
 
-function mapTokens(
-  all: ReadonlyMap<string, accounts.ClientAccount>,
+function mapAccountsByToken(
+  accountsById: ReadonlyMap<string, accounts.ClientAccount>,
 ): ReadonlyMap<string, accounts.ClientAccount> {
   return new Map(
-    [...all.values()].flatMap((account) =>
+    [...accountsById.values()].flatMap((account) =>
       account.tokenSha256s.map((hash) => [hash, account] as const)
     ),
   );
 }
 
 /**
- * Takes a change into the view; an older revision is never taken.
+ * Applies a configuration change to a view.
  *
  * @param view The view.
  * @param change Values newer than the view's revision.
- * @returns The new view.
+ * @returns The new view; the same object if the change is not newer.
  */
 export function applyChange(
   view: ControlView,
   change: protocols.ConfigChange,
 ): ControlView {
   if (change.revision <= view.revision) return view;
-  const changed = new Map([
+  const accountsById = new Map([
     ...view.accounts,
     ...change.accounts.map((item) => [item.id, item] as const),
   ]);
   return {
     ...view,
     revision: change.revision,
-    accounts: changed,
-    accountsByToken: mapTokens(changed),
+    accounts: accountsById,
+    accountsByToken: mapAccountsByToken(accountsById),
     templates: new Map([
       ...view.templates,
       ...change.templates.map((item) =>
--- a/src/control/leader_session.ts
+++ b/src/control/leader_session.ts
@@ -4,95 +4,99 @@
 import * as boxTables from "./box_table.ts";
 import type * as protocols from "./protocol.ts";
 
-/** What a session needs. */
+/** Options of a leader session. */
 export interface LeaderSessionOptions {
   readonly clock: clocks.Clock;
   readonly term: number;
   readonly leaseMs: number;
 }
 
-/**
- * What a leader knows for as long as it leads: boxes, leases, membership. It
- * starts empty with each term.
- */
+/** State of a leader during one term: boxes, their leases and the membership. */
 export class LeaderSession {
   readonly term: number;
   readonly #clock: clocks.Clock;
-  readonly #synced = new csp.Signal();
-  readonly #membershipChanged: () => void;
+  readonly #syncRecorded = new csp.Signal();
+  readonly #onMembershipChange: () => void;
   #table: boxTables.BoxTable;
   #servers: readonly backends.BackendServer[] | undefined;
   #membership: protocols.Membership | undefined;
-  #membershipCount = 0;
+  #membershipChanges = 0;
 
-  /** @param onMembership Told when boxes or servers changed. */
-  constructor(options: LeaderSessionOptions, onMembership: () => void) {
+  /** @param onMembershipChange Called when boxes or backend servers changed. */
+  constructor(options: LeaderSessionOptions, onMembershipChange: () => void) {
     this.term = options.term;
     this.#clock = options.clock;
-    this.#membershipChanged = onMembership;
+    this.#onMembershipChange = onMembershipChange;
     const leadSinceMs = options.clock.getMonotonicMs();
-    this.#table = { records: new Map(), leadSinceMs, leaseMs: options.leaseMs };
+    this.#table = {
+      records: new Map(),
+      leaderSinceMs: leadSinceMs,
+      leaseMs: options.leaseMs,
+    };
   }
 
-  /** Boxes and servers; undefined until every live box can have synced. */
+  /** Gets the membership; undefined until all live boxes had time to sync. */
   getMembership(): protocols.Membership | undefined {
     return this.#membership;
   }
 
-  /** Backend servers as the box list told last. */
+  /** Gets the backend servers from the last read of the box list. */
   getServers(): readonly backends.BackendServer[] {
     return this.#servers ?? [];
   }
 
-  /** Notes what a box confirmed. */
+  /** Records a sync request and the revision that the box confirmed. */
   recordSync(view: protocols.BoxView, revision: number): void {
     this.#table = boxTables.recordSync(this.#table, view, revision);
-    this.#synced.notify();
+    this.#syncRecorded.notify();
   }
 
-  /** Notes that a lease is given to a box now. */
+  /** Records that a lease is granted to a box now. */
   grantLease(id: string): void {
     const nowMs = this.#clock.getMonotonicMs();
     this.#table = boxTables.grantLease(this.#table, id, nowMs);
   }
 
-  /** Takes what the box list tells. */
+  /** Sets the backend servers read from the box list. */
   setServers(servers: readonly backends.BackendServer[]): void {
     this.#servers = servers;
     this.refresh();
   }
 
-  /** Brings the membership up to date with leases and the box list. */
+  /** Recomputes the membership from the leases and the box list. */
   refresh(): void {
     const nowMs = this.#clock.getMonotonicMs();
-    this.#table = boxTables.dropSilent(this.#table, nowMs);
-    const isSettled = nowMs >= this.#table.leadSinceMs + this.#table.leaseMs;
-    if (!isSettled || this.#servers === undefined) return;
-    const boxes = boxTables.listLive(this.#table, nowMs);
+    this.#table = boxTables.removeExpiredBoxes(this.#table, nowMs);
+    const hasFullTable =
+      nowMs >= this.#table.leaderSinceMs + this.#table.leaseMs;
+    if (!hasFullTable || this.#servers === undefined) return;
+    const boxes = boxTables.listLeasedBoxes(this.#table, nowMs);
     const servers = this.#servers;
-    const old = this.#membership;
-    if (old !== undefined && isSame(old, { boxes, servers })) return;
-    this.#membershipCount += 1;
-    const version = `${this.term}.${this.#membershipCount}`;
+    const previous = this.#membership;
+    if (
+      previous !== undefined && isSameMembership(previous, { boxes, servers })
+    ) return;
+    this.#membershipChanges += 1;
+    const version = `${this.term}.${this.#membershipChanges}`;
     this.#membership = { version, boxes, servers };
-    this.#membershipChanged();
+    this.#onMembershipChange();
   }
 
-  /** Waits until a revision is in force on every box. */
+  /** Waits until a revision is in force on all boxes; false on timeout (in ms). */
   async awaitInForce(revision: number, timeoutMs: number): Promise<boolean> {
     const endMs = this.#clock.getMonotonicMs() + timeoutMs;
     for (;;) {
       const nowMs = this.#clock.getMonotonicMs();
       if (boxTables.isInForce(this.#table, revision, nowMs)) return true;
       if (nowMs >= endMs) return false;
-      await this.#synced.wait(
+      await this.#syncRecorded.wait(
         this.#clock,
-        Math.min(IN_FORCE_CHECK_MS, endMs - nowMs),
+        Math.min(IN_FORCE_CHECK_INTERVAL_MS, endMs - nowMs),
       );
     }
   }
 
-  /** Describes every box for operators. */
+  /** Describes all known boxes for operators. */
   describeBoxes(): readonly protocols.BoxStatus[] {
     const nowMs = this.#clock.getMonotonicMs();
     return [...this.#table.records.values()].map((record) => ({
@@ -103,10 +107,10 @@
   }
 }
 
-/** Leases run out without a message, so the wait looks again after this. */
-const IN_FORCE_CHECK_MS = 50;
+/** Interval at which a wait checks for expired leases, in ms. */
+const IN_FORCE_CHECK_INTERVAL_MS = 50;
 
-function isSame(
+function isSameMembership(
   a: Pick<protocols.Membership, "boxes" | "servers">,
   b: Pick<protocols.Membership, "boxes" | "servers">,
 ): boolean {
--- a/src/control/mod.ts
+++ b/src/control/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Control: the replica of a disk box, the leader's duties, and the client by
- * which every box stays current and under lease.
+ * Control plane: the replica that disk boxes run, the duties of its leader, and
+ * the client with which every box syncs configuration and renews its lease.
  *
  * @example
  * ```ts
--- a/src/control/protocol.ts
+++ b/src/control/protocol.ts
@@ -18,13 +18,13 @@
   trainer: "trainer.call",
 } as const;
 
-/** A message between replicas, with its sender. */
+/** A consensus message with the id of its sender. */
 export interface ConsensusEnvelope {
   readonly from: string;
   readonly message: consensus.DriverMessage;
 }
 
-/** A box as others see it. */
+/** A box as listed in the membership. */
 export interface BoxView {
   readonly id: string;
   readonly address: string;
@@ -34,16 +34,16 @@
   readonly isDraining: boolean;
 }
 
-/** A box asks for what is new; this renews its lease. */
+/** Request for configuration and membership changes; it renews the lease. */
 export interface SyncRequest {
   readonly box: BoxView;
-  /** Configuration revision that the box holds. */
+  /** Configuration revision known to the box. */
   readonly revision: number;
-  /** Membership version that the box holds. */
+  /** Membership version known to the box. */
   readonly membershipVersion: string;
 }
 
-/** Configuration newer than a revision. */
+/** Configuration values that are newer than a revision. */
 export interface ConfigChange {
   readonly revision: number;
   readonly accounts: readonly accounts.ClientAccount[];
@@ -58,50 +58,52 @@
   readonly servers: readonly backends.BackendServer[];
 }
 
-/** A replica that does not lead says who does. */
+/** Reply of a replica that is not the leader. */
 export interface NotLeader {
   readonly kind: "notLeader";
+  /** Id of the leader, if known. */
   readonly leader: string | undefined;
 }
 
-/** The leader's answer to a sync. */
+/** Reply to a sync request. */
 export type SyncReply = NotLeader | {
   readonly kind: "synced";
   readonly term: number;
-  /** Length of the lease, from when the request was sent, in ms. */
+  /** Duration of the lease, counted from sending the request, in ms. */
   readonly leaseMs: number;
   readonly config: ConfigChange;
-  /** Undefined when the box holds the newest. */
+  /** Undefined if the box already knows the newest version. */
   readonly membership: Membership | undefined;
 };
 
-/** Asks the leader to accept a command. */
+/** Request to commit a command. */
 export interface ProposeRequest {
   readonly command: replicated.Command;
   readonly timeoutMs: number;
 }
 
-/** The leader's answer to a command. */
+/** Reply to a proposed command. */
 export type ProposeReply = NotLeader | {
   readonly kind: "proposed";
   readonly result: results.Result<replicated.CommandAnswer>;
 };
 
-/** Asks when a revision is in force on every box. */
+/** Request to wait until a revision is in force on all boxes. */
 export interface InForceRequest {
   readonly revision: number;
   readonly timeoutMs: number;
 }
 
-/** The leader's answer about a revision. */
+/** Reply to a wait for a revision; false in `isInForce` means a timeout. */
 export type InForceReply = NotLeader | {
   readonly kind: "waited";
   readonly isInForce: boolean;
 };
 
-/** Asks for audit records. */
+/** Request for audit records. */
 export interface AuditRequest {
   readonly filter: audit.AuditFilter;
+  /** Maximum number of records; the newest are returned. */
   readonly limit: number;
 }
 
@@ -111,15 +113,15 @@
   readonly records: readonly audit.AuditRecord[];
 };
 
-/** How the leader sees one box. */
+/** Status of one box as known to the leader. */
 export interface BoxStatus extends BoxView {
-  /** Configuration revision in force on the box. */
+  /** Configuration revision that the box confirmed last. */
   readonly revision: number;
-  /** Time left of its lease, in ms; negative once it ran out. */
+  /** Remaining time of the lease, in ms; negative once it has expired. */
   readonly leaseLeftMs: number;
 }
 
-/** The leader's view of the deployment. */
+/** Status of the deployment. */
 export type StatusReply = NotLeader | {
   readonly kind: "status";
   readonly leader: string;
--- a/src/crash_guard/crash_keeper.ts
+++ b/src/crash_guard/crash_keeper.ts
@@ -17,7 +17,7 @@
     replicaGroups.ReplicaGroup,
     "hasAuthority" | "propose"
   >;
-  readonly machine: submissions.SubmissionMachine;
+  readonly machine: submissions.SubmissionStateMachine;
   readonly guard: Pick<crashGuards.CrashGuard, "learn">;
   readonly desk: Pick<grantDesks.GrantDesk, "followTerm">;
   readonly table: crashRecords.CrashTable;
--- a/src/dispatch/dispatcher.ts
+++ b/src/dispatch/dispatcher.ts
@@ -45,7 +45,7 @@
   readonly servers: registry.ServerRegistry;
   readonly configuration: trafficConfig.ConfigurationHolder;
   readonly group: replicaGroups.ReplicaGroup;
-  readonly machine: submissions.SubmissionMachine;
+  readonly machine: submissions.SubmissionStateMachine;
   readonly engines: engineTables.EngineTable;
   readonly forwarder: forwarding.Forwarder;
   readonly crashGuard: itemCrashes.ItemCrashesOptions["crashGuard"];
--- a/src/dispatch/item_task.ts
+++ b/src/dispatch/item_task.ts
@@ -157,7 +157,7 @@
    * @param texts Kept texts, whole ones first.
    * @param isOwn Whether they were kept for this very submission.
    */
-  restore(texts: readonly submissions.KeptText[], isOwn: boolean): void {
+  restore(texts: readonly submissions.StoredText[], isOwn: boolean): void {
     const { minimumVersion, terms } = this.submission;
     const fitting = texts.find(({ versions }) =>
       versions.every((version) => version >= minimumVersion) &&
--- a/src/dispatch/task_table.ts
+++ b/src/dispatch/task_table.ts
@@ -5,11 +5,14 @@
 
 /** The items that are to be worked on, by submission. */
 export class TaskTable {
-  readonly #machine: submissions.SubmissionMachine;
+  readonly #machine: submissions.SubmissionStateMachine;
   readonly #clock: clocks.Clock;
   readonly #tasks = new Map<string, Map<string, itemTasks.ItemTask>>();
 
-  constructor(machine: submissions.SubmissionMachine, clock: clocks.Clock) {
+  constructor(
+    machine: submissions.SubmissionStateMachine,
+    clock: clocks.Clock,
+  ) {
     this.#machine = machine;
     this.#clock = clock;
   }
@@ -47,7 +50,7 @@
   #addRecord(
     record: submissions.SubmissionRecord,
   ): readonly itemTasks.ItemTask[] {
-    const { submission, listed } = record;
+    const { submission, resultIds: listed } = record;
     const known = this.#listKnownItems(submission);
     const step = new stepProgresses.StepProgress(
       submission,
@@ -82,7 +85,7 @@
   ): itemTasks.ItemTask {
     const nowMs = this.#clock.getMonotonicMs();
     const task = new itemTasks.ItemTask(record.submission, item, step, nowMs);
-    const own = record.kept.get(item.id);
+    const own = record.storedTexts.get(item.id);
     if (own !== undefined) task.restore([own], true);
     else task.restore(this.#machine.findTexts(item.id), false);
     return task;
--- a/src/dispatch/text_keeper.ts
+++ b/src/dispatch/text_keeper.ts
@@ -49,7 +49,7 @@
   readonly progress: itemRuns.TextProgress;
   /** Tells this text from one that began anew meanwhile. */
   readonly beginnings: number;
-  readonly text: submissions.TextToKeep;
+  readonly text: submissions.TextToStore;
 }
 
 function noteKept({ progress, beginnings, text }: TextPart): void {
@@ -64,7 +64,7 @@
   const { progress, submission, item } = task;
   const lastId = progress.getLastId();
   if (lastId === undefined) return [];
-  const text: submissions.TextToKeep = {
+  const text: submissions.TextToStore = {
     submission: submission.id,
     item: item.id,
     afterId: progress.getKeptLastId(),
--- a/src/dispatch/waiting_order_test.ts
+++ b/src/dispatch/waiting_order_test.ts
@@ -125,7 +125,7 @@
 });
 
 describe("groups that come again", () => {
-  const machine = new submissions.SubmissionMachine(() => {});
+  const machine = new submissions.SubmissionStateMachine(() => {});
   const draft = taskFixtures.createTask("x").submission;
 
   function accept(step: number, model: string, items: readonly string[]): void {
--- a/src/fleet_daemon/store_box.ts
+++ b/src/fleet_daemon/store_box.ts
@@ -27,7 +27,7 @@
   readonly #knownEngines: weightOrders.EngineTracker;
   readonly #crashKeeper: crashGuards.CrashKeeper;
   readonly #parts: boxParts.BoxParts;
-  readonly #machine: submissions.SubmissionMachine;
+  readonly #machine: submissions.SubmissionStateMachine;
   readonly #ages: submissions.SubmissionAges;
   #isStopped = false;
 
@@ -37,7 +37,7 @@
     this.#ages = new submissions.SubmissionAges(parts.clock);
     const { settings, clock } = parts;
     const changed = new csp.Signal();
-    const machine = new submissions.SubmissionMachine(() => {
+    const machine = new submissions.SubmissionStateMachine(() => {
       changed.notify();
       this.#dispatcher.wake();
     });
@@ -97,13 +97,13 @@
     new submissions.SubmissionService({
       ...this.#parts,
       group: this.#group,
-      machine,
+      stateMachine: machine,
       id: settings.box.address,
       barrier,
       getFailureDomain: (id) => directory.get(id)?.failureDomain,
-      changed,
+      stateChanged: changed,
       wantedVoters: wanted,
-      listStores: () =>
+      listStoreIds: () =>
         directory.listAlive()
           .filter((box) =>
             box.isStore && !box.isLeaving &&
@@ -188,10 +188,10 @@
     if (this.#isStopped) return;
     const { clock, settings } = this.#parts;
     this.#ages.observe(this.#machine.listAll());
-    const ids = submissions.findForgettable(this.#machine.listAll(), {
+    const ids = submissions.findExpiredSubmissions(this.#machine.listAll(), {
       nowMs: clock.getWallMs(),
-      resultsKeepMs: settings.bounds.resultsKeepMs,
-      getKnownMs: (id) => this.#ages.getAgeMs(id),
+      resultRetentionMs: settings.bounds.resultsKeepMs,
+      getAgeMs: (id) => this.#ages.getAgeMs(id),
     });
     if (ids.length > 0 && this.#group.hasAuthority()) {
       const command: submissions.SubmissionCommand = {
--- a/src/item_run/text_progress.ts
+++ b/src/item_run/text_progress.ts
@@ -18,7 +18,7 @@
   #beginnings = 0;
 
   /** Begins with a text that was kept. */
-  restore(kept: submissions.KeptText): void {
+  restore(kept: submissions.StoredText): void {
     this.#data = [kept.text];
     this.#lastId = kept.lastId;
     this.#versions = new Set(kept.versions);
--- a/src/replicated_state/_steps.ts
+++ b/src/replicated_state/_steps.ts
@@ -57,7 +57,7 @@
   if (known.owner !== box && liveBoxes.includes(known.owner)) {
     return { state, answer: { kind: "ownedBy", box: known.owner } };
   }
-  const step = steps.takeStep(known, box);
+  const step = steps.reassignStep(known, box);
   return {
     state: putStep(state, step),
     answer: { kind: "step", step: createView(step) },
@@ -84,7 +84,7 @@
     ownerEpoch: command.ownerEpoch,
     samples: command.samples,
     currentVersion: Math.max(known, command.trainerVersion),
-    bound: templates.getStalenessBound(template, account),
+    stalenessBound: templates.getStalenessBound(template, account),
   });
   return {
     state: putStep(state, outcome.step),
--- a/src/replicated_state/apply_command.ts
+++ b/src/replicated_state/apply_command.ts
@@ -65,7 +65,7 @@
 ): changes.Applied {
   const { key, claimId } = command;
   const held = state.claims.get(key);
-  if (!claims.isPendingFor(held, claimId)) {
+  if (!claims.isPendingClaimOf(held, claimId)) {
     return { state, answer: { kind: "done" } };
   }
   const kept = { ...held, state: command.state };
@@ -78,7 +78,7 @@
   command: commands.ReleaseCall,
 ): changes.Applied {
   const { key, claimId } = command;
-  if (!claims.isPendingFor(state.claims.get(key), claimId)) {
+  if (!claims.isPendingClaimOf(state.claims.get(key), claimId)) {
     return { state, answer: { kind: "done" } };
   }
   const next = { ...state, claims: state.claims.delete(key) };
--- a/src/rollout_step/mod.ts
+++ b/src/rollout_step/mod.ts
@@ -1,10 +1,10 @@
 /**
- * The step and sample aggregates: each slot gets one fresh sample, once.
+ * Steps and samples: each slot of a step is bound once, to one fresh sample.
  *
  * @example
  * ```ts
  * import * as steps from "../rollout_step/mod.ts";
- * steps.addToken([], 3);
+ * steps.appendToken([], 3);
  * ```
  * @module
  */
--- a/src/rollout_step/rollout_step.ts
+++ b/src/rollout_step/rollout_step.ts
@@ -2,64 +2,66 @@
 import type * as templates from "../rollout_template/mod.ts";
 import * as samples from "./sample.ts";
 
-/** What a trainer asks for. */
+/** A trainer's request for the samples of one step. */
 export interface StepRequest {
   readonly account: string;
   readonly template: string;
   readonly trainer: string;
   readonly step: number;
+  /** Number of samples per group. */
   readonly groupSize: number;
-  /** One prompt a group. */
+  /** Prompts, one per group. */
   readonly prompts: readonly string[];
 }
 
-/** A step of a trainer: each slot is bound to one sample, once. */
+/** A step of a trainer; each slot is bound once, to one sample. */
 export interface RolloutStep {
   readonly id: string;
   readonly request: StepRequest;
-  /** Box that generates for the step. */
+  /** Id of the box that generates the samples. */
   readonly owner: string;
-  /** Rises with each change of owner; an older owner's samples are refused. */
+  /** Incremented with each change of owner; fences off earlier owners. */
   readonly ownerEpoch: number;
-  /** Bound samples that the trainer has not acknowledged. */
+  /** Samples that are bound but not acknowledged, by slot. */
   readonly bound: immutable.Map<number, samples.Sample>;
+  /** Slots that the trainer has acknowledged. */
   readonly acknowledged: immutable.Set<number>;
 }
 
-/** Why a sample was not bound. */
+/** Reason why a sample was not bound. */
 export type BindRefusal =
   | "alreadyBound"
   | "stale"
   | "otherOwner"
   | "noSuchSlot";
 
-/** What became of one sample. */
+/** Outcome of binding one sample. */
 export interface BindAnswer {
   readonly slot: number;
   readonly sampleId: string;
-  /** Undefined when bound. */
+  /** Undefined if the sample is bound. */
   readonly refusal: BindRefusal | undefined;
 }
 
-/** Samples offered for binding. */
+/** Samples offered for binding, and the state to check them against. */
 export interface BindOffer {
   readonly ownerEpoch: number;
   readonly samples: readonly samples.Sample[];
   readonly currentVersion: number;
-  readonly bound: templates.StalenessBound;
+  readonly stalenessBound: templates.StalenessBound;
 }
 
-/** A step after an offer, and what became of each sample. */
+/** A step after an offer, with the outcome of each sample. */
 export interface BindOutcome {
   readonly step: RolloutStep;
   readonly answers: readonly BindAnswer[];
 }
 
 /**
- * Builds the id of a step.
+ * Formats the id of a step.
  *
- * @param request The request.
- * @returns An id unique in the deployment.
+ * @param request Client account, rollout template and number of the step.
+ * @returns The id, unique in the deployment.
  */
 export function formatStepId(
   request: Pick<StepRequest, "account" | "template" | "step">,
@@ -68,11 +70,11 @@
 }
 
 /**
- * Creates a step with all slots empty.
+ * Creates a step with empty slots.
  *
- * @param request What the trainer asks for.
- * @param owner Box that generates for it.
- * @returns The step.
+ * @param request The request of the trainer.
+ * @param owner Id of the box that generates the samples.
+ * @returns The step, with owner epoch 1.
  */
 export function createStep(request: StepRequest, owner: string): RolloutStep {
   return {
@@ -86,13 +88,13 @@
 }
 
 /**
- * Gives a step to a box; a box that owns it already keeps its epoch.
+ * Reassigns a step to a box. The owner epoch changes only with the owner.
  *
  * @param step The step.
- * @param owner The box.
- * @returns The step under its owner.
+ * @param owner Id of the new owner.
+ * @returns The step with the new owner.
  */
-export function takeStep(step: RolloutStep, owner: string): RolloutStep {
+export function reassignStep(step: RolloutStep, owner: string): RolloutStep {
   if (step.owner === owner) return step;
   return { ...step, owner, ownerEpoch: step.ownerEpoch + 1 };
 }
@@ -101,23 +103,23 @@
  * Counts the slots of a step.
  *
  * @param step The step.
- * @returns Groups times group size.
+ * @returns Number of groups times group size.
  */
 export function countSlots(step: Pick<RolloutStep, "request">): number {
   return step.request.prompts.length * step.request.groupSize;
 }
 
 /**
- * Tells whether every slot was acknowledged.
+ * Tells whether the trainer has acknowledged all slots.
  *
  * @param step The step.
- * @returns Whether nothing is left to do.
+ * @returns Whether the step is complete.
  */
 export function isComplete(step: RolloutStep): boolean {
   return step.acknowledged.size === countSlots(step);
 }
 
-function findRefusal(
+function checkBinding(
   step: RolloutStep,
   offer: BindOffer,
   sample: samples.Sample,
@@ -130,21 +132,22 @@
     return "alreadyBound";
   }
   if (offer.ownerEpoch !== step.ownerEpoch) return "otherOwner";
-  return samples.isFresh(sample, offer.currentVersion, offer.bound)
+  return samples.isFresh(sample, offer.currentVersion, offer.stalenessBound)
     ? undefined
     : "stale";
 }
 
 /**
- * Binds samples to their slots; what is bound is never replaced.
+ * Binds samples to their slots. A bound sample is never replaced; offering the
+ * same sample again succeeds.
  *
  * @param step The step.
- * @param offer The samples and what they are checked against.
- * @returns The step and an answer for each sample.
+ * @param offer The samples and the state to check them against.
+ * @returns The updated step and the outcome of each sample, in order.
  */
 export function bindSamples(step: RolloutStep, offer: BindOffer): BindOutcome {
   return offer.samples.reduce<BindOutcome>((outcome, sample) => {
-    const refusal = findRefusal(outcome.step, offer, sample);
+    const refusal = checkBinding(outcome.step, offer, sample);
     const { slot, sampleId } = sample;
     const answers = [...outcome.answers, { slot, sampleId, refusal }];
     if (refusal !== undefined) return { step: outcome.step, answers };
@@ -154,11 +157,11 @@
 }
 
 /**
- * Notes what the trainer holds; the bodies are no longer needed.
+ * Marks slots as acknowledged by the trainer and drops their samples.
  *
  * @param step The step.
- * @param slots Slots that the trainer received.
- * @returns The step; slots that were never bound are ignored.
+ * @param slots Slots that the trainer received; unbound ones are ignored.
+ * @returns The updated step.
  */
 export function acknowledgeSlots(
   step: RolloutStep,
--- a/src/rollout_template/mod.ts
+++ b/src/rollout_template/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The rollout template aggregate: parameters and how they change.
+ * Rollout templates: their parameters, and checks of changes to them.
  *
  * @example
  * ```ts
--- a/src/rollout_template/rollout_template.ts
+++ b/src/rollout_template/rollout_template.ts
@@ -27,7 +27,7 @@
     .describe("0 yields to all, 9 yields to none"),
 }).readonly();
 
-/** Checked parameters of a rollout template. */
+/** Validated parameters of a rollout template. */
 export type TemplateParameters = z.infer<typeof templateParametersSchema>;
 
 /** A rollout template of a client account. */
@@ -35,23 +35,25 @@
   readonly account: string;
   readonly name: string;
   readonly parameters: TemplateParameters;
-  /** Configuration revision that last changed it. */
+  /** Configuration revision of the last change. */
   readonly revision: number;
 }
 
-/** How old a sample may be. */
+/** Maximum staleness of a sample. */
 export interface StalenessBound {
+  /** Maximum lag behind the current weight version, in versions. */
   readonly versions: number;
+  /** Maximum age, in ms. */
   readonly ageMs: number;
 }
 
 /**
- * Gives the bound in force: a template may tighten its account's bound, never
- * loosen it.
+ * Gets the staleness bound in force: the tighter of the bounds of a rollout
+ * template and its client account.
  *
- * @param template The template.
- * @param account Its client account.
- * @returns The bound.
+ * @param template The rollout template.
+ * @param account The client account of the template.
+ * @returns The staleness bound.
  */
 export function getStalenessBound(
   template: RolloutTemplate,
@@ -72,11 +74,11 @@
 }
 
 /**
- * Checks a change merged onto the parameters that it changes.
+ * Merges a change into the parameters of a rollout template and validates them.
  *
- * @param current The parameters now; undefined for a new template.
- * @param change The values to set.
- * @returns The whole parameters, or `badParameters` naming what is wrong.
+ * @param current Current parameters; undefined for a new template.
+ * @param change Values to set; null removes a value.
+ * @returns The new parameters, or `badParameters` with each invalid value.
  */
 export function checkParameters(
   current: TemplateParameters | undefined,
@@ -86,10 +88,10 @@
 }
 
 /**
- * Builds the key of a template in the state.
+ * Formats the key of a rollout template in the replicated state.
  *
- * @param account The client account.
- * @param name The template's name.
+ * @param account Id of the client account.
+ * @param name Name of the template.
  * @returns The key.
  */
 export function formatTemplateKey(account: string, name: string): string {
--- a/src/submission/can_see.ts
+++ b/src/submission/can_access.ts
@@ -2,14 +2,15 @@
 import type * as submissions from "./submission.ts";
 
 /**
- * Tells whether a sender may read and end a submission: any key of the account
- * that sent it will do, also after the key that opened it was taken away.
+ * Tells whether a sender may read and end a submission. Access is granted per
+ * client account, so it survives the removal of the key that sent the submission.
  *
- * @param sender Who asks.
+ * @param sender The sender of the request.
  * @param submission The submission.
- * @returns Whether it is the sender's; one without an account is everyone's.
+ * @returns Whether both belong to the same client account. True for a submission
+ * without an account, and where the configuration has no accounts.
  */
-export function canSee(
+export function canAccess(
   sender: accounts.Sender,
   submission: Pick<submissions.Submission, "sender">,
 ): boolean {
--- a/src/submission/item_fixture_test.ts
+++ b/src/submission/item_fixture_test.ts
@@ -1,15 +1,15 @@
 import type * as submissions from "./submission.ts";
 
 /**
- * Makes an item of model `m` without a scoring call, for tests.
+ * Creates an item for model `m` without a scoring call.
  *
- * @param id Its id.
- * @param changes What is different about it.
+ * @param id Id of the item.
+ * @param overrides Properties that replace the defaults.
  * @returns The item.
  */
 export function createItem(
   id: string,
-  changes: Partial<submissions.SubmissionItem> = {},
+  overrides: Partial<submissions.SubmissionItem> = {},
 ): submissions.SubmissionItem {
   return {
     id,
@@ -21,6 +21,6 @@
     lengthHint: undefined,
     model: "m",
     scoring: undefined,
-    ...changes,
+    ...overrides,
   };
 }
--- a/src/submission/protocol.ts
+++ b/src/submission/protocol.ts
@@ -2,7 +2,7 @@
 import type * as replicaGroups from "../replica_group/mod.ts";
 import type * as submissions from "./submission.ts";
 
-/** Names of the calls to the leader of the stores. */
+/** Names of the RPC methods of the store boxes. */
 export const METHODS = {
   accept: "submission.accept",
   read: "submission.read",
@@ -13,60 +13,66 @@
   readRetire: "submission.readRetire",
 } as const;
 
-/** Asks to keep a submission and run it. */
+/** Request to store a submission and run it. */
 export interface AcceptRequest {
   readonly submission: submissions.Submission;
 }
 
-/** Asks for results. */
+/** Request for a page of results. */
 export interface ReadRequest {
   readonly id: string;
   readonly sender: accounts.Sender;
+  /** Index of the first result wanted, from 0. */
   readonly after: number;
+  /** Longest wait for a new result, in ms. */
   readonly waitMs: number;
-  /** Failure domain of the asker. */
+  /** Failure domain of the requesting box. */
   readonly failureDomain: string;
-  /** Whether a replica that does not lead may answer. */
+  /** Whether a follower may answer. */
   readonly mayFollow: boolean;
 }
 
-/** Answers a read. */
+/** Reply to a read. */
 export interface ReadReply {
   readonly page: submissions.ResultPage;
-  /** Replica in the asker's failure domain that can answer its next reads. */
+  /** Replica in the requester's failure domain to send the next reads to. */
   readonly nearReplica: string | undefined;
 }
 
-/** Asks for the body of an item that is not listed yet. */
+/** Request for the body of an item. */
 export interface ReadBodyRequest {
   readonly id: string;
   readonly sender: accounts.Sender;
   readonly item: string;
 }
 
-/** Asks to end a submission. */
+/** Request to end a submission; it gets no further results. */
 export interface EndRequest {
   readonly id: string;
   readonly sender: accounts.Sender;
 }
 
-/** Names a weight version. */
+/** Announces the newest weight version of a model. */
 export interface NameVersionRequest {
   readonly model: string;
   readonly version: number;
 }
 
-/** Asks to empty a store box, or how far that is. */
+/** Request to retire a store box, or for the state of its retirement. */
 export interface RetireRequest {
   readonly box: string;
 }
 
-/** What the leader answers. */
+/** Reply to a request that the leader handles. */
 export type LeaderReply<T> =
   | replicaGroups.NotLeader
   | replicaGroups.Unsure
+  /** The submission, item or box does not exist, or is not the sender's. */
   | { readonly kind: "unknown" }
   | { readonly kind: "done"; readonly value: T };
 
-/** How far the emptying of a box is. */
+/**
+ * State of the retirement of a store box; it is refused with `tooFewLeft` where
+ * the remaining boxes are fewer than the voters needed.
+ */
 export type RetireState = "running" | "completed" | "tooFewLeft";
--- a/src/submission/read_retire_test.ts
+++ b/src/submission/read_retire_test.ts
@@ -6,38 +6,36 @@
 import type * as replicaGroups from "../replica_group/mod.ts";
 import type * as rpc from "../rpc/mod.ts";
 import * as protocol from "./protocol.ts";
-import * as machines from "./submission_machine.ts";
+import * as stateMachines from "./submission_state_machine.ts";
 import * as services from "./submission_service.ts";
 
 /*
- * A box that is told as emptied is taken away at once, with its disk. The set of
- * voters in the leader's log counts from the moment at which it is appended, before
- * it is on any disk. Told on such a set, the box was gone while the disks could
- * still hold the set of four with it: of the three others, all are then needed for
- * a quorum, and the next lost disk leaves the group without a leader for good.
+ * A box whose retirement is completed is removed with its disk. Guards against
+ * completing it on an uncommitted voter set: the disks may still hold the four
+ * voters with the box, and one more lost disk leaves no quorum.
  */
 
 const RETIRED = "r";
-const SET_INDEX = 101;
+const VOTER_SET_INDEX = 101;
 const COMMIT_INDEX = 100;
 
 function createFollower(id: string): consensus.FollowerStatus {
   return { id, matchIndex: COMMIT_INDEX, silentMs: 20, isAdmitted: true };
 }
 
-/** A leader whose log names three voters without the box to be emptied. */
+/** Creates a leader whose voter set no longer holds the retired box. */
 function createGroup(isCommitted: boolean) {
   const voters = ["a", "b", "c"];
   const group = {
     hasAuthority: () => true,
     listVoters: () => voters,
-    getVoterSet: () => ({ voters, index: SET_INDEX, isCommitted }),
+    getVoterSet: () => ({ voters, index: VOTER_SET_INDEX, isCommitted }),
     getStatus: () => ({
       role: "leader",
       term: 3,
       leader: "a",
       commitIndex: COMMIT_INDEX,
-      lastIndex: SET_INDEX,
+      lastIndex: VOTER_SET_INDEX,
       followers: ["b", "c", RETIRED].map(createFollower),
     }),
   };
@@ -46,7 +44,7 @@
 
 function readRetire(isCommitted: boolean): unknown {
   const methods = new Map<string, rpc.RpcHandler>();
-  const machine = new machines.SubmissionMachine(() => {});
+  const machine = new stateMachines.SubmissionStateMachine(() => {});
   machine.apply({ kind: "retireBox", box: RETIRED });
   new services.SubmissionService({
     clock: new clocks.FakeClock(),
@@ -56,23 +54,23 @@
     barrier: {} as replicaGroups.ReadBarrier,
     getFailureDomain: () => undefined,
     id: "a",
-    machine,
-    changed: new csp.Signal(),
+    stateMachine: machine,
+    stateChanged: new csp.Signal(),
     wantedVoters: 3,
-    listStores: () => ["a", "b", "c"],
+    listStoreIds: () => ["a", "b", "c"],
   });
   return methods.get(protocol.METHODS.readRetire)?.({ box: RETIRED } as never);
 }
 
-describe("the state of a box that is to be emptied", () => {
-  it("is completed once the set of voters without it is committed", () => {
+describe("state of the retirement of a box", () => {
+  it("is completed once the voter set without the box is committed", () => {
     chai.expect(readRetire(true)).to.deep.equal({
       kind: "done",
       value: "completed",
     });
   });
 
-  it("is running while that set is in the leader's log only", () => {
+  it("is running while that voter set is not committed", () => {
     chai.expect(readRetire(false)).to.deep.equal({
       kind: "done",
       value: "running",
--- a/src/submission/saved_parts.ts
+++ b/src/submission/saved_parts.ts
@@ -1,25 +1,25 @@
-import type * as capacityBooks from "../capacity/capacity_state.ts";
+import type * as capacityStates from "../capacity/capacity_state.ts";
 import type * as crashRecords from "../crash_record/mod.ts";
 import type * as registry from "../registry/mod.ts";
-import type * as usageBooks from "../usage/usage_book.ts";
+import type * as usageStates from "../usage/usage_book.ts";
 import type * as submissions from "./submission.ts";
 
-/** Characters of text that one part holds, unless one value is longer. */
-const PART_CHARACTERS = 128 * 1024;
-/** Characters that a value takes beside its texts, about. */
-const VALUE_CHARACTERS = 200;
+/** Maximum text of a part, in characters; a longer single value still fits. */
+const MAX_PART_CHARACTERS = 128 * 1024;
+/** Estimated size of a value without its texts, in characters. */
+const VALUE_OVERHEAD_CHARACTERS = 200;
 
-/** A submission without its items, and what became of it. */
+/** A submission without its items, and its state. */
 export interface SavedRecord {
   readonly submission: submissions.Submission;
   readonly namedVersion: number;
   readonly isEnded: boolean;
 }
 
-/** A kept text with the item it belongs to. */
-export type SavedText = readonly [item: string, text: submissions.KeptText];
+/** A stored text with the id of its item. */
+export type SavedText = readonly [item: string, text: submissions.StoredText];
 
-/** A part of the saved state; the parts of a submission follow its record. */
+/** A part of a snapshot; the parts of a submission follow its `record`. */
 export type SavedPart =
   | {
     readonly kind: "state";
@@ -27,9 +27,9 @@
     readonly retiring: readonly string[];
     readonly holder: string | undefined;
     readonly engines: readonly registry.ServerReport[];
-    readonly usage: usageBooks.SavedUsage;
-    readonly capacity: capacityBooks.SavedCapacity;
-    /** Undefined in what a version before wrote. */
+    readonly usage: usageStates.SavedUsage;
+    readonly capacity: capacityStates.SavedCapacity;
+    /** Undefined in snapshots written before crash records were added. */
     readonly crashes: readonly crashRecords.CrashRecord[] | undefined;
   }
   | { readonly kind: "record"; readonly record: SavedRecord }
@@ -43,21 +43,21 @@
   }
   | { readonly kind: "texts"; readonly texts: readonly SavedText[] };
 
-/** What is saved of one submission. */
+/** A submission with everything that a snapshot holds of it. */
 export interface RecordToSave extends SavedRecord {
   readonly results: readonly submissions.ItemResult[];
-  readonly kept: ReadonlyMap<string, submissions.KeptText>;
+  readonly storedTexts: ReadonlyMap<string, submissions.StoredText>;
 }
 
 /**
- * Cuts a submission into parts of bounded size. They do not change when the
- * record does.
+ * Splits a submission into parts of bounded size. The parts are copies, which
+ * later changes of the record do not affect.
  *
- * @param toSave The submission and what became of it.
- * @returns Its parts, its record first.
+ * @param toSave The submission, its results and stored texts.
+ * @returns The parts, beginning with the `record` part.
  */
-export function cutRecord(toSave: RecordToSave): readonly SavedPart[] {
-  const { submission, namedVersion, isEnded, results, kept } = toSave;
+export function splitRecord(toSave: RecordToSave): readonly SavedPart[] {
+  const { submission, namedVersion, isEnded, results, storedTexts } = toSave;
   const record = {
     submission: { ...submission, items: [] },
     namedVersion,
@@ -65,11 +65,11 @@
   };
   return [
     { kind: "record", record },
-    ...cutList(submission.items, measureItem)
+    ...splitList(submission.items, measureItem)
       .map((items): SavedPart => ({ kind: "items", items })),
-    ...cutList(results, (result) => result.text.length)
+    ...splitList(results, (result) => result.text.length)
       .map((part): SavedPart => ({ kind: "results", results: part })),
-    ...cutList([...kept], ([, { text }]) => text.length)
+    ...splitList([...storedTexts], ([, { text }]) => text.length)
       .map((texts): SavedPart => ({ kind: "texts", texts })),
   ];
 }
@@ -78,15 +78,15 @@
   return item.body.length + (item.scoring?.body.length ?? 0);
 }
 
-function cutList<T>(
+function splitList<T>(
   values: readonly T[],
   measure: (value: T) => number,
 ): readonly (readonly T[])[] {
   const parts: T[][] = [];
-  let size = PART_CHARACTERS;
+  let size = MAX_PART_CHARACTERS;
   for (const value of values) {
-    const added = measure(value) + VALUE_CHARACTERS;
-    if (size + added > PART_CHARACTERS) {
+    const added = measure(value) + VALUE_OVERHEAD_CHARACTERS;
+    if (size + added > MAX_PART_CHARACTERS) {
       parts.push([]);
       size = 0;
     }
--- a/src/submission/submission.ts
+++ b/src/submission/submission.ts
@@ -1,11 +1,11 @@
 import type * as accounts from "../client_account/mod.ts";
 
-/** A request that scores a finished text. */
+/** A call that scores a completed text. */
 export interface ScoringCall {
   readonly id: string;
   readonly host: string;
   readonly path: string;
-  /** Base64. */
+  /** Body of the call, in base64. */
   readonly body: string;
 }
 
@@ -14,43 +14,45 @@
   readonly id: string;
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
-  /** Base64. */
+  /** Body of the request, in base64. */
   readonly body: string;
-  /** Tokens of the prompt and of the longest answer together. */
+  /** Tokens of the prompt plus the longest possible answer. */
   readonly tokens: number;
-  /** Items of a group count only together; undefined outside trainers. */
+  /** Group that counts only once all its items are done; undefined outside steps. */
   readonly group: string | undefined;
-  /** Guess of the tokens that will come out, right in the median. */
+  /** Estimated median number of generated tokens. */
   readonly lengthHint: number | undefined;
   readonly model: string | undefined;
   readonly scoring: ScoringCall | undefined;
 }
 
-/** A submission as its sender wrote it. */
+/** A submission as sent by the caller. */
 export interface SubmissionDraft {
   readonly id: string;
-  /** Model and step of a trainer; undefined for plain submissions. */
+  /** Model of a trainer's step; undefined for plain submissions. */
   readonly model: string | undefined;
+  /** Step of the trainer; undefined for plain submissions. */
   readonly step: number | undefined;
-  /** Oldest weight version that may make its tokens. */
+  /** Oldest weight version that may generate tokens. */
   readonly minimumVersion: number;
-  /** Whole groups that the trainer waits for. */
+  /** Number of complete groups that the trainer needs; undefined for all. */
   readonly desired: number | undefined;
   readonly items: readonly SubmissionItem[];
 }
 
-/** What the route of a submission promised when it was accepted. */
+/** Settings of the route in force when the submission was accepted. */
 export interface SubmissionTerms {
   readonly host: string;
   readonly service: string;
-  /** Answers of 500 after which an item may be given up. */
+  /** Number of answers with status 500 after which an item may be given up. */
   readonly attempts: number;
+  /** Time after which items that are not completed may be given up, in ms. */
   readonly keepMs: number;
   readonly targetCompletionMs: number;
   readonly isSingleVersion: boolean;
   /**
-   * Urgency of the route, 0 first; undefined where an earlier version of the
-   * program accepted the submission.
+   * Priority of the route, 0 the most urgent; undefined in submissions that were
+   * accepted before routes had priorities.
    */
   readonly priority?: number | undefined;
 }
@@ -58,39 +60,40 @@
 /** An accepted submission. */
 export interface Submission extends SubmissionDraft {
   readonly terms: SubmissionTerms;
-  /** Who sent it; later calls come by any key of the same account. */
+  /** Sender; later calls may use any key of the same client account. */
   readonly sender: accounts.Sender;
-  /** Wall time of the acceptance, in ms. */
+  /** Wall time of the acceptance, in ms since the epoch. */
   readonly acceptedAtMs: number;
 }
 
-/** Final result of an item; it never changes and never moves. */
+/** Final result of an item; neither it nor its position changes later. */
 export interface ItemResult {
   readonly id: string;
   readonly state: "completed" | "givenUp";
-  /** Data of all events in order, joined by line feeds. */
+  /** Data of all events in order, separated by line feeds. */
   readonly text: string;
-  /** Every weight version that made an event of the text, rising. */
+  /** Weight versions that generated the text, in ascending order. */
   readonly versions: readonly number[];
-  /** Receipt of the scoring call. */
+  /** Receipt from the scoring call; undefined without one. */
   readonly score: string | undefined;
 }
 
-/** The front part of an item's text, kept so that any store can go on. */
-export interface KeptText {
-  /** Data of its events, joined by line feeds. */
+/** Text of an item as replicated, from which any store box can resume it. */
+export interface StoredText {
+  /** Data of the events in order, separated by line feeds. */
   readonly text: string;
-  /** Id of its last event; undefined where the text is whole. */
+  /** Id of the last event; undefined for a completed text. */
   readonly lastId: number | undefined;
   readonly versions: readonly number[];
 }
 
-/** Results of a submission from a position on. */
+/** A page of the results of a submission. */
 export interface ResultPage {
+  /** Number of items of the submission. */
   readonly total: number;
-  /** Position after the last result of the page. */
+  /** Index of the first result of the next page. */
   readonly next: number;
   readonly results: readonly ItemResult[];
-  /** Whether the submission has ended, so that no more is waited for. */
+  /** Whether the submission has ended and gets no further results. */
   readonly isEnded: boolean;
 }
--- a/src/submission/submission_ages.ts
+++ b/src/submission/submission_ages.ts
@@ -1,7 +1,7 @@
 import type * as clocks from "../clock/mod.ts";
-import type * as machines from "./submission_machine.ts";
+import type * as stateMachines from "./submission_state_machine.ts";
 
-/** How long this process has known each submission, whatever the time of day. */
+/** Tracks for how long this process has known each submission, in monotonic time. */
 export class SubmissionAges {
   readonly #clock: clocks.Clock;
   #knownSinceMs: ReadonlyMap<string, number> = new Map();
@@ -10,8 +10,8 @@
     this.#clock = clock;
   }
 
-  /** Notes submissions that are new, and drops those that are gone. */
-  observe(records: readonly machines.SubmissionRecord[]): void {
+  /** Starts to track new submissions and forgets removed ones. */
+  observe(records: readonly stateMachines.SubmissionRecord[]): void {
     const nowMs = this.#clock.getMonotonicMs();
     this.#knownSinceMs = new Map(
       records.map(({ submission: { id } }) =>
@@ -20,7 +20,7 @@
     );
   }
 
-  /** Time since a submission was observed first, in ms; 0 for an unknown one. */
+  /** Gets the time since a submission was first observed, in ms; 0 if unknown. */
   getAgeMs(id: string): number {
     const sinceMs = this.#knownSinceMs.get(id);
     return sinceMs === undefined ? 0 : this.#clock.getMonotonicMs() - sinceMs;
--- a/src/submission/submission_command.ts
+++ b/src/submission/submission_command.ts
@@ -1,32 +1,32 @@
-import type * as capacityBooks from "../capacity/capacity_state.ts";
+import type * as capacityStates from "../capacity/capacity_state.ts";
 import type * as accounts from "../client_account/mod.ts";
 import type * as crashRecords from "../crash_record/mod.ts";
-import type * as dutyHolders from "../duty/duty_lease.ts";
+import type * as dutyLeases from "../duty/duty_lease.ts";
 import type * as registry from "../registry/mod.ts";
-import type * as usageBooks from "../usage/usage_book.ts";
+import type * as usageStates from "../usage/usage_book.ts";
 import type * as submissions from "./submission.ts";
 
-/** Results to list, in order. */
+/** A result to append to those of a submission. */
 export interface RecordedResult {
   readonly submission: string;
-  /** Its text is what follows the kept part. */
+  /** The result; its text follows the stored part if `keptLastId` is set. */
   readonly result: submissions.ItemResult;
-  /** Id of the last event of the kept part; undefined where none is meant. */
+  /** Last event of the stored part; undefined if the text is complete. */
   readonly keptLastId?: number | undefined;
 }
 
-/** More of an item's text to keep. */
-export interface TextToKeep {
+/** A part of an item's text to store. */
+export interface TextToStore {
   readonly submission: string;
   readonly item: string;
-  /** Last event of the part kept before; undefined for none. */
+  /** Last event of the part stored before; undefined to replace that part. */
   readonly afterId: number | undefined;
   readonly text: string;
   readonly lastId: number;
   readonly versions: readonly number[];
 }
 
-/** A command of the submissions' log. */
+/** A command in the replicated log of the store boxes. */
 export type SubmissionCommand =
   | {
     readonly kind: "acceptSubmission";
@@ -36,22 +36,22 @@
     readonly kind: "recordResults";
     readonly results: readonly RecordedResult[];
   }
-  | { readonly kind: "keepTexts"; readonly texts: readonly TextToKeep[] }
-  | dutyHolders.NoteHolder
-  | usageBooks.UsageCommand
-  | capacityBooks.CapacityCommand
-  /** Notes which engines run, for a leader that has not heard them yet. */
+  | { readonly kind: "keepTexts"; readonly texts: readonly TextToStore[] }
+  | dutyLeases.NoteHolder
+  | usageStates.UsageCommand
+  | capacityStates.CapacityCommand
+  /** Records running engines, for a new leader that has no reports of them yet. */
   | {
     readonly kind: "keepEngines";
     readonly added: readonly registry.ServerReport[];
-    /** Ids; one leader proposes, from a registry with one start for each. */
+    /** Ids of engines that no longer run. */
     readonly gone: readonly string[];
   }
-  /** Notes which work servers ended under. */
+  /** Records requests that servers crashed on. */
   | {
     readonly kind: "keepCrashes";
     readonly records: readonly crashRecords.CrashRecord[];
-    /** Wall time of the proposal, in ms; older records go by it. */
+    /** Wall time of the proposal, in ms, by which old records expire. */
     readonly nowMs: number;
   }
   | {
@@ -67,8 +67,11 @@
   | { readonly kind: "retireBox"; readonly box: string }
   | { readonly kind: "forgetSubmissions"; readonly ids: readonly string[] };
 
-/** What became of a command. */
+/** Outcome of a command. */
 export interface SubmissionAnswer {
-  /** Whether the thing named by the command exists. */
+  /**
+   * False if the submission does not exist or is not the sender's, or if a text
+   * does not follow the stored part.
+   */
   readonly isKnown: boolean;
 }
--- a/src/trainer/step_feed.ts
+++ b/src/trainer/step_feed.ts
@@ -193,7 +193,7 @@
       onToken: (token) => {
         if (tokens.length === 0) startedMs = clock.getMonotonicMs();
         tokens.push(token.tokenId);
-        spans = steps.addToken(spans, token.weightVersion);
+        spans = steps.appendToken(spans, token.weightVersion);
       },
     });
     if (end.kind === "failure" || tokens.length === 0) return undefined;
