--- a/src/call_claim/call_claim.ts
+++ b/src/call_claim/call_claim.ts
@@ -36,7 +36,7 @@
  *
  * @param current The current claim, if any.
  * @param requested The requested claim.
- * @returns The decision; `claimed` also for a repeat by the attempt that holds it.
+ * @returns The decision; `claimed` also for the attempt that already holds it.
  */
 export function decideClaim(
   current: CallClaim | undefined,
--- a/src/control/box_table.ts
+++ b/src/control/box_table.ts
@@ -5,7 +5,7 @@
   readonly view: protocols.BoxView;
   /** Configuration revision that the box confirmed last. */
   readonly revision: number;
-  /** Monotonic time on the leader until which the box may hold a lease, in ms. */
+  /** Monotonic time until which the box may hold a lease, in ms. */
   readonly leaseUntilMs: number;
 }
 
@@ -18,7 +18,7 @@
   readonly leaseMs: number;
 }
 
-/** Time for which a box without a lease stays in the table, in lease durations. */
+/** Retention of a box after its lease expired, in lease durations. */
 const RETENTION_LEASES = 30;
 
 /**
--- a/src/control/box_table_test.ts
+++ b/src/control/box_table_test.ts
@@ -31,7 +31,7 @@
   );
 }
 
-describe("box table", () => {
+describe("box table and control view", () => {
   it("reports a revision in force once every leased box confirmed it", () => {
     const updated = boxTables.recordSync(createTable(), createView("a"), 2);
     chai.expect(boxTables.isInForce(updated, 2, 200)).to.equal(false);
--- a/src/control/control_client.ts
+++ b/src/control/control_client.ts
@@ -111,8 +111,8 @@
    *
    * @param command The command.
    * @param timeoutMs Timeout including retries, in ms.
-   * @returns The answer; `noLeader` if no leader was found, `changeUnknown` if the
-   * command may still be accepted.
+   * @returns The answer; `noLeader` if no leader was found, `changeUnknown` if
+   * the command may still be accepted.
    */
   async propose(
     command: replicated.Command,
--- a/src/control/control_service.ts
+++ b/src/control/control_service.ts
@@ -97,7 +97,7 @@
     return this.#stateMachine.getState();
   }
 
-  /** Gets the session of the current term; undefined without leader authority. */
+  /** Gets the session of the current term; undefined unless leading. */
   getSession(): leaderSessions.LeaderSession | undefined {
     const driver = this.#driver;
     if (driver === undefined || !driver.hasAuthority()) return undefined;
--- a/src/control/leader_duties.ts
+++ b/src/control/leader_duties.ts
@@ -40,8 +40,8 @@
 
 /**
  * Periodic tasks of the leader: reading the box list and the weight store,
- * ordering engines to load weights, and removing old claims and requests. Each task runs only
- * while the replica has leader authority.
+ * ordering engines to load weights, and removing old claims and requests. Each
+ * task runs only while the replica has leader authority.
  */
 export class LeaderDuties {
   readonly #options: LeaderDutiesOptions;
--- a/src/control/leader_session.ts
+++ b/src/control/leader_session.ts
@@ -82,7 +82,7 @@
     this.#onMembershipChange();
   }
 
-  /** Waits until a revision is in force on all boxes; false on timeout (in ms). */
+  /** Waits until a revision is in force on all boxes; false after the timeout. */
   async awaitInForce(revision: number, timeoutMs: number): Promise<boolean> {
     const endMs = this.#clock.getMonotonicMs() + timeoutMs;
     for (;;) {
--- a/src/submission/can_access.ts
+++ b/src/submission/can_access.ts
@@ -3,7 +3,7 @@
 
 /**
  * Tells whether a sender may read and end a submission. Access is granted per
- * client account, so it survives the removal of the key that sent the submission.
+ * client account, so it remains after the key that was used is removed.
  *
  * @param sender The sender of the request.
  * @param submission The submission.
--- a/src/submission/submission.ts
+++ b/src/submission/submission.ts
@@ -18,7 +18,10 @@
   readonly body: string;
   /** Tokens of the prompt plus the longest possible answer. */
   readonly tokens: number;
-  /** Group that counts only once all its items are done; undefined outside steps. */
+  /**
+   * Group of the item, which counts only once all its items are done; undefined
+   * outside steps.
+   */
   readonly group: string | undefined;
   /** Estimated median number of generated tokens. */
   readonly lengthHint: number | undefined;
--- a/src/submission/submission_ages.ts
+++ b/src/submission/submission_ages.ts
@@ -1,7 +1,7 @@
 import type * as clocks from "../clock/mod.ts";
 import type * as stateMachines from "./submission_state_machine.ts";
 
-/** Tracks for how long this process has known each submission, in monotonic time. */
+/** Tracks the time since this process first observed each submission. */
 export class SubmissionAges {
   readonly #clock: clocks.Clock;
   #knownSinceMs: ReadonlyMap<string, number> = new Map();
@@ -20,7 +20,7 @@
     );
   }
 
-  /** Gets the time since a submission was first observed, in ms; 0 if unknown. */
+  /** Gets the monotonic age of a submission, in ms; 0 if unknown. */
   getAgeMs(id: string): number {
     const sinceMs = this.#knownSinceMs.get(id);
     return sinceMs === undefined ? 0 : this.#clock.getMonotonicMs() - sinceMs;
--- a/src/submission/submission_command.ts
+++ b/src/submission/submission_command.ts
@@ -40,7 +40,7 @@
   | dutyLeases.NoteHolder
   | usageStates.UsageCommand
   | capacityStates.CapacityCommand
-  /** Records running engines, for a new leader that has no reports of them yet. */
+  /** Records running engines for a new leader that has no reports yet. */
   | {
     readonly kind: "keepEngines";
     readonly added: readonly registry.ServerReport[];
--- a/src/submission/submission_service.ts
+++ b/src/submission/submission_service.ts
@@ -15,7 +15,7 @@
 /** Maximum silence of a voter that counts as available, in ms. */
 const MAX_VOTER_SILENCE_MS = 1_000;
 /**
- * Timeout for a follower to apply what its leader has committed, in ms. It covers
+ * Timeout for a follower to apply what its leader has committed, in ms. Covers
  * several heartbeats, which carry the commit index.
  */
 const CATCH_UP_TIMEOUT_MS = 300;
@@ -214,9 +214,9 @@
   }
 
   /**
-   * Reads the state of a retirement. It is completed once the voters without the
-   * box are committed, complete and caught up: the box is then removed, and on an
-   * uncommitted voter set one more lost disk could leave no quorum.
+   * Reads the state of a retirement. It is completed once a committed voter set
+   * without the box is complete and caught up: the box is then removed, and with
+   * an uncommitted set one more lost disk could leave no quorum.
    */
   #readRetire(
     request: protocol.RetireRequest,
--- a/src/submission/submission_state_machine.ts
+++ b/src/submission/submission_state_machine.ts
@@ -122,7 +122,7 @@
     ];
   }
 
-  /** Gets the newest weight version by model; a missing model is at version 1. */
+  /** Gets the newest weight version by model; 1 for a missing model. */
   getVersions(): ReadonlyMap<string, number> {
     return this.#versions;
   }
