--- a/src/submission/mod.ts
+++ b/src/submission/mod.ts
@@ -4,7 +4,7 @@
  * @example
  * ```ts
  * import * as submissions from "../submission/mod.ts";
- * const machine = new submissions.SubmissionMachine(() => {});
+ * const machine = new submissions.SubmissionStateMachine(() => {});
  * machine.apply({ kind: "acceptSubmission", submission });
  * ```
  * @module
