--- a/src/submission/submission_state_machine.ts
+++ b/src/submission/submission_state_machine.ts
@@ -210,7 +210,7 @@
         for (const engine of command.added) this.#recordEngine(engine);
         return KNOWN;
       case "keepCrashes":
-        this.#crashes.forget(command.nowMs);
+        this.#crashes.removeExpired(command.nowMs);
         for (const record of command.records) {
           this.#crashes.merge(record, command.nowMs);
         }
