--- a/src/control/control_service.ts
+++ b/src/control/control_service.ts
@@ -65,7 +65,7 @@
       },
       clock,
       dataFolder: control.dataFolder,
-      machine: this.#stateMachine,
+      stateMachine: this.#stateMachine,
       snapshotEntries: control.snapshotEntries,
       send: (to, message) => this.#sendMessage(to, message),
       onFatal,
@@ -82,7 +82,7 @@
       this.#driver?.getStatus().role === "leader" &&
       clock.getMonotonicMs() < endMs
     ) {
-      this.#driver.transfer();
+      this.#driver.transferLeadership();
       await clocks.sleep(clock, RESIGN_RETRY_DELAY_MS);
     }
   }
@@ -109,7 +109,7 @@
 
   /** Gets the monotonic time until which leadership is guaranteed, in ms. */
   getAuthorityUntilMs(): number {
-    return this.#driver?.getAuthorityUntilMs() ?? 0;
+    return this.#driver?.getLeaseExpiryMs() ?? 0;
   }
 
   /** Proposes a command to the local replica, which must lead. */
--- a/src/control/control_state_machine.ts
+++ b/src/control/control_state_machine.ts
@@ -3,7 +3,7 @@
 import type * as protocols from "./protocol.ts";
 
 /** State machine of the control replicas. */
-export class ControlStateMachine implements consensus.Machine {
+export class ControlStateMachine implements consensus.StateMachine {
   readonly #onChange: () => void;
   #state = replicated.EMPTY_STATE;
 
--- a/src/control/leader_duties.ts
+++ b/src/control/leader_duties.ts
@@ -115,12 +115,12 @@
       });
       return;
     }
-    this.#reportFaults(read.value.unread);
+    this.#reportFaults(read.value.invalidEntries);
     this.#options.service.getSession()?.setServers(read.value.servers);
   }
 
   /** Logs each invalid entry once until it disappears from the list. */
-  #reportFaults(unread: readonly boxList.UnreadEntry[]): void {
+  #reportFaults(unread: readonly boxList.InvalidEntry[]): void {
     const { log, metrics: sink } = this.#options;
     const faults = new Set<string>();
     for (const { id, field } of unread.slice(0, MAX_LOGGED_FAULTS)) {
--- a/src/submission/protocol.ts
+++ b/src/submission/protocol.ts
@@ -66,7 +66,7 @@
 /** Reply to a request that the leader handles. */
 export type LeaderReply<T> =
   | replicaGroups.NotLeader
-  | replicaGroups.Unsure
+  | replicaGroups.UnconfirmedChange
   /** The submission, item or box does not exist, or is not the sender's. */
   | { readonly kind: "unknown" }
   | { readonly kind: "done"; readonly value: T };
--- a/src/submission/saved_parts.ts
+++ b/src/submission/saved_parts.ts
@@ -1,7 +1,7 @@
 import type * as capacityStates from "../capacity/capacity_state.ts";
 import type * as crashRecords from "../crash_record/mod.ts";
 import type * as registry from "../registry/mod.ts";
-import type * as usageStates from "../usage/usage_book.ts";
+import type * as usageStates from "../usage/usage_state.ts";
 import type * as submissions from "./submission.ts";
 
 /** Maximum text of a part, in characters; a longer single value still fits. */
--- a/src/submission/submission_command.ts
+++ b/src/submission/submission_command.ts
@@ -3,7 +3,7 @@
 import type * as crashRecords from "../crash_record/mod.ts";
 import type * as dutyLeases from "../duty/duty_lease.ts";
 import type * as registry from "../registry/mod.ts";
-import type * as usageStates from "../usage/usage_book.ts";
+import type * as usageStates from "../usage/usage_state.ts";
 import type * as submissions from "./submission.ts";
 
 /** A result to append to those of a submission. */
--- a/src/submission/submission_state_machine.ts
+++ b/src/submission/submission_state_machine.ts
@@ -3,7 +3,7 @@
 import type * as accounts from "../client_account/mod.ts";
 import * as crashRecords from "../crash_record/mod.ts";
 import * as registry from "../registry/mod.ts";
-import * as usageStates from "../usage/usage_book.ts";
+import * as usageStates from "../usage/usage_state.ts";
 import * as accessChecks from "./can_access.ts";
 import * as savedParts from "./saved_parts.ts";
 import type * as submissions from "./submission.ts";
@@ -41,9 +41,9 @@
 const UNKNOWN: commands.SubmissionAnswer = { isKnown: false };
 
 /** State machine of the store boxes' replicated log. */
-export class SubmissionStateMachine implements consensus.Machine {
+export class SubmissionStateMachine implements consensus.StateMachine {
   readonly #onChange: () => void;
-  readonly #usage = new usageStates.UsageBook();
+  readonly #usage = new usageStates.UsageState();
   readonly #capacity = new capacityStates.CapacityState();
   readonly #crashes = new crashRecords.CrashTable();
   #records = new Map<string, MutableRecord>();
@@ -80,7 +80,7 @@
   }
 
   /** Gets the replicated usage state. */
-  getUsage(): usageStates.UsageBook {
+  getUsage(): usageStates.UsageState {
     return this.#usage;
   }
 
