--- a/src/fleet_daemon/_choose_entry_boxes.ts
+++ b/src/fleet_daemon/_choose_entry_boxes.ts
@@ -1,48 +1,51 @@
 import type * as fleet from "../fleet/mod.ts";
 
-/** Boxes of the caller's own failure domain that are enough to name alone. */
-const ENOUGH_NEAR = 2;
+/** Ready boxes that a failure domain needs to serve its callers alone. */
+const MIN_SAME_DOMAIN_BOXES = 2;
 /**
- * Silence after which a box is not named to callers, in ms. News of a box come
- * every 500 ms and are passed on every 250 ms; a box counts as gone only after
- * 1,800 ms. Callers that connect to a box without power wait a second for
- * nothing, while a box left out for a moment is hardly missed.
+ * Time without gossip about a box after which callers are not sent to it, in
+ * ms. It is shorter than the time after which the directory drops the box, as a
+ * caller that connects to a dead box waits for its connect timeout.
  */
-const SUSPECT_MS = 1_100;
+const SUSPECT_TIMEOUT_MS = 1_100;
 /**
- * Share of the boxes that may be left out; where more are silent, the news
- * rather than the boxes are at fault.
+ * Largest fraction of the boxes that may be left out. If more are silent, the
+ * fault is likely in the gossip and not in the boxes.
  */
-const MOST_SUSPECT_SHARE = 0.5;
+const MAX_SUSPECT_FRACTION = 0.5;
 
-/** What decides which boxes a caller is sent to. */
-export interface EntryBoxChoice {
-  /** Boxes that are not taken for gone. */
+/** Inputs of `chooseEntryBoxes`. */
+export interface EntryBoxChoiceOptions {
+  /** Boxes that the directory lists as alive. */
   readonly alive: readonly fleet.BoxRecord[];
   /** Failure domain of the caller. */
   readonly failureDomain: string;
-  /** Time since the last news of a box, in ms. */
+  /** Time since the last gossip about a box, in ms. */
   readonly getSilenceMs: (id: string) => number;
 }
 
 /**
- * Chooses the boxes that a caller is sent to: ready ones of its failure domain,
- * or all where too few are near, without those that fell silent.
+ * Chooses the boxes that a caller is sent to: the ready boxes of its failure
+ * domain, or all ready boxes if the domain has too few, without suspect ones.
  *
- * @param choice What decides.
- * @returns The boxes.
+ * @param options Boxes alive, the caller's failure domain, and silence times.
+ * @returns The boxes; empty only if no ready box serves callers.
  */
 export function chooseEntryBoxes(
-  { alive, failureDomain, getSilenceMs }: EntryBoxChoice,
+  { alive, failureDomain, getSilenceMs }: EntryBoxChoiceOptions,
 ): readonly fleet.BoxRecord[] {
   const ready = alive.filter((box) =>
     box.isReady && !box.isLeaving && box.callerAddress !== undefined
   );
-  const near = ready.filter((box) => box.failureDomain === failureDomain);
-  const chosen = near.length >= ENOUGH_NEAR ? near : ready;
-  const heard = chosen.filter((box) => getSilenceMs(box.id) < SUSPECT_MS);
+  const sameDomain = ready.filter((box) => box.failureDomain === failureDomain);
+  const chosen = sameDomain.length >= MIN_SAME_DOMAIN_BOXES
+    ? sameDomain
+    : ready;
+  const responsive = chosen.filter((box) =>
+    getSilenceMs(box.id) < SUSPECT_TIMEOUT_MS
+  );
   const isPlausible =
-    heard.length >= chosen.length * (1 - MOST_SUSPECT_SHARE) &&
-    heard.length > 0;
-  return isPlausible ? heard : chosen;
+    responsive.length >= chosen.length * (1 - MAX_SUSPECT_FRACTION) &&
+    responsive.length > 0;
+  return isPlausible ? responsive : chosen;
 }
--- a/src/fleet_daemon/_duty_settings.ts
+++ b/src/fleet_daemon/_duty_settings.ts
@@ -3,23 +3,26 @@
 import type * as usages from "../usage/mod.ts";
 
 const MS_PER_SECOND = 1_000;
-/** Name of the duty to order engines. */
-const CAPACITY_DUTY = "autoscaling";
-/** Name of the duty to report usage. */
-const USAGE_DUTY = "usage_reporting";
+/** Duty of the infrastructure settings that lets boxes order engines. */
+const AUTOSCALING_DUTY = "autoscaling";
+/** Duty of the infrastructure settings that lets boxes report usage. */
+const USAGE_REPORTING_DUTY = "usage_reporting";
 
 /**
- * Gives the windows in which usage is reported.
+ * Reads the timings of usage reports from the settings.
  *
  * @param settings Settings of the box.
- * @returns The windows; undefined where no report is asked for.
+ * @returns Length and lateness of the windows, in ms; undefined if usage
+ * reporting is not enabled.
  */
-export function getUsageTimes(
+export function getUsageTimings(
   settings: fleetSettings.FleetSettings,
 ): usages.WindowTimes | undefined {
   const { usageWindowS, usageLateS } = settings.bounds;
-  const isAsked = settings.infrastructure?.duties.includes(USAGE_DUTY);
-  if (!isAsked || usageWindowS === undefined || usageLateS === undefined) {
+  const isEnabled = settings.infrastructure?.duties.includes(
+    USAGE_REPORTING_DUTY,
+  );
+  if (!isEnabled || usageWindowS === undefined || usageLateS === undefined) {
     return undefined;
   }
   return {
@@ -29,16 +32,17 @@
 }
 
 /**
- * Gives the policy by which engines are ordered.
+ * Reads the autoscaling policy from the settings.
  *
  * @param settings Settings of the box.
- * @returns The policy; undefined where none are.
+ * @returns The policy; undefined if autoscaling is off or not a duty of the
+ * fleet.
  */
 export function getCapacityPolicy(
   settings: fleetSettings.FleetSettings,
 ): capacity.CapacityPolicy | undefined {
   const { policy, headroom } = settings.capacity;
-  if (!settings.infrastructure?.duties.includes(CAPACITY_DUTY)) {
+  if (!settings.infrastructure?.duties.includes(AUTOSCALING_DUTY)) {
     return undefined;
   }
   switch (policy) {
--- a/src/fleet_daemon/_raw_listener.ts
+++ b/src/fleet_daemon/_raw_listener.ts
@@ -3,25 +3,25 @@
 import * as httpServer from "../http_server/mod.ts";
 import type * as logs from "../log/mod.ts";
 
-/** Largest head that is read, in bytes; the configuration may allow less. */
+/** Largest request head accepted, in bytes. */
 const MAX_HEADER_BYTES = 65_536;
 
-/** Time in which a request's head must arrive until operators say, in ms. */
-const FIRST_HEADERS_MS = 5_000;
+/** Timeout for a request's head until a configuration sets one, in ms. */
+const INITIAL_HEADERS_TIMEOUT_MS = 5_000;
 
 /**
- * Creates a listener whose callers speak a platform's dialect.
+ * Creates an HTTP listener that logs unsent answers and failed requests.
  *
- * @param handler Answers one request; it ends the response in any case.
- * @param log Told of answers that could not be sent, and of thrown errors.
- * @returns The listener; it does not listen yet.
+ * @param handler Handles one request and ends its response.
+ * @param log Receives unsent answers and thrown errors.
+ * @returns The listener, not yet listening.
  */
 export function createRawListener(
   handler: httpServer.HttpHandler,
   log: logs.Log,
 ): httpServer.HttpListener {
   return new httpServer.HttpListener(handler, {
-    headersTimeoutMs: FIRST_HEADERS_MS,
+    headersTimeoutMs: INITIAL_HEADERS_TIMEOUT_MS,
     requestTimeoutMs: 0,
     maxHeaderBytes: MAX_HEADER_BYTES,
     onUnsent: ({ message }) => log.write("debug", "answer.unsent", { message }),
@@ -37,10 +37,11 @@
 }
 
 /**
- * Writes an answer whole; nothing happens once the caller has left.
+ * Writes an answer and ends the response. Does nothing if the response was
+ * begun or its connection closed.
  *
- * @param response Where to.
- * @param answer The answer.
+ * @param response The response to write to.
+ * @param answer The answer; without `endsWithConnection` its length is sent.
  */
 export function writeAnswer(
   response: http.ServerResponse,
@@ -64,7 +65,7 @@
 }
 
 /**
- * Takes the parts of a request that a dialect reads.
+ * Converts a request to the form that dialects parse.
  *
  * @param request The request.
  * @returns Its method, target and headers.
--- a/src/fleet_daemon/box_parts.ts
+++ b/src/fleet_daemon/box_components.ts
@@ -13,25 +13,27 @@
 import * as rpc from "../rpc/mod.ts";
 import * as trafficConfig from "../traffic_config/mod.ts";
 
-/** What is fixed while a box runs. */
+/** Inputs of a box that do not change while it runs. */
 export interface BoxContext {
   readonly settings: fleetSettings.FleetSettings;
   readonly dialect: dialects.Dialect;
   readonly lines: logs.LineBuffer;
-  /** Told of a failure after which the process must end. */
+  /** Called with an error after which the process must end. */
   readonly onFatal: (error: unknown) => void;
 }
 
-/** Whether callers may come, and whether the box is being stopped. */
-export interface BoxPhase {
+/** Readiness, shutdown and leadership of a box. */
+export interface BoxStatus {
+  /** Whether a configuration is in force, so that callers can be served. */
   isReady: boolean;
+  /** Whether a graceful shutdown has begun. */
   isLeaving: boolean;
   /** Newest term in which this box has led its replica group; 0 for none. */
   ledTerm: number;
 }
 
-/** The parts that every box has. */
-export interface BoxParts extends BoxContext {
+/** Components that every box has, whatever its roles. */
+export interface BoxComponents extends BoxContext {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly metrics: metrics.FleetMetrics;
@@ -40,20 +42,24 @@
   readonly directory: fleet.BoxDirectory;
   readonly servers: registry.ServerRegistry;
   readonly refusedReports: registry.RefusedReports;
-  /** Tells whether a configuration names a service; true while there is none. */
+  /**
+   * Whether the configuration in force names a service; true for every name
+   * while there is no configuration.
+   */
   readonly isService: (name: string) => boolean;
   readonly configuration: trafficConfig.ConfigurationHolder;
   readonly link: fleet.FleetLink;
-  /** Work under which servers ended, as this box knows it. */
+  /** Records of work that crashed backend servers, as known to this box. */
   readonly crashTable: crashRecords.CrashTable;
   readonly crashGuard: crashGuards.CrashGuard;
   readonly forwarder: forwarding.Forwarder;
-  readonly phase: BoxPhase;
+  readonly status: BoxStatus;
+  /** Returns a random number from 0 (inclusive) to 1 (exclusive). */
   readonly draw: () => number;
 }
 
-/** Builds the parts that every box has; nothing runs yet. */
-export function createBoxParts(context: BoxContext): BoxParts {
+/** Creates the components that every box has, without starting any. */
+export function createBoxComponents(context: BoxContext): BoxComponents {
   const { settings, dialect, lines } = context;
   const clock = new clocks.SystemClock();
   const log = new logs.Log(
@@ -88,7 +94,7 @@
     ),
     configuration,
     crashTable: new crashRecords.CrashTable(),
-    phase: { isReady: false, isLeaving: false, ledTerm: 0 },
+    status: { isReady: false, isLeaving: false, ledTerm: 0 },
     draw: Math.random,
   };
   const link: fleet.FleetLink = createLink(
@@ -106,32 +112,32 @@
   return { ...shared, crashGuard, forwarder, link };
 }
 
-/** The parts that know nothing of the fleet's news. */
-type LocalParts = Omit<BoxParts, "link" | "crashGuard" | "forwarder">;
+/** Components that do not depend on the gossip link. */
+type LocalComponents = Omit<BoxComponents, "link" | "crashGuard" | "forwarder">;
 
 function createCrashGuard(
-  parts: LocalParts,
+  components: LocalComponents,
   link: fleet.FleetLink,
 ): crashGuards.CrashGuard {
-  const stores = createLeaderCaller(parts, isStoreBox);
+  const storeLeader = createLeaderCaller(components, isStoreBox);
   return new crashGuards.CrashGuard({
-    ...parts,
-    table: parts.crashTable,
+    ...components,
+    table: components.crashTable,
     findPortState: httpClient.findPortState,
     publish: (record) => link.publishCrash(record),
-    ...crashGuards.createGrantCalls(stores),
+    ...crashGuards.createGrantCalls(storeLeader),
   });
 }
 
 function createLink(
-  parts: LocalParts,
+  components: LocalComponents,
   learnCrash: (record: crashRecords.CrashRecord) => boolean,
 ): fleet.FleetLink {
-  const { settings, phase, clock } = parts;
+  const { settings, status, clock } = components;
   const { box, roles, listen, seeds, dataFolder } = settings;
   const startedAtMs = clock.getWallMs();
   return new fleet.FleetLink({
-    ...parts,
+    ...components,
     learnCrash,
     seeds: seeds.map((seed) => seed.address),
     describeSelf: () => ({
@@ -145,20 +151,26 @@
         : `${listen.caller.address}:${listen.caller.port}`,
       isCore: roles.entry && dataFolder !== undefined,
       isStore: roles.store,
-      isReady: phase.isReady,
-      isLeaving: phase.isLeaving,
-      ledTerm: phase.ledTerm,
+      isReady: status.isReady,
+      isLeaving: status.isLeaving,
+      ledTerm: status.ledTerm,
       startedAtMs,
     }),
   });
 }
 
-/** Makes a caller of the leader among the boxes of a kind. */
+/**
+ * Creates a client that calls the leader of a replica group.
+ *
+ * @param components Components of the box.
+ * @param isMember Whether a box has a replica of the group.
+ * @returns The client.
+ */
 export function createLeaderCaller(
-  parts: Pick<BoxParts, "clock" | "log" | "directory" | "peers">,
+  components: Pick<BoxComponents, "clock" | "log" | "directory" | "peers">,
   isMember: (box: fleet.BoxRecord) => boolean,
 ): replicaGroups.LeaderCaller {
-  const { clock, log, directory, peers } = parts;
+  const { clock, log, directory, peers } = components;
   return new replicaGroups.LeaderCaller({
     clock,
     log,
@@ -169,7 +181,7 @@
   });
 }
 
-/** Finds the box that led last, as far as boxes have told. */
+/** Finds the box that published the highest term as leader, if any did. */
 export function findLeader(
   boxes: readonly fleet.BoxRecord[],
 ): fleet.BoxRecord | undefined {
@@ -177,12 +189,12 @@
     .toSorted((a, b) => b.ledTerm - a.ledTerm)[0];
 }
 
-/** Tells whether a box keeps a replica of the configuration. */
+/** Whether a box has a replica of the configuration. */
 export function isCoreBox(box: fleet.BoxRecord): boolean {
   return box.isCore;
 }
 
-/** Tells whether a box keeps a replica of the submissions. */
+/** Whether a box has a replica of the submissions. */
 export function isStoreBox(box: fleet.BoxRecord): boolean {
   return box.isStore;
 }
--- a/src/fleet_daemon/caller_calls.ts
+++ b/src/fleet_daemon/caller_handler.ts
@@ -11,22 +11,22 @@
 import * as trafficConfig from "../traffic_config/mod.ts";
 import type * as metricTypes from "../metrics/mod.ts";
 import type * as fleet from "../fleet/mod.ts";
-import * as plainHeaders from "./_plain_headers.ts";
+import * as endToEndHeaders from "./_end_to_end_headers.ts";
 import type * as usages from "../usage/mod.ts";
 import * as rawListeners from "./_raw_listener.ts";
-import * as submissionCalls from "./_submission_calls.ts";
+import * as submissionHandlers from "./_submission_handler.ts";
 
-/** Kept back from a deadline so that the answer arrives before it, in ms. */
+/** Subtracted from each deadline so that the answer arrives in time, in ms. */
 const ANSWER_MARGIN_MS = 30;
-/** When to come back to a box that has no configuration yet, in ms. */
-const START_RETRY_MS = 500;
-/** Shortest silence before a second server is asked, in ms. */
-const MIN_HEDGE_MS = 60;
-/** Share of the target latency after which a second server is asked. */
-const HEDGE_SHARE = 0.45;
+/** Retry delay sent to callers while no configuration is in force, in ms. */
+const UNCONFIGURED_RETRY_MS = 500;
+/** Shortest delay before a hedged request is sent, in ms. */
+const MIN_HEDGE_DELAY_MS = 60;
+/** Delay before a hedged request, as a fraction of the target latency. */
+const HEDGE_DELAY_FRACTION = 0.45;
 
-/** What the caller calls need. */
-export interface CallerCallsOptions {
+/** Dependencies of `CallerHandler`. */
+export interface CallerHandlerOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly metrics: metricTypes.FleetMetrics;
@@ -36,21 +36,22 @@
   readonly stores: replicaGroups.LeaderCaller;
   readonly peers: fleet.Peers;
   readonly failureDomain: string;
-  /** Counts usage where that is asked for. */
+  /** Counts usage per account; undefined where usage is not reported. */
   readonly usage: usages.UsageTeller | undefined;
+  /** Returns a random number from 0 (inclusive) to 1 (exclusive). */
   readonly draw: () => number;
 }
 
-/** A request and the configuration under which it is answered. */
-interface AskedRequest {
+/** A parsed request and the configuration in force when it arrived. */
+interface ParsedRequest {
   readonly raw: dialects.RawRequest;
   readonly head: dialects.RequestHead;
   readonly configuration: trafficConfig.Configuration;
-  /** Host that the caller named, without a port. */
+  /** Value of the `host` header without the port. */
   readonly host: string;
 }
 
-/** A request with its route and sender. */
+/** A request whose route and sender are known; times are monotonic. */
 interface RoutedRequest {
   readonly raw: dialects.RawRequest;
   readonly sender: accounts.Sender;
@@ -61,17 +62,17 @@
   readonly deadlineAtMs: number;
 }
 
-/** Answers requests at the caller address. */
-export class CallerCalls {
-  readonly #options: CallerCallsOptions;
-  readonly #submissions: submissionCalls.SubmissionCalls;
+/** Handles HTTP requests at the caller address. */
+export class CallerHandler {
+  readonly #options: CallerHandlerOptions;
+  readonly #submissions: submissionHandlers.SubmissionHandler;
 
-  constructor(options: CallerCallsOptions) {
+  constructor(options: CallerHandlerOptions) {
     this.#options = options;
-    this.#submissions = new submissionCalls.SubmissionCalls(options);
+    this.#submissions = new submissionHandlers.SubmissionHandler(options);
   }
 
-  /** Answers one request. */
+  /** Handles one request; an abandoned request gets no answer. */
   async serve(
     request: http.IncomingMessage,
     response: http.ServerResponse,
@@ -91,51 +92,51 @@
     const configuration = this.#options.configuration.get();
     if (configuration === undefined) {
       return this.#refuse("noLease", "Cannot serve: no configuration yet", {
-        retryAfterMs: START_RETRY_MS,
+        retryAfterMs: UNCONFIGURED_RETRY_MS,
       });
     }
-    const asked: AskedRequest = {
+    const parsed: ParsedRequest = {
       raw,
       head: this.#options.dialect.parseRequestHead(raw.headers),
       configuration,
       host: getHost(raw),
     };
     if (call.kind === "routed") {
-      return await this.#serveRouted(asked, request, response);
+      return await this.#serveRouted(parsed, request, response);
     }
     const allowsAnonymous = configuration.routes.some((route) =>
-      route.host === asked.host && route.kind === "submission" &&
+      route.host === parsed.host && route.kind === "submission" &&
       route.allowsAnonymous
     );
-    const sender = this.#checkKey(asked, allowsAnonymous);
+    const sender = this.#checkKey(parsed, allowsAnonymous);
     if (sender.kind === "refused") return this.#refuseKey();
     return await this.#submissions.answer(call, sender);
   }
 
-  /** Says whose request it is; a refusal is logged without its key. */
+  /** Identifies the sender; a refused key is logged only in described form. */
   #checkKey(
-    { raw, head, configuration, host }: AskedRequest,
+    { raw, head, configuration, host }: ParsedRequest,
     allowsAnonymous: boolean,
   ): accounts.KeyVerdict {
     const { log, metrics } = this.#options;
     const { key, requestId } = head;
-    const verdict = accounts.checkKey(
+    const result = accounts.checkKey(
       configuration.accounts,
       key,
       allowsAnonymous,
     );
-    if (verdict.kind === "refused") {
-      metrics.countRefusedKey(verdict.reason);
+    if (result.kind === "refused") {
+      metrics.countRefusedKey(result.reason);
       log.write("info", "key.refused", {
         request: requestId,
         host,
         target: raw.target,
         key: accounts.describeKey(key),
         version: configuration.version,
-        reason: verdict.reason,
+        reason: result.reason,
       });
     }
-    return verdict;
+    return result;
   }
 
   #refuseKey(): dialects.RawAnswer {
@@ -152,13 +153,13 @@
   }
 
   async #serveRouted(
-    asked: AskedRequest,
+    parsed: ParsedRequest,
     request: http.IncomingMessage,
     response: http.ServerResponse,
   ): Promise<dialects.RawAnswer | undefined> {
     const { clock, dialect, log } = this.#options;
     const arrivedAtMs = clock.getMonotonicMs();
-    const { raw, head, configuration, host } = asked;
+    const { raw, head, configuration, host } = parsed;
     const route = trafficConfig.matchRoute(configuration, host, raw.target);
     if (route === undefined) {
       log.write("info", "request.unrouted", {
@@ -168,18 +169,18 @@
       });
       return this.#refuse("unknownRoute", "Cannot serve: no route fits");
     }
-    const sender = this.#checkKey(asked, route.allowsAnonymous);
+    const sender = this.#checkKey(parsed, route.allowsAnonymous);
     if (sender.kind === "refused") return this.#refuseKey();
     if (head.requestId === undefined) {
       return this.#refuse("missingKey", "Cannot serve: the id is missing");
     }
-    const waitMs = Math.min(
+    const timeoutMs = Math.min(
       head.deadlineMs ?? route.timeoutMs,
       route.timeoutMs,
     );
     const body = await httpServer.readBody(request, {
       maxBodyBytes: configuration.limits.bodyBytes,
-      receiveTimeoutMs: waitMs,
+      receiveTimeoutMs: timeoutMs,
     });
     if (body.kind === "failure") return dialect.formatFailure(body.failure);
     const routed: RoutedRequest = {
@@ -189,7 +190,7 @@
       sender,
       requestId: head.requestId,
       arrivedAtMs,
-      deadlineAtMs: arrivedAtMs + waitMs - ANSWER_MARGIN_MS,
+      deadlineAtMs: arrivedAtMs + timeoutMs - ANSWER_MARGIN_MS,
     };
     if (route.kind === "submission") {
       return await this.#submissions.accept({ ...routed, body: body.value });
@@ -220,27 +221,33 @@
       attempts: route.attempts,
       isRepeatable: route.kind === "repeatable",
       retriesErrors: true,
-      hedgeMs: Math.max(MIN_HEDGE_MS, route.targetLatencyMs * HEDGE_SHARE),
+      hedgeMs: Math.max(
+        MIN_HEDGE_DELAY_MS,
+        route.targetLatencyMs * HEDGE_DELAY_FRACTION,
+      ),
       onBegun: (begunAtMs) => this.#countUsage(sender, begunAtMs),
       cancellation,
     });
-    this.#note(routed, outcome);
+    this.#recordOutcome(routed, outcome);
     return this.#toAnswer(outcome);
   }
 
   #countUsage(sender: accounts.Sender, begunAtMs: number): void {
     const { clock, usage } = this.#options;
     if (sender.kind !== "account" || usage === undefined) return;
-    const agoMs = clock.getMonotonicMs() - begunAtMs;
-    usage.count(sender.name, clock.getWallMs() - agoMs);
+    const elapsedMs = clock.getMonotonicMs() - begunAtMs;
+    usage.count(sender.name, clock.getWallMs() - elapsedMs);
   }
 
-  #note(routed: RoutedRequest, outcome: forwarding.ForwardOutcome): void {
+  #recordOutcome(
+    routed: RoutedRequest,
+    outcome: forwarding.ForwardOutcome,
+  ): void {
     const { clock, log, metrics } = this.#options;
-    const tookMs = clock.getMonotonicMs() - routed.arrivedAtMs;
-    metrics.recordRequest(routed.route.name, outcome.kind, tookMs);
-    const isPlain = outcome.kind === "answered" && outcome.answer.status < 500;
-    log.write(isPlain ? "debug" : "info", "request.done", {
+    const durationMs = clock.getMonotonicMs() - routed.arrivedAtMs;
+    metrics.recordRequest(routed.route.name, outcome.kind, durationMs);
+    const isServed = outcome.kind === "answered" && outcome.answer.status < 500;
+    log.write(isServed ? "debug" : "info", "request.done", {
       request: routed.requestId,
       route: routed.route.name,
       account: routed.sender.kind === "account"
@@ -253,7 +260,7 @@
       status: outcome.kind === "answered" ? outcome.answer.status : undefined,
       waitedMs: outcome.kind === "notRun" ? outcome.waitedMs : undefined,
       returnMs: "returnMs" in outcome ? outcome.returnMs : undefined,
-      tookMs: Math.round(tookMs),
+      tookMs: Math.round(durationMs),
     });
   }
 
@@ -265,7 +272,7 @@
         const { status, headers, body, isFramed } = outcome.answer;
         return {
           status,
-          headers: plainHeaders.toPlainHeaders(headers),
+          headers: endToEndHeaders.toEndToEndHeaders(headers),
           body,
           endsWithConnection: !isFramed,
         };
@@ -303,7 +310,7 @@
   return host;
 }
 
-/** An account's rank goes before that of the route. */
+/** Returns the account's priority, or the route's where it has none. */
 function getPriority(
   sender: accounts.Sender,
   route: trafficConfig.Route,
--- a/src/fleet_daemon/control_calls.ts
+++ b/src/fleet_daemon/control_handler.ts
@@ -8,33 +8,35 @@
 import * as submissions from "../submission/mod.ts";
 import * as trafficConfig from "../traffic_config/mod.ts";
 
-/** Operators take a second without an answer for a failure. */
-const CALL_TIMES = { totalMs: 900, tryMs: 450 };
+/** Timeouts in ms; operators' clients time out after one second. */
+const CALL_TIMEOUTS = { totalMs: 900, tryMs: 450 };
 
-/** What the control calls need. */
-export interface ControlCallsOptions {
+/** Dependencies of `ControlHandler`. */
+export interface ControlHandlerOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly dialect: dialects.Dialect;
   readonly directory: fleet.BoxDirectory;
   readonly servers: registry.ServerRegistry;
   readonly refusedReports: Pick<registry.RefusedReports, "note">;
-  /** Tells whether a configuration names a service; true while there is none. */
+  /**
+   * Whether the configuration in force names a service; true for every name
+   * while there is no configuration.
+   */
   readonly isService: (name: string) => boolean;
   readonly link: fleet.FleetLink;
   readonly core: replicaGroups.LeaderCaller;
   readonly stores: replicaGroups.LeaderCaller;
 }
 
-/** Answers the calls of servers, operators and trainers to the control address. */
-export class ControlCalls {
-  readonly #options: ControlCallsOptions;
+/** Handles calls of servers, operators and trainers at the control address. */
+export class ControlHandler {
+  readonly #options: ControlHandlerOptions;
 
-  constructor(options: ControlCallsOptions) {
+  constructor(options: ControlHandlerOptions) {
     this.#options = options;
   }
 
-  /** Answers one call. */
   async answer(
     request: dialects.RawRequest,
     body: Buffer,
@@ -43,9 +45,9 @@
     const call = dialect.parseControlCall(request, body);
     switch (call.kind) {
       case "heartbeat":
-        return this.#takeHeartbeat(call.report);
+        return this.#handleHeartbeat(call.report);
       case "leave":
-        return this.#takeLeave(call.lifetime);
+        return this.#handleLeave(call.lifetime);
       case "badReport":
         this.#options.refusedReports.note(call.refusal);
         return dialect.formatFailure(call.failure);
@@ -80,8 +82,8 @@
     return this.#options.dialect.formatFailure(failure);
   }
 
-  /** The others are told before the server is, so that they know by then. */
-  #takeHeartbeat(report: registry.ServerReport): dialects.RawAnswer {
+  /** Publishes the report to the other boxes before the server is answered. */
+  #handleHeartbeat(report: registry.ServerReport): dialects.RawAnswer {
     const { servers, link, log, dialect, clock, isService } = this.#options;
     const refusal = registry.findRefusal(report, {
       known: servers.get(report.id),
@@ -111,7 +113,7 @@
     return dialect.formatDone();
   }
 
-  /** Its sender goes on to another box, which may know better. */
+  /** Refuses a report; the server then sends it to another box. */
   #refuseReport(refusal: registry.ReportRefusal): dialects.RawAnswer {
     this.#options.refusedReports.note(refusal);
     return this.#refuse(
@@ -120,7 +122,7 @@
     );
   }
 
-  #takeLeave(lifetime: registry.Lifetime): dialects.RawAnswer {
+  #handleLeave(lifetime: registry.Lifetime): dialects.RawAnswer {
     const { servers, link, log, dialect, clock } = this.#options;
     const { id, born } = lifetime;
     const known = servers.get(id);
@@ -146,7 +148,7 @@
     const reply = await core.call<trafficConfig.PutReply>(
       trafficConfig.METHODS.put,
       request,
-      CALL_TIMES,
+      CALL_TIMEOUTS,
     );
     log.write("info", "configuration.put", {
       version: stored.version,
@@ -161,7 +163,7 @@
     const reply = await core.call<trafficConfig.ReadReply>(
       trafficConfig.METHODS.read,
       {},
-      CALL_TIMES,
+      CALL_TIMEOUTS,
     );
     if (reply.kind === "failure") return dialect.formatFailure(reply.failure);
     const { stored } = reply.value;
@@ -174,7 +176,7 @@
     version: number,
   ): Promise<dialects.RawAnswer> {
     const request: submissions.NameVersionRequest = { model, version };
-    const reply = await this.#callStores<null>(
+    const reply = await this.#callStoreLeader<null>(
       submissions.METHODS.nameVersion,
       request,
     );
@@ -185,9 +187,9 @@
 
   async #retire(name: string): Promise<dialects.RawAnswer> {
     const box = this.#options.directory.findByName(name);
-    if (box === undefined || !box.isStore) return this.#refuseBox(name);
+    if (box === undefined || !box.isStore) return this.#refuseUnknownBox(name);
     const request: submissions.RetireRequest = { box: box.id };
-    const reply = await this.#callStores<submissions.RetireState>(
+    const reply = await this.#callStoreLeader<submissions.RetireState>(
       submissions.METHODS.retire,
       request,
     );
@@ -203,9 +205,9 @@
 
   async #readRetire(name: string): Promise<dialects.RawAnswer> {
     const box = this.#options.directory.findByName(name);
-    if (box === undefined || !box.isStore) return this.#refuseBox(name);
+    if (box === undefined || !box.isStore) return this.#refuseUnknownBox(name);
     const request: submissions.RetireRequest = { box: box.id };
-    const reply = await this.#callStores<submissions.RetireState>(
+    const reply = await this.#callStoreLeader<submissions.RetireState>(
       submissions.METHODS.readRetire,
       request,
     );
@@ -215,43 +217,46 @@
     return this.#options.dialect.formatRetire(reply.value === "completed");
   }
 
-  #refuseBox(name: string): dialects.RawAnswer {
+  #refuseUnknownBox(name: string): dialects.RawAnswer {
     return this.#refuse("unknownRoute", `Cannot find the store box ${name}`);
   }
 
-  async #callStores<T>(
+  async #callStoreLeader<T>(
     method: string,
     request: object,
   ): Promise<results.Result<T>> {
-    return await callStores<T>(
+    return await callStoreLeader<T>(
       this.#options.stores,
       { method, request },
-      CALL_TIMES,
+      CALL_TIMEOUTS,
     );
   }
 }
 
-/** A call to the leader of the stores. */
+/** An RPC to the leader of the stores. */
 export interface StoreCall {
   readonly method: string;
   readonly request: object;
 }
 
 /**
- * Calls the leader of the stores and gives its answer as a result.
+ * Calls the leader of the stores.
  *
- * @returns The value; `unknownStep` for what does not exist, `changeUnknown`
- * or `noLeader` where no answer came in time.
+ * @param stores Client of the store group.
+ * @param call Method and request.
+ * @param timeouts Timeouts of the whole call and of one attempt.
+ * @returns The reply's value; `unknownStep` if the target does not exist;
+ * `changeUnknown` or `noLeader` if no reply arrived in time.
  */
-export async function callStores<T>(
+export async function callStoreLeader<T>(
   stores: replicaGroups.LeaderCaller,
   call: StoreCall,
-  times: replicaGroups.CallTimes,
+  timeouts: replicaGroups.CallTimes,
 ): Promise<results.Result<T>> {
   const reply = await stores.call<submissions.LeaderReply<T>>(
     call.method,
     call.request,
-    times,
+    timeouts,
   );
   if (reply.kind === "failure") return reply;
   switch (reply.value.kind) {
--- a/src/fleet_daemon/read_in_slices_test.ts
+++ b/src/fleet_daemon/poll_results_test.ts
@@ -2,7 +2,7 @@
 import * as clocks from "../clock/mod.ts";
 import * as results from "../results/mod.ts";
 import type * as submissions from "../submission/mod.ts";
-import * as readInSlices from "./_read_in_slices.ts";
+import * as pollResults from "./_poll_results.ts";
 
 const RESULT: submissions.ItemResult = {
   id: "a",
@@ -20,47 +20,47 @@
   return results.createOk({ total: 1, next, results: found, isEnded });
 }
 
-describe("read in slices", () => {
+describe("pollResults", () => {
   let clock = new clocks.FakeClock();
-  let asked: number[] = [];
+  let waits: number[] = [];
 
   beforeEach(() => {
     clock = new clocks.FakeClock();
-    asked = [];
+    waits = [];
   });
 
-  /** Reads 1,000 ms long; each answer takes the whole wait it was asked for. */
-  function read(
+  /** Polls for 1,000 ms; each reply takes the whole wait of its call. */
+  function poll(
     answers: readonly results.Result<submissions.ResultPage>[],
   ): Promise<results.Result<submissions.ResultPage>> {
-    return readInSlices.readInSlices({
+    return pollResults.pollResults({
       clock,
       waitMs: 1_000,
-      readOnce: (waitMs, tryMs) => {
-        chai.expect(tryMs).to.be.lessThan(1_000);
-        asked.push(waitMs);
+      readOnce: (waitMs, timeoutMs) => {
+        chai.expect(timeoutMs).to.be.lessThan(1_000);
+        waits.push(waitMs);
         clock.extendBy(waitMs);
-        return Promise.resolve(answers[asked.length - 1] ?? createPage([]));
+        return Promise.resolve(answers[waits.length - 1] ?? createPage([]));
       },
     });
   }
 
-  it("waits no longer than its caller allows", async () => {
-    const page = await read([]);
+  it("waits no longer than the requested time", async () => {
+    const page = await poll([]);
     chai.expect(page).to.deep.equal(createPage([]));
-    chai.expect(asked).to.deep.equal([400, 400, 200]);
+    chai.expect(waits).to.deep.equal([400, 400, 200]);
   });
 
-  it("gives the first results at once", async () => {
-    const page = await read([createPage([]), createPage([RESULT])]);
+  it("returns the first results without further calls", async () => {
+    const page = await poll([createPage([]), createPage([RESULT])]);
     chai.expect(page).to.deep.equal(createPage([RESULT]));
-    chai.expect(asked).to.deep.equal([400, 400]);
+    chai.expect(waits).to.deep.equal([400, 400]);
   });
 
-  it("asks no more once the submission has ended, or a read failed", async () => {
-    await read([createPage([], true)]);
-    chai.expect(asked.length).to.equal(1);
+  it("stops once the submission has ended or a call fails", async () => {
+    await poll([createPage([], true)]);
+    chai.expect(waits.length).to.equal(1);
     const failure = results.createFailure("noLeader", "no leader");
-    chai.expect(await read([failure, failure])).to.deep.equal(failure);
+    chai.expect(await poll([failure, failure])).to.deep.equal(failure);
   });
 });
--- a/src/fleet_daemon/raw_listener_test.ts
+++ b/src/fleet_daemon/raw_listener_test.ts
@@ -4,7 +4,7 @@
 import type * as dialects from "../dialect/mod.ts";
 import * as rawListeners from "./_raw_listener.ts";
 
-/** Has an answer written, and gives all bytes of it. */
+/** Sends an answer over a real connection and returns the bytes received. */
 async function readAnswer(answer: dialects.RawAnswer): Promise<string> {
   const server = http.createServer((_request, response) =>
     rawListeners.writeAnswer(response, answer)
@@ -19,19 +19,18 @@
   return Buffer.concat(chunks).toString();
 }
 
-describe("an answer to a caller", () => {
+describe("writeAnswer", () => {
   const answer = { status: 200, headers: { receipt: "r" }, body: "half" };
 
-  it("tells its length where that is known", async () => {
+  it("sends the content length of a framed answer", async () => {
     chai.expect(await readAnswer(answer)).to.match(
       /content-length: 4\r\n[^]*\r\n\r\nhalf$/i,
     );
   });
 
-  it("tells no length where its server told none", async () => {
-    // A server that gives no length crashed midway; the end of its connection
-    // ended the answer, which was passed on with the length of what had come, so
-    // that the caller took the half for the whole.
+  it("sends no content length if the backend server sent none", async () => {
+    // With a content length, a caller would take an answer that a crashed
+    // backend server cut short for a complete one.
     const text = await readAnswer({ ...answer, endsWithConnection: true });
     chai.expect(text).to.not.match(/content-length|transfer-encoding/i);
     chai.expect(text).to.match(/connection: close\r\n[^]*\r\n\r\nhalf$/i);
--- a/src/fleet_daemon/run_box.ts
+++ b/src/fleet_daemon/run_box.ts
@@ -7,12 +7,12 @@
 const FAILED_EXIT_CODE = 1;
 
 /**
- * Runs a box until it is stopped. SIGTERM begins the planned stop; SIGHUP has
- * the settings read and checked again.
+ * Runs a box until it stops. SIGTERM begins a graceful shutdown; SIGHUP reads
+ * and validates the settings file again, without applying it.
  *
- * @param file Settings file.
- * @param dialect What the platform speaks.
- * @returns The exit code.
+ * @param file Path of the settings file.
+ * @param dialect Formats and parses the platform's requests and answers.
+ * @returns The exit code of the process.
  */
 export async function runBox(
   file: string,
@@ -31,7 +31,7 @@
       resolve,
     );
     process.on("SIGTERM", () => void daemon.drain());
-    process.on("SIGHUP", () => reportReload(file, settings, lines));
+    process.on("SIGHUP", () => checkSettings(file, settings, lines));
     daemon.start().catch((error: unknown) =>
       resolve({ kind: "failed", error })
     );
@@ -40,8 +40,8 @@
   return end.kind === "stopped" ? 0 : FAILED_EXIT_CODE;
 }
 
-/** Nothing in the settings changes while a box runs but the seeds to ask. */
-function reportReload(
+/** Reads the settings file and logs whether it is valid. */
+function checkSettings(
   file: string,
   settings: fleetSettings.FleetSettings,
   lines: logs.LineBuffer,
