--- a/src/fleet_daemon/_poll_results.ts
+++ b/src/fleet_daemon/_poll_results.ts
@@ -32,8 +32,8 @@
  * replica delays the read by one call and not by the whole wait.
  *
  * @param options The longest wait and the function that reads a page.
- * @returns The first page that has results or ends the submission, else the last
- * empty page; the failure of the first call that fails.
+ * @returns The first page that has results or ends the submission, else the
+ * last empty page; the failure of the first call that fails.
  */
 export async function pollResults(
   options: PollOptions,
--- a/src/fleet_daemon/caller_handler.ts
+++ b/src/fleet_daemon/caller_handler.ts
@@ -51,7 +51,7 @@
   readonly host: string;
 }
 
-/** A request whose route and sender are known; times are monotonic. */
+/** A request whose route and sender are known; times are monotonic, in ms. */
 interface RoutedRequest {
   readonly raw: dialects.RawRequest;
   readonly sender: accounts.Sender;
--- a/src/fleet_daemon/entry_box.ts
+++ b/src/fleet_daemon/entry_box.ts
@@ -18,7 +18,7 @@
 const MAX_CONTROL_BODY_BYTES = 16 * 1024 * 1024;
 /** Timeout for receiving the body of a control call, in ms. */
 const CONTROL_BODY_TIMEOUT_MS = 5_000;
-/** Largest number of voters in the core group; odd, so that halves cannot tie. */
+/** Largest number of voters in the core group; odd to avoid even splits. */
 const MAX_CORE_VOTERS = 9;
 /** Log entries between snapshots of the core group. */
 const CORE_SNAPSHOT_ENTRIES = 64;
@@ -93,7 +93,7 @@
     this.#core = this.#createCore();
   }
 
-  /** Starts the listeners; callers are refused while there is no configuration. */
+  /** Starts the listeners; refuses callers until a configuration is in force. */
   async start(): Promise<void> {
     const { listen } = this.#components.settings;
     await listenAt(this.#controlListener, listen.control);
--- a/src/fleet_daemon/store_box.ts
+++ b/src/fleet_daemon/store_box.ts
@@ -109,7 +109,7 @@
       barrier,
       getFailureDomain: (id) => directory.get(id)?.failureDomain,
       changed,
-      wantedVoters: wantedVoters,
+      wantedVoters,
       listStores: () =>
         directory.listAlive()
           .filter((box) =>
@@ -168,7 +168,7 @@
     });
   }
 
-  /** Starts the replica, waits for the group's bootstrap, starts the services. */
+  /** Starts the replica and, after the group's bootstrap, the services. */
   async join(): Promise<void> {
     await this.#group.start();
     this.#dispatcher.start();
