--- a/src/fleet_daemon/_poll_results.ts
+++ b/src/fleet_daemon/_poll_results.ts
@@ -6,7 +6,7 @@
  * Longest wait requested in one call, in ms. A call to a failed replica times
  * out after this plus `REPLY_MARGIN_MS`.
  */
-const MAX_CALL_WAIT_MS = 400;
+const CALL_WAIT_MS = 400;
 /** Time allowed for a reply beyond the requested wait, in ms. */
 const REPLY_MARGIN_MS = 500;
 
@@ -42,12 +42,10 @@
   const endMs = clock.getMonotonicMs() + waitMs;
   for (;;) {
     const remainingMs = Math.max(0, endMs - clock.getMonotonicMs());
-    const callWaitMs = Math.min(remainingMs, MAX_CALL_WAIT_MS);
+    const callWaitMs = Math.min(remainingMs, CALL_WAIT_MS);
     const page = await readOnce(callWaitMs, callWaitMs + REPLY_MARGIN_MS);
     if (page.kind === "failure") return page;
     const { results: found, isEnded } = page.value;
-    if (found.length > 0 || isEnded || remainingMs <= MAX_CALL_WAIT_MS) {
-      return page;
-    }
+    if (found.length > 0 || isEnded || remainingMs <= CALL_WAIT_MS) return page;
   }
 }
