--- a/src/dispatch/engine_table.ts
+++ b/src/dispatch/engine_table.ts
@@ -50,13 +50,13 @@
 export class EngineTable {
   readonly #clock: clocks.Clock;
   readonly #states = new Map<registry.LifetimeKey, EngineState>();
-  readonly #failures: serverHealth.FailureShares;
+  readonly #failures: serverHealth.FailureRates;
   /** Median of the gaps when it was last asked for. */
   #median = { atMs: Number.NaN, gapMs: FIRST_GAP_MS };
 
   constructor(clock: clocks.Clock) {
     this.#clock = clock;
-    this.#failures = new serverHealth.FailureShares(clock);
+    this.#failures = new serverHealth.FailureRates(clock);
   }
 
   begin(engine: registry.LifetimeKey): void {
@@ -131,7 +131,7 @@
 
   /** Notes whether a run ended as it should; a cancelled one says nothing. */
   noteRun(engine: registry.LifetimeKey, isGood: boolean): void {
-    this.#failures.note(engine, isGood);
+    this.#failures.record(engine, isGood);
   }
 
   /** Share of an engine's runs that are expected to break, from 0 to 1. */
--- a/src/dispatch/score_item.ts
+++ b/src/dispatch/score_item.ts
@@ -63,7 +63,7 @@
     priority: route.priority,
     targetAtMs: nowMs + route.targetLatencyMs,
     deadlineAtMs: nowMs + route.timeoutMs,
-    attempts: route.attempts,
+    maxAttempts: route.attempts,
     isRepeatable: true,
     retriesErrors: false,
     hedgeMs: route.targetLatencyMs * HEDGE_SHARE,
--- a/src/fleet_daemon/box_components.ts
+++ b/src/fleet_daemon/box_components.ts
@@ -107,7 +107,7 @@
     crashGuard,
     loads: new forwarding.ServerLoads(clock),
     failureDomain: settings.box.failureDomain,
-    weighsLoad: true,
+    isLoadAware: true,
   });
   return { ...shared, crashGuard, forwarder, link };
 }
--- a/src/fleet_daemon/caller_handler.ts
+++ b/src/fleet_daemon/caller_handler.ts
@@ -218,14 +218,14 @@
       priority: getPriority(sender, route),
       targetAtMs: routed.arrivedAtMs + route.targetLatencyMs,
       deadlineAtMs: routed.deadlineAtMs,
-      attempts: route.attempts,
+      maxAttempts: route.attempts,
       isRepeatable: route.kind === "repeatable",
       retriesErrors: true,
       hedgeMs: Math.max(
         MIN_HEDGE_DELAY_MS,
         route.targetLatencyMs * HEDGE_DELAY_FRACTION,
       ),
-      onBegun: (begunAtMs) => this.#countUsage(sender, begunAtMs),
+      onStarted: (begunAtMs) => this.#countUsage(sender, begunAtMs),
       cancellation,
     });
     this.#recordOutcome(routed, outcome);
--- a/src/forwarding/_attempt.ts
+++ b/src/forwarding/_attempt.ts
@@ -5,12 +5,12 @@
 import type * as jobs from "./forward_job.ts";
 
 /** Time for a connection to be made, in ms; links take some milliseconds. */
-const CONNECT_MS = 250;
+const CONNECT_TIMEOUT_MS = 250;
 /** Largest answer that is taken whole, in bytes. */
 const MAX_ANSWER_BYTES = 32 * 1024 * 1024;
 const FIRST_ERROR_STATUS = 500;
 /** Status of a server that is not the one that the request was meant for. */
-const OTHER_SERVER_STATUS = 421;
+const WRONG_SERVER_STATUS = 421;
 
 /** One try of a job at one server. */
 export interface AttemptOptions {
@@ -39,10 +39,10 @@
     }),
     body: job.body,
     timeoutMs,
-    connectTimeoutMs: CONNECT_MS,
+    connectTimeoutMs: CONNECT_TIMEOUT_MS,
     maxAnswerBytes: MAX_ANSWER_BYTES,
     isFreshConnection: !job.isRepeatable,
-    checkHead: (head) => findHeadFault(options, head),
+    checkHead: (head) => findHeadProblem(options, head),
     cancellation,
   });
   switch (outcome.kind) {
@@ -55,36 +55,36 @@
         isClosed: outcome.isClosed,
       };
     case "answered":
-      return judgeAnswer(options, outcome.head, outcome.body);
+      return evaluateAnswer(options, outcome.head, outcome.body);
   }
 }
 
-function findHeadFault(
+function findHeadProblem(
   { dialect, job }: AttemptOptions,
   { status, headers }: httpClient.HttpHead,
 ): string | undefined {
   const { requestId } = dialect.parseAnswerHead(headers);
   if (requestId === job.requestId) return undefined;
-  if (requestId === undefined && status === OTHER_SERVER_STATUS) {
+  if (requestId === undefined && status === WRONG_SERVER_STATUS) {
     return undefined;
   }
   return "the answer belongs to another request";
 }
 
-function judgeAnswer(
+function evaluateAnswer(
   options: AttemptOptions,
   { status, headers }: httpClient.HttpHead,
   body: Buffer,
 ): jobs.AttemptOutcome {
   const head = options.dialect.parseAnswerHead(headers);
-  if (head.isNotRun || status === OTHER_SERVER_STATUS) {
+  if (head.isNotRun || status === WRONG_SERVER_STATUS) {
     const reason = `the server refused with ${status}`;
-    const isOther = status === OTHER_SERVER_STATUS;
+    const isWrongServer = status === WRONG_SERVER_STATUS;
     return {
       kind: "notRun",
       reason,
-      isBusy: !isOther,
-      isOther,
+      isBusy: !isWrongServer,
+      isWrongServer: isWrongServer,
       load: head.load,
     };
   }
--- a/src/forwarding/_limit_wait.ts
+++ b/src/forwarding/_compute_wait_deadline.ts
@@ -8,25 +8,25 @@
  * served 0.04 to 0.08 more of a load above the capacity, and 0.08 to 0.14 fewer
  * within their target.
  */
-const WAIT_SHARE = 0.5;
+const MAX_WAIT_FRACTION = 0.5;
 
 /**
  * Says until when a request may wait for a place.
  *
  * @param job The request.
  * @param nowMs When it begins to wait, in monotonic ms.
- * @param listRunMs Lists how long each server takes for a request, in ms.
+ * @param listMeanMs Lists how long each server takes for a request, in ms.
  * @returns Monotonic ms.
  */
-export function limitWait(
+export function computeWaitDeadline(
   job: Pick<jobs.ForwardJob, "deadlineAtMs" | "targetAtMs">,
   nowMs: number,
-  listRunMs: () => readonly number[],
+  listMeanMs: () => readonly number[],
 ): number {
   const leftMs = job.deadlineAtMs - nowMs;
-  const runMs = Math.min(...listRunMs());
+  const runMs = Math.min(...listMeanMs());
   return Math.min(
-    nowMs + leftMs * WAIT_SHARE,
+    nowMs + leftMs * MAX_WAIT_FRACTION,
     Math.max(nowMs, job.targetAtMs - runMs),
   );
 }
--- a/src/forwarding/_job_work.ts
+++ b/src/forwarding/_job_crash_guard.ts
@@ -7,9 +7,9 @@
 import type * as jobs from "./forward_job.ts";
 
 /** Pause before a grant is asked for again while others run, in ms. */
-const BUSY_RETRY_MS = 40;
+const GRANT_RETRY_MS = 40;
 /** Servers after which a run without the leader's grant is none too many. */
-const ENDED_WITHOUT_GRANT = 1;
+const MAX_ENDED_WITHOUT_GRANT = 1;
 
 /**
  * Time after which work that lost one server may run beside other such work, in
@@ -18,7 +18,7 @@
  */
 const SHARE_AFTER_MS = 80;
 /** When to come back while the same work is tried for others, in ms. */
-const BUSY_RETURN_MS = 500;
+const BUSY_RETRY_AFTER_MS = 500;
 
 /** Why work is not sent on. */
 export type HeldBack = Extract<
@@ -27,16 +27,16 @@
 >;
 
 /** Says that work may be sent on. */
-export interface SentOn {
+export interface Permitted {
   readonly kind: "sentOn";
   /** Server that the leader chose; undefined where any will do. */
   readonly server: registry.LifetimeKey | undefined;
 }
 
-const TO_ANY: SentOn = { kind: "sentOn", server: undefined };
+const ANY_SERVER: Permitted = { kind: "sentOn", server: undefined };
 
 /** What a job's work needs. */
-export interface JobWorkOptions {
+export interface JobCrashGuardOptions {
   readonly clock: clocks.Clock;
   readonly crashGuard: Pick<
     crashGuards.CrashGuard,
@@ -51,19 +51,19 @@
 }
 
 /** The work that a job carries, which may be one that ends servers. */
-export class JobWork {
-  readonly #options: JobWorkOptions;
+export class JobCrashGuard {
+  readonly #options: JobCrashGuardOptions;
   readonly #job: jobs.ForwardJob;
   #digest: crashRecords.WorkDigest | undefined;
   /** Name of the granted run under way, if any. */
-  #grant: string | undefined;
+  #grantedRun: string | undefined;
 
-  constructor(options: JobWorkOptions, job: jobs.ForwardJob) {
+  constructor(options: JobCrashGuardOptions, job: jobs.ForwardJob) {
     this.#options = options;
     this.#job = job;
   }
 
-  judge(): crashRecords.WorkVerdict {
+  getVerdict(): crashRecords.WorkVerdict {
     return this.#options.crashGuard.judge(() => this.getDigest());
   }
 
@@ -90,81 +90,87 @@
    * also without a leader, and when its time is nearly over: it is most often
    * chance, and never refused for it.
    */
-  async askGrant(
+  async requestGrant(
     listServers: () => readonly registry.LifetimeKey[],
-  ): Promise<SentOn | HeldBack> {
+  ): Promise<Permitted | HeldBack> {
     const { clock, crashGuard } = this.#options;
-    const sinceMs = clock.getMonotonicMs();
+    const startedAtMs = clock.getMonotonicMs();
     for (;;) {
-      const verdict = this.judge();
-      if (verdict.kind === "free") return TO_ANY;
+      const verdict = this.getVerdict();
+      if (verdict.kind === "free") return ANY_SERVER;
       if (verdict.kind === "heldBack") return verdict;
       const servers = listServers();
       // Without a server the job waits or is given up as any other is.
-      if (servers.length === 0) return TO_ANY;
-      const isFirst = verdict.ended <= ENDED_WITHOUT_GRANT;
+      if (servers.length === 0) return ANY_SERVER;
+      const mayRunWithoutGrant = verdict.ended <= MAX_ENDED_WITHOUT_GRANT;
       const run = crypto.randomUUID();
       const answer = await crashGuard.askGrant(this.getDigest(), {
         run,
         servers,
-        mayShare: isFirst &&
-          clock.getMonotonicMs() - sinceMs >= SHARE_AFTER_MS,
+        mayShare: mayRunWithoutGrant &&
+          clock.getMonotonicMs() - startedAtMs >= SHARE_AFTER_MS,
       });
       switch (answer.kind) {
         case "granted":
-          this.#grant = run;
+          this.#grantedRun = run;
           return { kind: "sentOn", server: answer.server };
         case "unanswered":
           // It may have been granted all the same, and would hold others up.
           crashGuard.endGrant(this.getDigest(), run);
-          if (isFirst) return TO_ANY;
+          if (mayRunWithoutGrant) return ANY_SERVER;
           break;
         case "barred":
         case "busy":
           break;
       }
-      if (this.#isLate()) {
-        if (isFirst) return TO_ANY;
+      if (this.#isTargetNear()) {
+        if (mayRunWithoutGrant) return ANY_SERVER;
         const { ended } = verdict;
-        return { kind: "heldBack", ended, returnMs: BUSY_RETURN_MS };
+        return { kind: "heldBack", ended, returnMs: BUSY_RETRY_AFTER_MS };
       }
-      await clocks.sleep(clock, BUSY_RETRY_MS);
+      await clocks.sleep(clock, GRANT_RETRY_MS);
     }
   }
 
-  #isLate(): boolean {
+  #isTargetNear(): boolean {
     const nowMs = this.#options.clock.getMonotonicMs();
-    return nowMs + BUSY_RETRY_MS >= this.#job.targetAtMs ||
+    return nowMs + GRANT_RETRY_MS >= this.#job.targetAtMs ||
       this.#job.cancellation.isCancelled();
   }
 
   /** Ends the granted run, if there is one. */
-  endGrant(): void {
-    if (this.#grant === undefined) return;
-    this.#options.crashGuard.endGrant(this.getDigest(), this.#grant);
-    this.#grant = undefined;
+  releaseGrant(): void {
+    if (this.#grantedRun === undefined) return;
+    this.#options.crashGuard.endGrant(this.getDigest(), this.#grantedRun);
+    this.#grantedRun = undefined;
   }
 
   /** Notes how a try ended, before the next one is chosen. */
-  async noteEnd(
+  async recordAttempt(
     outcome: jobs.AttemptOutcome,
     server: registry.RegisteredServer,
   ): Promise<void> {
     const { crashGuard } = this.#options;
-    if (outcome.kind === "broken" && outcome.isEnded === true) {
-      crashGuard.noteEnded(server, this.#getName());
+    if (outcome.kind === "broken" && outcome.isLifetimeEnded === true) {
+      crashGuard.noteEnded(server, this.#describeWork());
     } else if (outcome.kind === "broken" && outcome.isClosed) {
-      await crashGuard.noteClosed(server, this.#getName());
-    } else if (outcome.kind === "answered" && this.judge().kind !== "free") {
-      crashGuard.noteServed(this.#getName());
+      await crashGuard.noteClosed(server, this.#describeWork());
+    } else if (
+      outcome.kind === "answered" && this.getVerdict().kind !== "free"
+    ) {
+      crashGuard.noteServed(this.#describeWork());
     }
   }
 
-  noteHeldBack(ended: number, returnMs: number): void {
-    this.#options.crashGuard.noteHeldBack(this.#getName(), ended, returnMs);
+  recordHeldBack(ended: number, returnMs: number): void {
+    this.#options.crashGuard.noteHeldBack(
+      this.#describeWork(),
+      ended,
+      returnMs,
+    );
   }
 
-  #getName(): crashGuards.WorkName {
+  #describeWork(): crashGuards.WorkName {
     const { requestId, sender, service, target } = this.#job;
     return {
       digest: this.getDigest(),
--- a/src/forwarding/_job_run.ts
+++ b/src/forwarding/_job_run.ts
@@ -3,61 +3,61 @@
 import type * as registry from "../registry/mod.ts";
 import type * as jobs from "./forward_job.ts";
 import type * as forwarderOptions from "./forwarder_options.ts";
-import * as jobWorks from "./_job_work.ts";
-import * as noteOutcome from "./_note_outcome.ts";
-import * as placeWaits from "./_place_wait.ts";
+import * as jobCrashGuards from "./_job_crash_guard.ts";
+import * as recordOutcomes from "./_record_outcome.ts";
+import * as slotWaits from "./_slot_wait.ts";
 import * as serverPickers from "./_server_picker.ts";
-import type * as serviceLines from "./_service_line.ts";
+import type * as serviceQueues from "./_service_queue.ts";
 import * as watchedAttempts from "./_watched_attempt.ts";
 
 /** When refused callers come back where load is not weighed, in ms. */
-const PLAIN_RETURN_MS = 150;
+const DEFAULT_RETRY_AFTER_MS = 150;
 /** Servers that may refuse a request unrun before it waits or is given up. */
 const MAX_REFUSALS = 8;
 /** The same for a request that has waited and whose turn has come. */
-const MAX_REFUSALS_A_TURN = 2;
+const MAX_REFUSALS_PER_TURN = 2;
 const FIRST_ERROR_STATUS = 500;
 
 /** Follows one job over all its attempts. */
 export class JobRun {
   readonly #options: forwarderOptions.ForwarderOptions;
-  readonly #line: serviceLines.ServiceLine;
+  readonly #queue: serviceQueues.ServiceQueue;
   readonly #job: jobs.ForwardJob;
-  readonly #work: jobWorks.JobWork;
-  readonly #wait: placeWaits.PlaceWait;
+  readonly #crashGuard: jobCrashGuards.JobCrashGuard;
+  readonly #slotWait: slotWaits.SlotWait;
   readonly #resolve: (outcome: jobs.ForwardOutcome) => void;
   readonly #picker: serverPickers.ServerPicker;
   /** Attempts under way, and when they were sent, in monotonic ms. */
-  readonly #running = new Map<csp.Cancellation, number>();
+  readonly #runningAttempts = new Map<csp.Cancellation, number>();
   readonly #onAbandon = () => this.#settle({ kind: "abandoned" });
-  #sent = 0;
+  #sentCount = 0;
   #maxRefusals = MAX_REFUSALS;
   /** Whether a server that runs refused it; one that is gone frees no place. */
-  #sawBusy = false;
+  #wasRefusedAsBusy = false;
   #mayHaveRun = false;
   /** When the run that counts was sent, in monotonic ms. */
-  #begunAtMs: number | undefined;
+  #startedAtMs: number | undefined;
   #isSettled = false;
-  #reason = "no server is ready";
+  #lastReason = "no server is ready";
   #errorAnswer: jobs.ServerAnswer | undefined;
   /** Whether a grant is being asked for. */
-  #isAsking = false;
+  #isRequestingGrant = false;
   #cancelDeadline: clocks.CancelTimer = () => {};
   #cancelHedge: clocks.CancelTimer = () => {};
-  #leaveLine: () => void = () => {};
+  #leaveQueue: () => void = () => {};
 
   constructor(
     options: forwarderOptions.ForwarderOptions,
-    line: serviceLines.ServiceLine,
+    queue: serviceQueues.ServiceQueue,
     job: jobs.ForwardJob,
     resolve: (outcome: jobs.ForwardOutcome) => void,
   ) {
     this.#options = options;
-    this.#line = line;
+    this.#queue = queue;
     this.#job = job;
-    this.#work = new jobWorks.JobWork(options, job);
+    this.#crashGuard = new jobCrashGuards.JobCrashGuard(options, job);
     this.#picker = new serverPickers.ServerPicker(options, job.service);
-    this.#wait = new placeWaits.PlaceWait(options, job);
+    this.#slotWait = new slotWaits.SlotWait(options, job);
     this.#resolve = resolve;
   }
 
@@ -74,12 +74,12 @@
   }
 
   #expire(): void {
-    const wasSent = this.#mayHaveRun || this.#running.size > 0;
+    const wasSent = this.#mayHaveRun || this.#runningAttempts.size > 0;
     this.#settle({ kind: "expired", wasSent });
   }
 
   #canTry(): boolean {
-    return this.#sent < this.#job.attempts &&
+    return this.#sentCount < this.#job.maxAttempts &&
       this.#picker.countRefusals() < this.#maxRefusals;
   }
 
@@ -90,34 +90,36 @@
    */
   #tryNext(): void {
     if (this.#isSettled) return;
-    const verdict = this.#work.judge();
+    const verdict = this.#crashGuard.getVerdict();
     switch (verdict.kind) {
       case "free":
-        return this.#tryServer();
+        return this.#sendToServer();
       case "suspect":
-        if (this.#running.size > 0) return;
+        if (this.#runningAttempts.size > 0) return;
         if (!this.#canTry()) return this.#giveUp();
-        return void this.#tryGranted();
+        return void this.#tryWithGrant();
       case "heldBack":
         return this.#holdBack(verdict);
     }
   }
 
-  async #tryGranted(): Promise<void> {
-    if (this.#isAsking) return;
-    this.#isAsking = true;
+  async #tryWithGrant(): Promise<void> {
+    if (this.#isRequestingGrant) return;
+    this.#isRequestingGrant = true;
     this.#cancelHedge();
-    const answer = await this.#work.askGrant(() => this.#picker.list());
-    this.#isAsking = false;
-    if (this.#isSettled) return this.#work.endGrant();
+    const answer = await this.#crashGuard.requestGrant(() =>
+      this.#picker.listCandidates()
+    );
+    this.#isRequestingGrant = false;
+    if (this.#isSettled) return this.#crashGuard.releaseGrant();
     if (answer.kind === "heldBack") return this.#holdBack(answer);
-    this.#tryServer(answer.server);
+    this.#sendToServer(answer.server);
   }
 
   /** Answers at once that the work is sent nowhere. */
-  #holdBack({ ended, returnMs }: jobWorks.HeldBack): void {
-    if (this.#running.size > 0) return;
-    this.#work.noteHeldBack(ended, returnMs);
+  #holdBack({ ended, returnMs }: jobCrashGuards.HeldBack): void {
+    if (this.#runningAttempts.size > 0) return;
+    this.#crashGuard.recordHeldBack(ended, returnMs);
     const reason = `${ended} servers ended while they ran it`;
     if (this.#errorAnswer !== undefined) {
       return this.#settle({ kind: "answered", answer: this.#errorAnswer });
@@ -129,14 +131,14 @@
     );
   }
 
-  /** @param chosen Server that it should be; undefined for the best one. */
-  #tryServer(chosen?: registry.LifetimeKey): void {
-    const server = this.#canTry() ? this.#picker.pick(chosen) : undefined;
+  /** @param preferred Server that it should be; undefined for the best one. */
+  #sendToServer(preferred?: registry.LifetimeKey): void {
+    const server = this.#canTry() ? this.#picker.pick(preferred) : undefined;
     if (server === undefined) {
-      this.#work.endGrant();
+      this.#crashGuard.releaseGrant();
       return this.#giveUp();
     }
-    this.#sent += 1;
+    this.#sentCount += 1;
     this.#picker.markTried(server);
     this.#scheduleHedge();
     void this.#runAttempt(server);
@@ -145,7 +147,9 @@
   /** Asks a second server when the first is silent for long. */
   #scheduleHedge(): void {
     this.#cancelHedge();
-    if (!this.#job.isRepeatable || this.#work.judge().kind !== "free") return;
+    if (
+      !this.#job.isRepeatable || this.#crashGuard.getVerdict().kind !== "free"
+    ) return;
     this.#cancelHedge = this.#options.clock.startTimer(
       this.#job.hedgeMs,
       () => {
@@ -159,18 +163,18 @@
    * it would take a place from a request that has none yet.
    */
   #canHedge(): boolean {
-    const { loads, weighsLoad } = this.#options;
+    const { loads, isLoadAware: isLoadAware } = this.#options;
     const server = this.#picker.pick();
     if (server === undefined) return false;
-    return !weighsLoad || loads.hasPlace(server);
+    return !isLoadAware || loads.hasFreeSlot(server);
   }
 
   async #runAttempt(server: registry.RegisteredServer): Promise<void> {
     const { clock, loads } = this.#options;
     const cancellation = new csp.Cancellation();
     const startMs = clock.getMonotonicMs();
-    this.#running.set(cancellation, startMs);
-    loads.begin(server.lifetime);
+    this.#runningAttempts.set(cancellation, startMs);
+    loads.recordStart(server.lifetime);
     const { servers, dialect, sendAttempt } = this.#options;
     const outcome = await watchedAttempts.sendWatched(servers, {
       job: this.#job,
@@ -179,109 +183,113 @@
       timeoutMs: Math.max(1, this.#job.deadlineAtMs - startMs),
       cancellation,
     }, sendAttempt);
-    const tookMs = clock.getMonotonicMs() - startMs;
-    noteOutcome.noteEnd(loads, server.lifetime, {
+    const durationMs = clock.getMonotonicMs() - startMs;
+    recordOutcomes.recordAttempt(loads, server.lifetime, {
       outcome,
-      tookMs,
-      isWanted: !this.#isSettled,
+      durationMs: durationMs,
+      isJobPending: !this.#isSettled,
     });
-    await this.#work.noteEnd(outcome, server);
-    this.#work.endGrant();
-    this.#running.delete(cancellation);
-    this.#noteBegun(outcome, startMs);
-    noteOutcome.noteTold(loads, server.lifetime, outcome);
-    if (!this.#isSettled) this.#take(outcome, server);
-    if (outcome.kind === "answered") this.#line.noteFreed();
+    await this.#crashGuard.recordAttempt(outcome, server);
+    this.#crashGuard.releaseGrant();
+    this.#runningAttempts.delete(cancellation);
+    this.#recordStart(outcome, startMs);
+    recordOutcomes.recordReportedLoad(loads, server.lifetime, outcome);
+    if (!this.#isSettled) this.#handleOutcome(outcome, server);
+    if (outcome.kind === "answered") this.#queue.recordFreedSlot();
   }
 
   /** The run that was answered counts, else the first that may have been. */
-  #noteBegun(outcome: jobs.AttemptOutcome, startMs: number): void {
-    if (outcome.kind === "answered") this.#begunAtMs = startMs;
-    if (outcome.kind === "broken") this.#begunAtMs ??= startMs;
+  #recordStart(outcome: jobs.AttemptOutcome, startMs: number): void {
+    if (outcome.kind === "answered") this.#startedAtMs = startMs;
+    if (outcome.kind === "broken") this.#startedAtMs ??= startMs;
   }
 
-  #take(
+  #handleOutcome(
     outcome: jobs.AttemptOutcome,
     server: registry.RegisteredServer,
   ): void {
     switch (outcome.kind) {
       case "answered":
-        return this.#takeAnswer(outcome.answer);
+        return this.#handleAnswer(outcome.answer);
       case "notRun":
-        this.#sent -= 1;
+        this.#sentCount -= 1;
         this.#picker.markRefused(server);
-        this.#sawBusy ||= outcome.isBusy;
-        if (outcome.isBusy) this.#options.loads.noteFull(server.lifetime);
-        return this.#retryAfter(server, outcome);
+        this.#wasRefusedAsBusy ||= outcome.isBusy;
+        if (outcome.isBusy) this.#options.loads.markFull(server.lifetime);
+        return this.#handleFailure(server, outcome);
       case "broken":
         this.#mayHaveRun = true;
         this.#options.loads.avoid(server.lifetime);
-        return this.#retryAfter(server, outcome);
+        return this.#handleFailure(server, outcome);
     }
   }
 
-  #takeAnswer(answer: jobs.ServerAnswer): void {
+  #handleAnswer(answer: jobs.ServerAnswer): void {
     this.#mayHaveRun = true;
     const isError = answer.status >= FIRST_ERROR_STATUS;
-    const isWorthAnother = isError && this.#job.isRepeatable &&
+    const mayRetry = isError && this.#job.isRepeatable &&
       this.#job.retriesErrors;
-    if (!isWorthAnother) return this.#settle({ kind: "answered", answer });
+    if (!mayRetry) return this.#settle({ kind: "answered", answer });
     this.#errorAnswer = answer;
-    this.#reason = `the server answered ${answer.status}`;
-    this.#tryAnother();
+    this.#lastReason = `the server answered ${answer.status}`;
+    this.#retry();
   }
 
-  #retryAfter(
+  #handleFailure(
     server: registry.RegisteredServer,
     outcome: Exclude<jobs.AttemptOutcome, { readonly kind: "answered" }>,
   ): void {
-    this.#reason = outcome.reason;
+    this.#lastReason = outcome.reason;
     this.#options.log.write("info", "forward.retry", {
       request: this.#job.requestId,
       server: server.id,
       service: this.#job.service,
-      sent: this.#sent,
+      sent: this.#sentCount,
       refusals: this.#picker.countRefusals(),
       reason: outcome.reason,
       closed: outcome.kind === "broken" ? outcome.isClosed : undefined,
-      work: outcome.kind === "broken" ? this.#work.getDigest() : undefined,
+      work: outcome.kind === "broken"
+        ? this.#crashGuard.getDigest()
+        : undefined,
     });
     const mustStop = this.#mayHaveRun && !this.#job.isRepeatable;
     if (mustStop) return this.#giveUp();
-    this.#tryAnother();
+    this.#retry();
   }
 
-  #tryAnother(): void {
-    if (this.#running.size === 0) return this.#tryNext();
+  #retry(): void {
+    if (this.#runningAttempts.size === 0) return this.#tryNext();
     if (this.#canTry()) this.#tryNext();
   }
 
   /** Ends the job unless an attempt is still under way. */
   #giveUp(): void {
-    if (this.#running.size > 0) return;
+    if (this.#runningAttempts.size > 0) return;
     if (this.#errorAnswer !== undefined) {
       return this.#settle({ kind: "answered", answer: this.#errorAnswer });
     }
     if (this.#mayHaveRun) {
-      return this.#settle({ kind: "failed", reason: this.#reason });
+      return this.#settle({ kind: "failed", reason: this.#lastReason });
+    }
+    if (!this.#options.isLoadAware) return this.#refuse(DEFAULT_RETRY_AFTER_MS);
+    if (this.#wasRefusedAsBusy) return this.#waitForSlot();
+    if (!this.#slotWait.hasFullServer()) {
+      return this.#refuse(this.#queue.assignRetryAfterMs());
     }
-    if (!this.#options.weighsLoad) return this.#refuse(PLAIN_RETURN_MS);
-    if (this.#sawBusy) return this.#waitForPlace();
-    if (!this.#wait.hasFullServer()) return this.#refuse(this.#line.refuse());
-    this.#reason = "every server refused others as full just now";
-    this.#waitForPlace();
+    this.#lastReason = "every server refused others as full just now";
+    this.#waitForSlot();
   }
 
   /** Waits for a place after all servers refused. */
-  #waitForPlace(): void {
+  #waitForSlot(): void {
     const { priority, targetAtMs } = this.#job;
-    const giveUpAtMs = this.#wait.begin();
-    this.#leaveLine = this.#line.enter(
+    const giveUpAtMs = this.#slotWait.start();
+    this.#leaveQueue = this.#queue.enqueue(
       { priority, targetAtMs, giveUpAtMs },
       {
         onTurn: () => {
-          this.#picker.beginTurn();
-          this.#maxRefusals = MAX_REFUSALS_A_TURN;
+          this.#picker.startTurn();
+          this.#maxRefusals = MAX_REFUSALS_PER_TURN;
           this.#tryNext();
         },
         onRefuse: (returnMs) => this.#refuse(returnMs),
@@ -292,16 +300,16 @@
   #refuse(returnMs: number): void {
     this.#settle({
       kind: "notRun",
-      reason: this.#reason,
+      reason: this.#lastReason,
       returnMs,
-      waitedMs: this.#wait.getWaitedMs(),
+      waitedMs: this.#slotWait.getWaitedMs(),
     });
   }
 
-  #tellBegun(): void {
-    const [underWayMs] = this.#running.values();
-    const begunAtMs = this.#begunAtMs ?? underWayMs;
-    if (begunAtMs !== undefined) this.#job.onBegun?.(begunAtMs);
+  #reportStart(): void {
+    const [runningSinceMs] = this.#runningAttempts.values();
+    const startedAtMs = this.#startedAtMs ?? runningSinceMs;
+    if (startedAtMs !== undefined) this.#job.onStarted?.(startedAtMs);
   }
 
   #settle(outcome: jobs.ForwardOutcome): void {
@@ -309,11 +317,13 @@
     this.#isSettled = true;
     this.#cancelDeadline();
     this.#cancelHedge();
-    this.#leaveLine();
-    this.#work.endGrant();
+    this.#leaveQueue();
+    this.#crashGuard.releaseGrant();
     this.#job.cancellation.remove(this.#onAbandon);
-    this.#tellBegun();
-    for (const cancellation of this.#running.keys()) cancellation.cancel();
+    this.#reportStart();
+    for (const cancellation of this.#runningAttempts.keys()) {
+      cancellation.cancel();
+    }
     this.#resolve(outcome);
   }
 }
--- a/src/forwarding/_note_outcome.ts
+++ b/src/forwarding/_record_outcome.ts
@@ -5,11 +5,11 @@
 const FIRST_ERROR_STATUS = 500;
 
 /** A try that has ended. */
-export interface EndedAttempt {
+export interface FinishedAttempt {
   readonly outcome: jobs.AttemptOutcome;
-  readonly tookMs: number;
+  readonly durationMs: number;
   /** Whether its job still waited for an answer. */
-  readonly isWanted: boolean;
+  readonly isJobPending: boolean;
 }
 
 /**
@@ -19,25 +19,26 @@
  * @param server Start of the server that was tried.
  * @param ended The try.
  */
-export function noteEnd(
+export function recordAttempt(
   loads: serverLoads.ServerLoads,
   server: registry.LifetimeKey,
-  { outcome, tookMs, isWanted }: EndedAttempt,
+  { outcome, durationMs: durationMs, isJobPending: isJobPending }:
+    FinishedAttempt,
 ): void {
   switch (outcome.kind) {
     case "answered":
-      loads.end(server, tookMs, outcome.answer.head.load?.slowness);
-      loads.noteOutcome(server, outcome.answer.status < FIRST_ERROR_STATUS);
+      loads.recordEnd(server, durationMs, outcome.answer.head.load?.slowness);
+      loads.recordOutcome(server, outcome.answer.status < FIRST_ERROR_STATUS);
       return;
     case "notRun":
-      loads.end(server, undefined);
-      loads.noteOutcome(server, false);
+      loads.recordEnd(server, undefined);
+      loads.recordOutcome(server, false);
       return;
     case "broken":
       // A try that was cancelled because another one answered first, or
       // because its caller left, says nothing of the server's soundness.
-      loads.endUnanswered(server, tookMs);
-      if (isWanted) loads.noteOutcome(server, false);
+      loads.recordUnanswered(server, durationMs);
+      if (isJobPending) loads.recordOutcome(server, false);
       return;
   }
 }
@@ -49,7 +50,7 @@
  * @param server Start of the server that was tried.
  * @param outcome What became of the try.
  */
-export function noteTold(
+export function recordReportedLoad(
   loads: serverLoads.ServerLoads,
   server: registry.LifetimeKey,
   outcome: jobs.AttemptOutcome,
@@ -58,5 +59,5 @@
   const load = outcome.kind === "answered"
     ? outcome.answer.head.load
     : outcome.load;
-  if (load !== undefined) loads.note(server, load);
+  if (load !== undefined) loads.recordReport(server, load);
 }
--- a/src/forwarding/_server_picker.ts
+++ b/src/forwarding/_server_picker.ts
@@ -9,7 +9,7 @@
   readonly #tried = new Set<registry.LifetimeKey>();
   readonly #refused = new Set<registry.LifetimeKey>();
   /** Whether the job's turn came after a wait. */
-  #hasTurn = false;
+  #hasWaited = false;
 
   constructor(
     options: forwarderOptions.ForwarderOptions,
@@ -22,21 +22,23 @@
   /**
    * Picks a server.
    *
-   * @param chosen The one that it should be; undefined for the best one.
+   * @param preferred The one that it should be; undefined for the best one.
    * @returns The server, or another one where that has gone meanwhile, or
    * undefined when there is none.
    */
-  pick(chosen?: registry.LifetimeKey): registry.RegisteredServer | undefined {
-    const choice = this.#createChoice();
-    const found = chosen === undefined
+  pick(
+    preferred?: registry.LifetimeKey,
+  ): registry.RegisteredServer | undefined {
+    const options = this.#createChoiceOptions();
+    const found = preferred === undefined
       ? undefined
-      : choice.servers.find(({ lifetime }) => lifetime === chosen);
-    return found ?? chooseServer.chooseServer(choice);
+      : options.servers.find(({ lifetime }) => lifetime === preferred);
+    return found ?? chooseServer.chooseServer(options);
   }
 
   /** Servers that may have the job next, best first. */
-  list(): readonly registry.LifetimeKey[] {
-    return chooseServer.chooseServers(this.#createChoice())
+  listCandidates(): readonly registry.LifetimeKey[] {
+    return chooseServer.rankServers(this.#createChoiceOptions())
       .map(({ lifetime }) => lifetime);
   }
 
@@ -53,19 +55,19 @@
   }
 
   /** Begins anew with all servers, as the job's turn has come. */
-  beginTurn(): void {
-    this.#hasTurn = true;
+  startTurn(): void {
+    this.#hasWaited = true;
     this.#refused.clear();
   }
 
-  #createChoice(): chooseServer.ServerChoice {
-    const { servers, weighsLoad } = this.#options;
+  #createChoiceOptions(): chooseServer.ServerChoiceOptions {
+    const { servers, isLoadAware: isLoadAware } = this.#options;
     return {
       ...this.#options,
       servers: servers.listReady(this.#service),
       tried: this.#tried,
       refused: this.#refused,
-      avoidsFull: weighsLoad && !this.#hasTurn,
+      avoidsFull: isLoadAware && !this.#hasWaited,
     };
   }
 }
--- a/src/forwarding/_service_line.ts
+++ b/src/forwarding/_service_queue.ts
@@ -6,13 +6,13 @@
  * also come free by requests of other boxes, which only a try shows; 25 tries a
  * second are few beside what a full service answers.
  */
-const PROBE_MS = 40;
+const PROBE_INTERVAL_MS = 40;
 
 /** How long a request may wait, and before whom. */
-export type WaitWish = Omit<admission.WaitingRequest, "id">;
+export type QueueEntry = Omit<admission.WaitingRequest, "id">;
 
 /** Told what became of a wait; exactly one of both is called, once. */
-export interface WaitListener {
+export interface QueueListener {
   /** A place may be free. */
   readonly onTurn: () => void;
   /** It waited in vain; when its caller should come back, in ms. */
@@ -20,12 +20,12 @@
 }
 
 /** Gives the requests of one service their turns as places come free. */
-export class ServiceLine {
+export class ServiceQueue {
   readonly #clock: clocks.Clock;
-  readonly #line = new admission.WaitingLine();
-  readonly #listeners = new Map<string, WaitListener>();
+  readonly #queue = new admission.WaitingLine();
+  readonly #listeners = new Map<string, QueueListener>();
   #sequence = 0;
-  #isProbing = false;
+  #isProbeScheduled = false;
 
   constructor(clock: clocks.Clock) {
     this.#clock = clock;
@@ -36,58 +36,58 @@
    *
    * @returns Ends the wait without a word to the listener.
    */
-  enter(wish: WaitWish, listener: WaitListener): () => void {
+  enqueue(entry: QueueEntry, listener: QueueListener): () => void {
     this.#sequence += 1;
     const id = String(this.#sequence);
     const nowMs = this.#clock.getMonotonicMs();
-    const entrance = this.#line.enter({ ...wish, id }, nowMs);
-    if (entrance.kind === "refused") {
-      listener.onRefuse(entrance.returnMs);
+    const result = this.#queue.enter({ ...entry, id }, nowMs);
+    if (result.kind === "refused") {
+      listener.onRefuse(result.returnMs);
       return () => {};
     }
     this.#listeners.set(id, listener);
     this.#scheduleProbe();
     return () => {
-      this.#line.leave(id);
+      this.#queue.leave(id);
       this.#listeners.delete(id);
     };
   }
 
   /** Gives the time after which a refused caller should come back, in ms. */
-  refuse(): number {
-    return this.#line.refuse(this.#clock.getMonotonicMs());
+  assignRetryAfterMs(): number {
+    return this.#queue.refuse(this.#clock.getMonotonicMs());
   }
 
   /** Notes that a server answered, so that a place at it came free. */
-  noteFreed(): void {
-    this.#line.noteFreed(this.#clock.getMonotonicMs());
-    this.#giveTurn();
+  recordFreedSlot(): void {
+    this.#queue.noteFreed(this.#clock.getMonotonicMs());
+    this.#notifyNext();
   }
 
   #scheduleProbe(): void {
-    if (this.#isProbing) return;
-    this.#isProbing = true;
-    this.#clock.startTimer(PROBE_MS, () => {
-      this.#isProbing = false;
+    if (this.#isProbeScheduled) return;
+    this.#isProbeScheduled = true;
+    this.#clock.startTimer(PROBE_INTERVAL_MS, () => {
+      this.#isProbeScheduled = false;
       this.#refuseExpired();
-      this.#giveTurn();
-      if (this.#line.count() > 0) this.#scheduleProbe();
+      this.#notifyNext();
+      if (this.#queue.count() > 0) this.#scheduleProbe();
     });
   }
 
   #refuseExpired(): void {
     const nowMs = this.#clock.getMonotonicMs();
-    for (const { id, returnMs } of this.#line.takeExpired(nowMs)) {
+    for (const { id, returnMs } of this.#queue.takeExpired(nowMs)) {
       this.#takeListener(id)?.onRefuse(returnMs);
     }
   }
 
-  #giveTurn(): void {
-    const id = this.#line.takeNext(this.#clock.getMonotonicMs());
+  #notifyNext(): void {
+    const id = this.#queue.takeNext(this.#clock.getMonotonicMs());
     if (id !== undefined) this.#takeListener(id)?.onTurn();
   }
 
-  #takeListener(id: string): WaitListener | undefined {
+  #takeListener(id: string): QueueListener | undefined {
     const listener = this.#listeners.get(id);
     this.#listeners.delete(id);
     return listener;
--- a/src/forwarding/_place_wait.ts
+++ b/src/forwarding/_slot_wait.ts
@@ -1,14 +1,14 @@
 import type * as registry from "../registry/mod.ts";
 import type * as jobs from "./forward_job.ts";
 import type * as forwarderOptions from "./forwarder_options.ts";
-import * as limitWait from "./_limit_wait.ts";
+import * as waitDeadlines from "./_compute_wait_deadline.ts";
 
 /** The wait of a job for a place at a server. */
-export class PlaceWait {
+export class SlotWait {
   readonly #options: forwarderOptions.ForwarderOptions;
   readonly #job: jobs.ForwardJob;
   /** When it began, in monotonic ms. */
-  #sinceMs: number | undefined;
+  #startedAtMs: number | undefined;
   #giveUpAtMs = 0;
 
   constructor(
@@ -30,14 +30,17 @@
    *
    * @returns When it must have got a place, in monotonic ms.
    */
-  begin(): number {
-    if (this.#sinceMs !== undefined) return this.#giveUpAtMs;
+  start(): number {
+    if (this.#startedAtMs !== undefined) return this.#giveUpAtMs;
     const { clock, loads } = this.#options;
-    this.#sinceMs = clock.getMonotonicMs();
-    this.#giveUpAtMs = limitWait.limitWait(
+    this.#startedAtMs = clock.getMonotonicMs();
+    this.#giveUpAtMs = waitDeadlines.computeWaitDeadline(
       this.#job,
-      this.#sinceMs,
-      () => this.#listReady().map((server) => loads.getMeanMs(server.lifetime)),
+      this.#startedAtMs,
+      () =>
+        this.#listReady().map((server) =>
+          loads.getMeanDurationMs(server.lifetime)
+        ),
     );
     return this.#giveUpAtMs;
   }
@@ -45,7 +48,7 @@
   /** How long it has waited, in whole ms; 0 if it never did. */
   getWaitedMs(): number {
     const nowMs = this.#options.clock.getMonotonicMs();
-    return Math.round(nowMs - (this.#sinceMs ?? nowMs));
+    return Math.round(nowMs - (this.#startedAtMs ?? nowMs));
   }
 
   #listReady(): readonly registry.RegisteredServer[] {
--- a/src/forwarding/_watched_attempt.ts
+++ b/src/forwarding/_watched_attempt.ts
@@ -2,7 +2,7 @@
 import * as attempts from "./_attempt.ts";
 import type * as jobs from "./forward_job.ts";
 
-const STARTED_AGAIN = "the server started again";
+const RESTART_REASON = "the server started again";
 
 /**
  * Sends one attempt, and ends it when its server starts again: it is lost then,
@@ -18,16 +18,16 @@
   options: attempts.AttemptOptions,
   sendAttempt: typeof attempts.sendAttempt = attempts.sendAttempt,
 ): Promise<jobs.AttemptOutcome> {
-  let isReplaced = false;
+  let hasRestarted = false;
   const endWatch = servers.watch(options.server.lifetime, () => {
-    isReplaced = true;
+    hasRestarted = true;
     options.cancellation.cancel();
   });
   const outcome = await sendAttempt(options);
   endWatch();
-  if (outcome.kind === "notRun" && outcome.isOther === true) {
+  if (outcome.kind === "notRun" && outcome.isWrongServer === true) {
     servers.markAbsent(options.server);
   }
-  if (!isReplaced || outcome.kind !== "broken") return outcome;
-  return { ...outcome, reason: STARTED_AGAIN, isEnded: true };
+  if (!hasRestarted || outcome.kind !== "broken") return outcome;
+  return { ...outcome, reason: RESTART_REASON, isLifetimeEnded: true };
 }
--- a/src/forwarding/choose_server_test.ts
+++ b/src/forwarding/choose_server_test.ts
@@ -18,7 +18,7 @@
   });
 
   function choose(
-    changes: Partial<chooseServer.ServerChoice> = {},
+    overrides: Partial<chooseServer.ServerChoiceOptions> = {},
   ): registry.RegisteredServer | undefined {
     return chooseServer.chooseServer({
       servers,
@@ -28,37 +28,37 @@
       avoidsFull: true,
       failureDomain: servers[0]!.failureDomain,
       draw: () => 0.5,
-      ...changes,
+      ...overrides,
     });
   }
 
   it("passes over a server that refused as full, until it answers or some ms on", () => {
     for (const id of ["a", "c"]) loads.avoid(id);
-    loads.noteFull("b");
+    loads.markFull("b");
     chai.expect(choose()?.id).to.not.equal("b");
     chai.expect(choose({ avoidsFull: false })?.id).to.equal("b");
-    loads.begin("b");
-    loads.end("b", 40);
+    loads.recordStart("b");
+    loads.recordEnd("b", 40);
     chai.expect(choose()?.id).to.equal("b");
-    loads.noteFull("b");
+    loads.markFull("b");
     clock.extendBy(30);
     chai.expect(choose()?.id).to.equal("b");
   });
 
   it("keeps a server's own speed apart from its neighbours' for a while", () => {
     const slow = { running: 0, waiting: 0, slowness: 2.5 };
-    for (const { id } of servers) loads.begin(id);
-    loads.end("a", 100, slow.slowness);
-    loads.note("a", slow);
-    for (const id of ["b", "c"]) loads.end(id, 44);
-    chai.expect(loads.getMeanMs("a")).to.be.closeTo(40, 0.01);
+    for (const { id } of servers) loads.recordStart(id);
+    loads.recordEnd("a", 100, slow.slowness);
+    loads.recordReport("a", slow);
+    for (const id of ["b", "c"]) loads.recordEnd(id, 44);
+    chai.expect(loads.getMeanDurationMs("a")).to.be.closeTo(40, 0.01);
     chai.expect(choose()?.id).to.not.equal("a");
     clock.extendBy(3_000);
     chai.expect(choose()?.id).to.equal("a");
   });
 
   it("names no server where all refused as full just now", () => {
-    for (const { id } of servers) loads.noteFull(id);
+    for (const { id } of servers) loads.markFull(id);
     chai.expect(choose()).to.equal(undefined);
   });
 
@@ -68,7 +68,7 @@
       (_, index) =>
         serverFixtures.createServer(`s${index}`, { service: "app", slots: 4 }),
     );
-    for (const { id } of many.slice(0, 1_799)) loads.noteFull(id);
+    for (const { id } of many.slice(0, 1_799)) loads.markFull(id);
     chai.expect(choose({ servers: many })?.id).to.equal("s1799");
   });
 });
--- a/src/forwarding/crash_replay_test.ts
+++ b/src/forwarding/crash_replay_test.ts
@@ -9,7 +9,7 @@
  * Served in time beside bad work, against the same work without it: where a fifth
  * is bad it has come to several boxes before the first server ends.
  */
-const MIN_SERVED: Readonly<Record<number, number>> = {
+const MIN_SERVED_BY_SHARE: Readonly<Record<number, number>> = {
   0.01: 0.95,
   0.05: 0.95,
   0.2: 0.9,
@@ -19,7 +19,7 @@
  * Servers that one piece of work may end: where a fifth of all is bad, copies of
  * it run at several boxes, and second sends of them, before the first has ended.
  */
-const MOST_ENDED: Readonly<Record<number, number>> = {
+const MAX_ENDED_BY_SHARE: Readonly<Record<number, number>> = {
   0.01: crashRecords.MAX_ENDED,
   0.05: crashRecords.MAX_ENDED,
   0.2: crashRecords.MAX_ENDED + 1,
@@ -42,7 +42,9 @@
   chanceEndsPerMin: 6,
 };
 
-function getShare({ inTarget, good }: crashReplays.CrashOutcome): number {
+function getShareInTarget(
+  { inTarget, good }: crashReplays.CrashOutcome,
+): number {
   return inTarget / good;
 }
 
@@ -51,7 +53,7 @@
     for (const badShare of [0.01, 0.05, 0.2]) {
       it(`is served and not held back: ${pattern.name}, ${badShare * 100} % bad`, async () => {
         for (const seed of SEEDS) {
-          const calm = await crashReplays.replayCrashes(
+          const baseline = await crashReplays.replayCrashes(
             { ...pattern, badShare: 0 },
             seed,
           );
@@ -62,12 +64,12 @@
           const { mostEnded, heldBack, heldBackEarly, good } = outcome;
           chai.expect(mostEnded).to.be.within(
             1,
-            MOST_ENDED[badShare] ?? 0,
+            MAX_ENDED_BY_SHARE[badShare] ?? 0,
           );
           chai.expect(heldBackEarly).to.equal(0);
           chai.expect(heldBack).to.be.at.most(good * MAX_HELD_BACK);
-          chai.expect(getShare(outcome)).to.be.at.least(
-            getShare(calm) * (MIN_SERVED[badShare] ?? 1),
+          chai.expect(getShareInTarget(outcome)).to.be.at.least(
+            getShareInTarget(baseline) * (MIN_SERVED_BY_SHARE[badShare] ?? 1),
           );
         }
       });
@@ -76,12 +78,14 @@
 
   it("is lost with all servers where nobody finds out which work is bad", async () => {
     const pattern = { ...FEW, badShare: 0.05 };
-    const found = await crashReplays.replayCrashes(pattern, 1);
-    const unfound = await crashReplays.replayCrashes(pattern, 1, false);
-    chai.expect(unfound.mostEnded).to.be.greaterThan(
+    const guarded = await crashReplays.replayCrashes(pattern, 1);
+    const unguarded = await crashReplays.replayCrashes(pattern, 1, false);
+    chai.expect(unguarded.mostEnded).to.be.greaterThan(
       3 * crashRecords.MAX_ENDED,
     );
-    chai.expect(getShare(unfound)).to.be.lessThan(getShare(found) / 2);
+    chai.expect(getShareInTarget(unguarded)).to.be.lessThan(
+      getShareInTarget(guarded) / 2,
+    );
   });
 
   it("is not held back where servers end by chance only", async () => {
--- a/src/forwarding/crashing_work_test.ts
+++ b/src/forwarding/crashing_work_test.ts
@@ -13,27 +13,29 @@
 import * as fixtures from "./server_fixture_test.ts";
 import * as serverLoads from "./server_loads.ts";
 
-const BAD = "bad";
-const SERVERS = 5;
+const CRASHING = "bad";
+const SERVER_COUNT = 5;
 
 describe("forwarding of work under which servers end", () => {
   const clock = new clocks.SystemClock();
   let servers: http.Server[] = [];
-  let seen: string[] = [];
-  let known = new registry.ServerRegistry(clock, 60_000);
+  let receivedBy: string[] = [];
+  let serverRegistry = new registry.ServerRegistry(clock, 60_000);
   let table = new crashRecords.CrashTable();
   let loads = new serverLoads.ServerLoads(clock);
   /** Whether a server that breaks off bad work ends, or only resets it. */
-  let endsServers = true;
+  let crashesServers = true;
 
   beforeEach(async () => {
-    seen = [];
-    endsServers = true;
-    known = new registry.ServerRegistry(clock, 60_000);
+    receivedBy = [];
+    crashesServers = true;
+    serverRegistry = new registry.ServerRegistry(clock, 60_000);
     table = new crashRecords.CrashTable();
     loads = new serverLoads.ServerLoads(clock);
     servers = [];
-    for (let index = 0; index < SERVERS; index += 1) await startServer(index);
+    for (let index = 0; index < SERVER_COUNT; index += 1) {
+      await startServer(index);
+    }
   });
 
   afterEach(() => {
@@ -42,13 +44,13 @@
 
   async function startServer(index: number): Promise<void> {
     const server = http.createServer((request, response) => {
-      seen.push(`s${index}`);
+      receivedBy.push(`s${index}`);
       const chunks: Buffer[] = [];
       request.on("data", (chunk: Buffer) => chunks.push(chunk));
       request.on("end", () => {
         const body = Buffer.concat(chunks).toString();
-        if (body !== BAD) return fixtures.answer(200)(request, response);
-        if (endsServers) endServer(server);
+        if (body !== CRASHING) return fixtures.answer(200)(request, response);
+        if (crashesServers) endServer(server);
         else request.socket.destroy();
       });
     });
@@ -56,7 +58,7 @@
     await new Promise<void>((resolve) =>
       server.listen(0, "127.0.0.1", resolve)
     );
-    known.merge(serverFixtures.createServer(`s${index}`, {
+    serverRegistry.merge(serverFixtures.createServer(`s${index}`, {
       service: "app",
       port: (server.address() as net.AddressInfo).port,
       slots: 4,
@@ -72,36 +74,36 @@
 
   function send(
     body: string,
-    changes: Partial<jobs.ForwardJob> = {},
-    guardChanges: Partial<crashGuards.CrashGuardOptions> = {},
+    overrides: Partial<jobs.ForwardJob> = {},
+    guardOverrides: Partial<crashGuards.CrashGuardOptions> = {},
   ): Promise<jobs.ForwardOutcome> {
     const forwarder = new forwarders.Forwarder({
       clock,
       crashGuard: guardFixtures.createCrashGuard(clock, {
         table,
-        servers: known,
-        ...guardChanges,
+        servers: serverRegistry,
+        ...guardOverrides,
       }),
       log: new logs.Log("box", "error", () => {}),
-      servers: known,
+      servers: serverRegistry,
       loads,
       dialect: fixtures.DIALECT,
       failureDomain: "d",
       draw: () => 0,
-      weighsLoad: true,
+      isLoadAware: true,
     });
     return forwarder.send(fixtures.createJob(clock, {
       headers: { host: "a.example" },
       body: Buffer.from(body),
       targetAtMs: clock.getMonotonicMs() + 1_000,
       deadlineAtMs: clock.getMonotonicMs() + 5_000,
-      attempts: 2,
-      ...changes,
+      maxAttempts: 2,
+      ...overrides,
     }));
   }
 
   /** Lets the pause after the second server pass, as a box would see it. */
-  function makePauseOver(): void {
+  function expirePause(): void {
     const records = table.list().map((record) => ({
       ...record,
       notedAtMs: record.notedAtMs - 10_000,
@@ -110,34 +112,34 @@
   }
 
   it("stops after two servers, and sends nothing while it pauses", async () => {
-    const first = await send(BAD);
+    const first = await send(CRASHING);
     chai.expect(first.kind).to.equal("failed");
-    chai.expect(seen).to.deep.equal(["s0", "s1"]);
-    const second = await send(BAD);
+    chai.expect(receivedBy).to.deep.equal(["s0", "s1"]);
+    const second = await send(CRASHING);
     if (second.kind !== "heldBack") throw new Error(second.kind);
     chai.expect(second.returnMs).to.be.within(1, 5_000);
-    chai.expect(seen).to.deep.equal(["s0", "s1"]);
+    chai.expect(receivedBy).to.deep.equal(["s0", "s1"]);
   });
 
   it("sends it to a third server after the pause, and to no fourth", async () => {
-    await send(BAD);
-    makePauseOver();
-    chai.expect((await send(BAD)).kind).to.equal("failed");
-    chai.expect(seen).to.deep.equal(["s0", "s1", "s2"]);
-    makePauseOver();
-    chai.expect((await send(BAD)).kind).to.equal("heldBack");
-    chai.expect(seen).to.deep.equal(["s0", "s1", "s2"]);
+    await send(CRASHING);
+    expirePause();
+    chai.expect((await send(CRASHING)).kind).to.equal("failed");
+    chai.expect(receivedBy).to.deep.equal(["s0", "s1", "s2"]);
+    expirePause();
+    chai.expect((await send(CRASHING)).kind).to.equal("heldBack");
+    chai.expect(receivedBy).to.deep.equal(["s0", "s1", "s2"]);
   });
 
   it("answers other work meanwhile, by servers that live", async () => {
-    await send(BAD);
+    await send(CRASHING);
     const outcome = await send("good");
     chai.expect(outcome.kind).to.equal("answered");
-    chai.expect(seen).to.deep.equal(["s0", "s1", "s2"]);
+    chai.expect(receivedBy).to.deep.equal(["s0", "s1", "s2"]);
   });
 
   it("asks no second server beside a silent one", async () => {
-    await send(BAD, { attempts: 1 });
+    await send(CRASHING, { maxAttempts: 1 });
     let release: (() => void) | undefined;
     const held = new Promise<void>((resolve) => {
       release = resolve;
@@ -145,22 +147,22 @@
     const [, second] = servers;
     second?.removeAllListeners("request");
     second?.on("request", (request, response) => {
-      seen.push("s1");
+      receivedBy.push("s1");
       request.resume();
       void held.then(() => fixtures.answer(200)(request, response));
     });
     setTimeout(() => release?.(), 60);
-    const outcome = await send(BAD, { hedgeMs: 1 });
+    const outcome = await send(CRASHING, { hedgeMs: 1 });
     chai.expect(outcome.kind).to.equal("answered");
-    chai.expect(seen).to.deep.equal(["s0", "s1"]);
+    chai.expect(receivedBy).to.deep.equal(["s0", "s1"]);
   });
 
   it("holds nothing against work whose connections are reset", async () => {
-    endsServers = false;
-    for (let turn = 0; turn < 4; turn += 1) {
-      chai.expect((await send(BAD)).kind).to.equal("failed");
+    crashesServers = false;
+    for (let round = 0; round < 4; round += 1) {
+      chai.expect((await send(CRASHING)).kind).to.equal("failed");
     }
-    chai.expect(seen.length).to.equal(8);
+    chai.expect(receivedBy.length).to.equal(8);
     chai.expect(table.isEmpty()).to.equal(true);
   });
 
@@ -175,15 +177,15 @@
   });
 
   it("says that the work may have run where it was sent before", async () => {
-    const outcome = await send(BAD);
+    const outcome = await send(CRASHING);
     if (outcome.kind !== "failed") throw new Error(outcome.kind);
     chai.expect(outcome.reason).to.contain("servers ended");
   });
 
   it("waits while others run the same work, and goes on once it is freed", async () => {
-    await send(BAD, { attempts: 1 });
+    await send(CRASHING, { maxAttempts: 1 });
     let asked = 0;
-    const outcome = await send("bad", { attempts: 1 }, {
+    const outcome = await send("bad", { maxAttempts: 1 }, {
       askGrant: () => {
         asked += 1;
         const [record] = table.list();
@@ -195,7 +197,7 @@
     });
     chai.expect(asked).to.equal(2);
     chai.expect(outcome.kind).to.equal("failed");
-    chai.expect(seen).to.deep.equal(["s0", "s1"]);
+    chai.expect(receivedBy).to.deep.equal(["s0", "s1"]);
   });
 
   it("answers in time work that lost a server by chance, where no server is free of such work", async () => {
@@ -210,13 +212,13 @@
     });
     chai.expect(outcome.kind).to.equal("answered");
     // The server that ended tells nothing of what it saw.
-    chai.expect(seen).to.deep.equal(["s1"]);
+    chai.expect(receivedBy).to.deep.equal(["s1"]);
   });
 
   it("ends a run whose grant may have been lost on its way", async () => {
     const runs: string[] = [];
-    await send(BAD, { attempts: 1 });
-    await send(BAD, { attempts: 1 }, {
+    await send(CRASHING, { maxAttempts: 1 });
+    await send(CRASHING, { maxAttempts: 1 }, {
       askGrant: ({ run }) => {
         runs.push(run);
         return Promise.resolve(undefined);
@@ -231,12 +233,12 @@
 
   it("retries once where no leader answers, as the server may have ended by chance", async () => {
     const unanswered = { askGrant: () => Promise.resolve(undefined) };
-    chai.expect((await send(BAD, {}, unanswered)).kind).to.equal("failed");
-    chai.expect(seen).to.deep.equal(["s0", "s1"]);
-    makePauseOver();
+    chai.expect((await send(CRASHING, {}, unanswered)).kind).to.equal("failed");
+    chai.expect(receivedBy).to.deep.equal(["s0", "s1"]);
+    expirePause();
     const targetAtMs = clock.getMonotonicMs();
-    const last = await send(BAD, { targetAtMs }, unanswered);
+    const last = await send(CRASHING, { targetAtMs }, unanswered);
     chai.expect(last.kind).to.equal("heldBack");
-    chai.expect(seen).to.deep.equal(["s0", "s1"]);
+    chai.expect(receivedBy).to.deep.equal(["s0", "s1"]);
   });
 });
--- a/src/forwarding/forward_job.ts
+++ b/src/forwarding/forward_job.ts
@@ -20,7 +20,7 @@
   /** When the answer is due, in monotonic ms. */
   readonly deadlineAtMs: number;
   /** Servers that may work on it at most. */
-  readonly attempts: number;
+  readonly maxAttempts: number;
   /** Whether it may run more than once. */
   readonly isRepeatable: boolean;
   /** Whether an answer of 500 is worth another server. */
@@ -28,7 +28,7 @@
   /** Silence after which a second server is asked as well, in ms. */
   readonly hedgeMs: number;
   /** Told once, at the end, when the run began; not told if none did. */
-  readonly onBegun?: (beganAtMs: number) => void;
+  readonly onStarted?: (beganAtMs: number) => void;
   /** Cancelled once the caller has left. */
   readonly cancellation: csp.Cancellation;
 }
@@ -81,7 +81,7 @@
     /** Whether the server itself refused, as it does when it is full. */
     readonly isBusy: boolean;
     /** Whether another server than the one that was meant answered. */
-    readonly isOther?: boolean;
+    readonly isWrongServer?: boolean;
     /** Load that the server told with its refusal. */
     readonly load?: dialects.ServerLoad | undefined;
   }
@@ -91,5 +91,5 @@
     /** Whether the server closed or reset the connection in its midst. */
     readonly isClosed: boolean;
     /** Whether its lifetime is known to have ended. */
-    readonly isEnded?: boolean;
+    readonly isLifetimeEnded?: boolean;
   };
--- a/src/forwarding/forwarder_options.ts
+++ b/src/forwarding/forwarder_options.ts
@@ -2,11 +2,11 @@
 import type * as logs from "../log/mod.ts";
 import type * as registry from "../registry/mod.ts";
 import type * as attempts from "./_attempt.ts";
-import type * as jobWorks from "./_job_work.ts";
+import type * as jobCrashGuards from "./_job_crash_guard.ts";
 import type * as serverLoads from "./server_loads.ts";
 
 /** What a forwarder needs. */
-export interface ForwarderOptions extends jobWorks.JobWorkOptions {
+export interface ForwarderOptions extends jobCrashGuards.JobCrashGuardOptions {
   readonly log: logs.Log;
   readonly servers: registry.ServerRegistry;
   readonly loads: serverLoads.ServerLoads;
@@ -18,7 +18,7 @@
    * place, full servers are passed over, second tries go only to free places,
    * and refused callers come back in turn.
    */
-  readonly weighsLoad: boolean;
+  readonly isLoadAware: boolean;
   /** Sends one attempt; over HTTP unless given. */
   readonly sendAttempt?: typeof attempts.sendAttempt;
 }
--- a/src/forwarding/load_test.ts
+++ b/src/forwarding/load_test.ts
@@ -3,13 +3,13 @@
 
 const SEED = 4;
 /** Share of callers by which two plays of one load differ without a cause. */
-const NOISE = 0.02;
+const TOLERANCE = 0.02;
 
 describe("forwarding under load", () => {
   for (const pattern of loadReplays.LOAD_PATTERNS) {
     it(`serves more callers where load is weighed: ${pattern.name}`, async () => {
-      const before = await loadReplays.replayLoad(pattern, SEED, false);
-      const after = await loadReplays.replayLoad(pattern, SEED, true);
+      const unawareOutcome = await loadReplays.replayLoad(pattern, SEED, false);
+      const awareOutcome = await loadReplays.replayLoad(pattern, SEED, true);
       function getShares(outcome: loadReplays.LoadOutcome) {
         return {
           inTarget: outcome.inTarget / outcome.asked,
@@ -18,20 +18,27 @@
           attempts: outcome.attempts / outcome.asked,
         };
       }
-      const [old, weighed] = [getShares(before), getShares(after)];
-      chai.expect(weighed.inTarget).to.be.at.least(old.inTarget - NOISE);
-      chai.expect(weighed.served).to.be.at.least(old.served - NOISE);
-      chai.expect(weighed.refusedTwice).to.be.at.most(old.refusedTwice + NOISE);
-      chai.expect(weighed.attempts).to.be.at.most(old.attempts + NOISE);
+      const [unaware, aware] = [
+        getShares(unawareOutcome),
+        getShares(awareOutcome),
+      ];
+      chai.expect(aware.inTarget).to.be.at.least(unaware.inTarget - TOLERANCE);
+      chai.expect(aware.served).to.be.at.least(unaware.served - TOLERANCE);
+      chai.expect(aware.refusedTwice).to.be.at.most(
+        unaware.refusedTwice + TOLERANCE,
+      );
+      chai.expect(aware.attempts).to.be.at.most(unaware.attempts + TOLERANCE);
       // Nobody is held longer than an answer would be in time, and refused then.
-      chai.expect(after.longestRefusalMs).to.be.at.most(pattern.targetMs);
+      chai.expect(awareOutcome.longestRefusalMs).to.be.at.most(
+        pattern.targetMs,
+      );
     });
   }
 
   it("goes round servers that are slow for a moment, where they tell so", async () => {
     // Servers share machines with others and were 2.5 times slower in spells of
     // 0.6 s; the mean of their durations says so late, and goes on for long after.
-    const SPELL_MS = 600;
+    const SLOWDOWN_MS = 600;
     const pattern: loadReplays.LoadPattern = {
       ...loadReplays.LOAD_PATTERNS[0]!,
       name: "one of five slow in spells",
@@ -43,14 +50,15 @@
       durationMs: 20_000,
       getLoad: () => 0.6,
       getSlowness: (server, atMs) =>
-        Math.floor(atMs / SPELL_MS) % 5 === server ? 2.5 : 1,
+        Math.floor(atMs / SLOWDOWN_MS) % 5 === server ? 2.5 : 1,
     };
-    const told = { ...pattern, tellsSlowness: true };
-    const before = await loadReplays.replayLoad(pattern, SEED, true);
-    const after = await loadReplays.replayLoad(told, SEED, true);
-    const lateBefore = 1 - before.inTarget / before.asked;
-    const lateAfter = 1 - after.inTarget / after.asked;
-    chai.expect(lateAfter).to.be.at.most(lateBefore * 0.9);
+    const reporting = { ...pattern, tellsSlowness: true };
+    const withoutReports = await loadReplays.replayLoad(pattern, SEED, true);
+    const withReports = await loadReplays.replayLoad(reporting, SEED, true);
+    const lateWithoutReports = 1 -
+      withoutReports.inTarget / withoutReports.asked;
+    const lateWithReports = 1 - withReports.inTarget / withReports.asked;
+    chai.expect(lateWithReports).to.be.at.most(lateWithoutReports * 0.9);
   });
 
   it("refuses nobody while there are places for all", async () => {
@@ -61,16 +69,16 @@
   });
 
   it("serves half as many again in time at twice the capacity, with half the tries", async () => {
-    const twice = loadReplays.LOAD_PATTERNS.find(({ name }) =>
+    const overload = loadReplays.LOAD_PATTERNS.find(({ name }) =>
       name === "twice the capacity"
     )!;
-    const before = await loadReplays.replayLoad(twice, SEED, false);
-    const after = await loadReplays.replayLoad(twice, SEED, true);
-    const gain = (after.inTarget / after.asked) /
-      (before.inTarget / before.asked);
+    const unawareOutcome = await loadReplays.replayLoad(overload, SEED, false);
+    const awareOutcome = await loadReplays.replayLoad(overload, SEED, true);
+    const gain = (awareOutcome.inTarget / awareOutcome.asked) /
+      (unawareOutcome.inTarget / unawareOutcome.asked);
     chai.expect(gain).to.be.at.least(1.5);
-    chai.expect(after.attempts / after.asked).to.be.at.most(
-      (before.attempts / before.asked) / 2,
+    chai.expect(awareOutcome.attempts / awareOutcome.asked).to.be.at.most(
+      (unawareOutcome.attempts / unawareOutcome.asked) / 2,
     );
   });
 });
--- a/src/forwarding/server_fixture_test.ts
+++ b/src/forwarding/server_fixture_test.ts
@@ -28,7 +28,7 @@
 } as unknown as dialects.Dialect;
 
 /** What a server does with a request. */
-export type Script = (
+export type RequestHandler = (
   request: http.IncomingMessage,
   response: http.ServerResponse,
 ) => void;
@@ -37,7 +37,7 @@
 export function answer(
   status: number,
   headers: Readonly<Record<string, string>> = {},
-): Script {
+): RequestHandler {
   return (request, response) => {
     const id = String(request.headers["id"]);
     response.writeHead(status, { id, receipt: "r", ...headers });
@@ -45,13 +45,13 @@
   };
 }
 
-const LONG_MS = 30_000;
-const SERVERS = 3;
+const AMPLE_TIME_MS = 30_000;
+const SERVER_COUNT = 3;
 
 /** Makes a job that has plenty of time and may be repeated. */
 export function createJob(
   clock: clocks.Clock,
-  changes: Partial<jobs.ForwardJob> = {},
+  overrides: Partial<jobs.ForwardJob> = {},
 ): jobs.ForwardJob {
   return {
     requestId: "job",
@@ -62,14 +62,14 @@
     headers: {},
     body: Buffer.from("question"),
     priority: 0,
-    targetAtMs: clock.getMonotonicMs() + LONG_MS,
-    deadlineAtMs: clock.getMonotonicMs() + LONG_MS,
-    attempts: 3,
+    targetAtMs: clock.getMonotonicMs() + AMPLE_TIME_MS,
+    deadlineAtMs: clock.getMonotonicMs() + AMPLE_TIME_MS,
+    maxAttempts: 3,
     isRepeatable: true,
     retriesErrors: true,
-    hedgeMs: LONG_MS,
+    hedgeMs: AMPLE_TIME_MS,
     cancellation: new csp.Cancellation(),
-    ...changes,
+    ...overrides,
   };
 }
 
@@ -77,26 +77,26 @@
 export class ScriptedServers {
   readonly clock = new clocks.SystemClock();
   /** What each server does with a request; a test sets them. */
-  scripts: Script[] = [];
+  handlers: RequestHandler[] = [];
   /** Names of the servers in the order in which they got requests. */
-  seen: string[] = [];
-  known = new registry.ServerRegistry(this.clock, 60_000);
-  servers: http.Server[] = [];
+  receivedBy: string[] = [];
+  registry = new registry.ServerRegistry(this.clock, 60_000);
+  httpServers: http.Server[] = [];
 
   /** Starts new ones, with nothing known of any before. */
   async start(): Promise<void> {
-    this.seen = [];
-    this.scripts = [];
-    this.known = new registry.ServerRegistry(this.clock, 60_000);
-    this.servers = Array.from(
-      { length: SERVERS },
+    this.receivedBy = [];
+    this.handlers = [];
+    this.registry = new registry.ServerRegistry(this.clock, 60_000);
+    this.httpServers = Array.from(
+      { length: SERVER_COUNT },
       (_, index) => this.#createServer(index),
     );
-    for (const [index, server] of this.servers.entries()) {
+    for (const [index, server] of this.httpServers.entries()) {
       await new Promise<void>((resolve) =>
         server.listen(0, "127.0.0.1", resolve)
       );
-      this.known.merge(serverFixtures.createServer(`s${index}`, {
+      this.registry.merge(serverFixtures.createServer(`s${index}`, {
         service: "app",
         port: (server.address() as net.AddressInfo).port,
         slots: 4,
@@ -107,7 +107,7 @@
   }
 
   stop(): void {
-    for (const server of this.servers) {
+    for (const server of this.httpServers) {
       server.closeAllConnections();
       server.close();
     }
@@ -115,36 +115,36 @@
 
   /** Sends a job by a forwarder of its own. */
   send(
-    changes: Partial<jobs.ForwardJob> = {},
+    overrides: Partial<jobs.ForwardJob> = {},
     loads = new serverLoads.ServerLoads(this.clock),
-    weighsLoad = false,
+    isLoadAware = false,
   ): Promise<jobs.ForwardOutcome> {
-    const forwarder = this.createForwarder({ loads, weighsLoad });
-    return forwarder.send(createJob(this.clock, changes));
+    const forwarder = this.createForwarder({ loads, isLoadAware: isLoadAware });
+    return forwarder.send(createJob(this.clock, overrides));
   }
 
   createForwarder(
-    changes: Partial<forwarderOptions.ForwarderOptions> = {},
+    overrides: Partial<forwarderOptions.ForwarderOptions> = {},
   ): forwarders.Forwarder {
     return new forwarders.Forwarder({
       clock: this.clock,
       crashGuard: guardFixtures.createCrashGuard(this.clock),
       log: new logs.Log("box", "error", () => {}),
-      servers: this.known,
+      servers: this.registry,
       loads: new serverLoads.ServerLoads(this.clock),
       dialect: DIALECT,
       failureDomain: "d",
       draw: () => 0,
-      weighsLoad: false,
-      ...changes,
+      isLoadAware: false,
+      ...overrides,
     });
   }
 
   #createServer(index: number): http.Server {
     return http.createServer((request, response) => {
-      this.seen.push(`s${index}`);
+      this.receivedBy.push(`s${index}`);
       request.resume();
-      request.on("end", () => this.scripts[index]?.(request, response));
+      request.on("end", () => this.handlers[index]?.(request, response));
     });
   }
 }
--- a/src/forwarding/server_loads.ts
+++ b/src/forwarding/server_loads.ts
@@ -4,49 +4,49 @@
 import * as serverHealth from "../server_health/mod.ts";
 
 /** Weight of the newest duration in a server's mean. */
-const NEWEST_SHARE = 0.2;
+const SMOOTHING_FACTOR = 0.2;
 /** Duration that a server without history is taken to need, in ms. */
-const FIRST_MS = 40;
+const INITIAL_MEAN_MS = 40;
 /** Age after which a told load says nothing any more, in ms. */
-const TOLD_MS = 1_000;
+const MAX_REPORT_AGE_MS = 1_000;
 /**
  * Time in which a told slowness loses most of its weight, in ms: what neighbours
  * on a machine do changes many times a second.
  */
-const SLOWNESS_MS = 500;
+const SLOWNESS_DECAY_MS = 500;
 /** How long a server is passed over after it broke a request, in ms. */
-const AVOID_MS = 1_500;
+const AVOID_DURATION_MS = 1_500;
 
 /**
  * How long a server that refused because it was full is not asked, in ms, unless
  * it answers something meanwhile; about the time in which one of its places
  * comes free.
  */
-const FULL_MS = 25;
+const FULL_DURATION_MS = 25;
 
 /** What a failed try costs its caller, in ms: a second try on another server. */
 const FAILURE_COST_MS = 250;
 
-interface ServerLoad {
+interface TrackedLoad {
   readonly running: number;
   /** Mean duration of requests while the server is as fast as usual, in ms. */
   readonly meanMs: number;
   /** How much longer work took than usual when it told last. */
-  readonly toldSlowness: number;
+  readonly reportedSlowness: number;
   /** Requests of others that it told of last. */
-  readonly toldOthers: number;
-  readonly toldAtMs: number;
+  readonly reportedByOthers: number;
+  readonly reportedAtMs: number;
   readonly avoidUntilMs: number;
   /** Until when it is taken to be full. */
   readonly fullUntilMs: number;
 }
 
-const NO_LOAD: ServerLoad = {
+const NO_LOAD: TrackedLoad = {
   running: 0,
-  meanMs: FIRST_MS,
-  toldSlowness: 1,
-  toldOthers: 0,
-  toldAtMs: Number.NEGATIVE_INFINITY,
+  meanMs: INITIAL_MEAN_MS,
+  reportedSlowness: 1,
+  reportedByOthers: 0,
+  reportedAtMs: Number.NEGATIVE_INFINITY,
   avoidUntilMs: Number.NEGATIVE_INFINITY,
   fullUntilMs: Number.NEGATIVE_INFINITY,
 };
@@ -57,16 +57,16 @@
  */
 export class ServerLoads {
   readonly #clock: clocks.Clock;
-  readonly #loads = new Map<registry.LifetimeKey, ServerLoad>();
-  readonly #failures: serverHealth.FailureShares;
+  readonly #loads = new Map<registry.LifetimeKey, TrackedLoad>();
+  readonly #failureRates: serverHealth.FailureRates;
 
   constructor(clock: clocks.Clock) {
     this.#clock = clock;
-    this.#failures = new serverHealth.FailureShares(clock);
+    this.#failureRates = new serverHealth.FailureRates(clock);
   }
 
   /** Notes that a request begins at a server. */
-  begin(server: registry.LifetimeKey): void {
+  recordStart(server: registry.LifetimeKey): void {
     const load = this.#get(server);
     this.#loads.set(server, { ...load, running: load.running + 1 });
   }
@@ -78,7 +78,7 @@
    *
    * @param slowness How much longer work took than usual, as the answer told.
    */
-  end(
+  recordEnd(
     server: registry.LifetimeKey,
     durationMs: number | undefined,
     slowness = 1,
@@ -86,7 +86,7 @@
     const load = this.#get(server);
     const meanMs = durationMs === undefined
       ? load.meanMs
-      : load.meanMs + (durationMs / slowness - load.meanMs) * NEWEST_SHARE;
+      : load.meanMs + (durationMs / slowness - load.meanMs) * SMOOTHING_FACTOR;
     const fullUntilMs = durationMs === undefined
       ? load.fullUntilMs
       : Number.NEGATIVE_INFINITY;
@@ -102,34 +102,45 @@
    * Notes that a request was given up without an answer. The answer would have
    * taken longer than `elapsedMs`, which tells of a slow or silent server.
    */
-  endUnanswered(server: registry.LifetimeKey, elapsedMs: number): void {
+  recordUnanswered(server: registry.LifetimeKey, elapsedMs: number): void {
     const isSlow = elapsedMs > this.#get(server).meanMs;
-    this.end(server, isSlow ? elapsedMs : undefined);
+    this.recordEnd(server, isSlow ? elapsedMs : undefined);
   }
 
   /** Notes whether a try brought an answer that its caller can use. */
-  noteOutcome(server: registry.LifetimeKey, isGood: boolean): void {
-    this.#failures.note(server, isGood);
+  recordOutcome(server: registry.LifetimeKey, isSuccess: boolean): void {
+    this.#failureRates.record(server, isSuccess);
   }
 
   /** Notes the load that a server told; this box's own part is known better. */
-  note(server: registry.LifetimeKey, told: dialects.ServerLoad): void {
+  recordReport(
+    server: registry.LifetimeKey,
+    report: dialects.ServerLoad,
+  ): void {
     const load = this.#get(server);
-    const toldOthers = Math.max(0, told.running + told.waiting - load.running);
-    const toldAtMs = this.#clock.getMonotonicMs();
-    const toldSlowness = told.slowness;
-    this.#loads.set(server, { ...load, toldOthers, toldSlowness, toldAtMs });
+    const reportedByOthers = Math.max(
+      0,
+      report.running + report.waiting - load.running,
+    );
+    const reportedAtMs = this.#clock.getMonotonicMs();
+    const reportedSlowness = report.slowness;
+    this.#loads.set(server, {
+      ...load,
+      reportedByOthers: reportedByOthers,
+      reportedSlowness: reportedSlowness,
+      reportedAtMs: reportedAtMs,
+    });
   }
 
   /** Passes over a server for a while. */
   avoid(server: registry.LifetimeKey): void {
-    const avoidUntilMs = this.#clock.getMonotonicMs() + AVOID_MS;
+    const avoidUntilMs = this.#clock.getMonotonicMs() + AVOID_DURATION_MS;
     this.#loads.set(server, { ...this.#get(server), avoidUntilMs });
   }
 
   /** Notes that a server refused because it was full. */
-  noteFull(server: registry.LifetimeKey): void {
-    const fullUntilMs = this.#clock.getMonotonicMs() + FULL_MS;
+  markFull(server: registry.LifetimeKey): void {
+    const fullUntilMs = this.#clock.getMonotonicMs() + FULL_DURATION_MS;
     this.#loads.set(server, { ...this.#get(server), fullUntilMs });
   }
 
@@ -142,38 +153,42 @@
   }
 
   /** Time that a new request is expected to take at a server, in ms. */
-  estimateMs(server: registry.RegisteredServer): number {
+  estimateLatencyMs(server: registry.RegisteredServer): number {
     const load = this.#get(server.lifetime);
-    const share = this.#countAt(server) / Math.max(1, server.slots);
-    const failureMs = this.#failures.get(server.lifetime) * FAILURE_COST_MS;
-    const workMs = load.meanMs * this.#getSlowness(load) * (1 + share);
+    const utilization = this.#countRequests(server) / Math.max(1, server.slots);
+    const failureMs = this.#failureRates.get(server.lifetime) * FAILURE_COST_MS;
+    const workMs = load.meanMs * this.#getSlowness(load) * (1 + utilization);
     return workMs + server.coldMs + failureMs;
   }
 
   /** What was told fades towards as usual. */
-  #getSlowness({ toldSlowness, toldAtMs }: ServerLoad): number {
-    const ageMs = this.#clock.getMonotonicMs() - toldAtMs;
-    return 1 + (toldSlowness - 1) * Math.exp(-ageMs / SLOWNESS_MS);
+  #getSlowness(
+    { reportedSlowness: reportedSlowness, reportedAtMs: reportedAtMs }:
+      TrackedLoad,
+  ): number {
+    const ageMs = this.#clock.getMonotonicMs() - reportedAtMs;
+    return 1 + (reportedSlowness - 1) * Math.exp(-ageMs / SLOWNESS_DECAY_MS);
   }
 
   /** Whether a server has a place free, as far as is known. */
-  hasPlace(server: registry.RegisteredServer): boolean {
-    return this.#countAt(server) < Math.max(1, server.slots);
+  hasFreeSlot(server: registry.RegisteredServer): boolean {
+    return this.#countRequests(server) < Math.max(1, server.slots);
   }
 
   /** Requests at a server: this box's own, and those of others it told of. */
-  #countAt(server: registry.RegisteredServer): number {
+  #countRequests(server: registry.RegisteredServer): number {
     const load = this.#get(server.lifetime);
-    const isTold = this.#clock.getMonotonicMs() - load.toldAtMs < TOLD_MS;
-    return load.running + (isTold ? load.toldOthers : 0);
+    const isReportFresh =
+      this.#clock.getMonotonicMs() - load.reportedAtMs < MAX_REPORT_AGE_MS;
+    return load.running + (isReportFresh ? load.reportedByOthers : 0);
   }
 
   /** Mean duration of requests at a server, in ms. */
-  getMeanMs(server: registry.LifetimeKey): number {
+  getMeanDurationMs(server: registry.LifetimeKey): number {
     return this.#get(server).meanMs;
   }
 
-  #get(server: registry.LifetimeKey): ServerLoad {
+  #get(server: registry.LifetimeKey): TrackedLoad {
     return this.#loads.get(server) ?? NO_LOAD;
   }
 }
--- a/src/forwarding/server_start_test.ts
+++ b/src/forwarding/server_restart_test.ts
@@ -10,56 +10,61 @@
   // A server crashed behind a cut with two requests under way, and started
   // again 400 ms later. Both were held until their deadline of 30 s, as the
   // old connections stayed silent.
-  const backends = new fixtures.ScriptedServers();
-  const { clock } = backends;
+  const servers = new fixtures.ScriptedServers();
+  const { clock } = servers;
 
-  beforeEach(() => backends.start());
+  beforeEach(() => servers.start());
 
-  afterEach(() => backends.stop());
+  afterEach(() => servers.stop());
 
-  const BORN = { born: 1_000 };
+  const FIRST_START = { born: 1_000 };
 
   beforeEach(() => {
-    const [first] = backends.known.listReady("app");
-    backends.known.merge({ ...first!, ...BORN });
+    const [first] = servers.registry.listReady("app");
+    servers.registry.merge({ ...first!, ...FIRST_START });
   });
 
   /** The first server holds the request in silence and starts again. */
-  function startAgain(): void {
-    const first = backends.known.get("s0");
-    backends.known.merge({ ...first!, born: 2_000, sequence: 0, coldMs: 400 });
+  function restart(): void {
+    const first = servers.registry.get("s0");
+    servers.registry.merge({
+      ...first!,
+      born: 2_000,
+      sequence: 0,
+      coldMs: 400,
+    });
   }
 
   it("has a request that may run twice answered elsewhere at once", async () => {
-    backends.scripts = [startAgain, fixtures.answer(200)];
-    const outcome = await backends.send();
+    servers.handlers = [restart, fixtures.answer(200)];
+    const outcome = await servers.send();
     chai.expect(outcome.kind).to.equal("answered");
-    chai.expect(backends.seen).to.deep.equal(["s0", "s1"]);
+    chai.expect(servers.receivedBy).to.deep.equal(["s0", "s1"]);
   });
 
   it("ends one that may not at once, as it may have run", async () => {
-    backends.scripts = [startAgain, fixtures.answer(200)];
-    const outcome = await backends.send({ isRepeatable: false });
+    servers.handlers = [restart, fixtures.answer(200)];
+    const outcome = await servers.send({ isRepeatable: false });
     if (outcome.kind !== "failed") throw new Error(outcome.kind);
     chai.expect(outcome.reason).to.equal("the server started again");
-    chai.expect(backends.seen).to.deep.equal(["s0"]);
+    chai.expect(servers.receivedBy).to.deep.equal(["s0"]);
   });
 
   it("asks no server again at whose address another one answered", async () => {
-    backends.scripts = [fixtures.answer(421), fixtures.answer(200)];
-    for (let turn = 0; turn < 3; turn += 1) await backends.send();
-    chai.expect(backends.seen).to.deep.equal(["s0", "s1", "s1", "s1"]);
+    servers.handlers = [fixtures.answer(421), fixtures.answer(200)];
+    for (let round = 0; round < 3; round += 1) await servers.send();
+    chai.expect(servers.receivedBy).to.deep.equal(["s0", "s1", "s1", "s1"]);
   });
 
   it("takes an answer that was whole before the later start was known", async () => {
-    backends.scripts = [fixtures.answer(200)];
-    const outcome = await backends.send();
-    startAgain();
+    servers.handlers = [fixtures.answer(200)];
+    const outcome = await servers.send();
+    restart();
     chai.expect(outcome.kind).to.equal("answered");
   });
 
   it("refuses the rest of an answer that was not whole by then", async () => {
-    backends.scripts = [
+    servers.handlers = [
       (_request, response) => {
         response.writeHead(200, {
           id: "job",
@@ -67,48 +72,52 @@
           "content-length": "8",
         });
         response.write("half");
-        setImmediate(startAgain);
+        setImmediate(restart);
         setTimeout(() => response.end("rest"), 50);
       },
       fixtures.answer(200),
     ];
-    const outcome = await backends.send();
+    const outcome = await servers.send();
     if (outcome.kind !== "answered") throw new Error(outcome.kind);
     chai.expect(outcome.answer.body.toString()).to.equal("body");
   });
 
   it("frees the places of the former start once, and fills none of the later", async () => {
     const loads = new serverLoads.ServerLoads(clock);
-    const former = backends.known.get("s0")!;
-    backends.scripts = [startAgain, fixtures.answer(200)];
-    await backends.send({}, loads);
-    const later = backends.known.get("s0")!;
-    const one = { ...later, slots: 1 };
-    chai.expect(loads.hasPlace(one)).to.equal(true);
-    loads.begin(later.lifetime);
-    chai.expect(loads.hasPlace(one)).to.equal(false);
-    chai.expect(loads.hasPlace({ ...former, slots: 1 })).to.equal(true);
+    const former = servers.registry.get("s0")!;
+    servers.handlers = [restart, fixtures.answer(200)];
+    await servers.send({}, loads);
+    const later = servers.registry.get("s0")!;
+    const singleSlot = { ...later, slots: 1 };
+    chai.expect(loads.hasFreeSlot(singleSlot)).to.equal(true);
+    loads.recordStart(later.lifetime);
+    chai.expect(loads.hasFreeSlot(singleSlot)).to.equal(false);
+    chai.expect(loads.hasFreeSlot({ ...former, slots: 1 })).to.equal(true);
     chai.expect(loads.isAvoided(later.lifetime)).to.equal(false);
   });
 
   it("sends nothing over a connection that was kept to the former start", async () => {
     let connections = 0;
-    backends.servers[0]?.on("connection", () => connections += 1);
-    backends.known = new registry.ServerRegistry(
+    servers.httpServers[0]?.on("connection", () => connections += 1);
+    servers.registry = new registry.ServerRegistry(
       clock,
       60_000,
       ({ address, port }) => httpClient.closeIdle(address, port),
     );
-    const { port } = backends.servers[0]?.address() as net.AddressInfo;
-    backends.known.merge(
-      serverFixtures.createServer("s0", { service: "app", port, ...BORN }),
+    const { port } = servers.httpServers[0]?.address() as net.AddressInfo;
+    servers.registry.merge(
+      serverFixtures.createServer("s0", {
+        service: "app",
+        port,
+        ...FIRST_START,
+      }),
     );
-    backends.scripts = [fixtures.answer(200)];
-    await backends.send();
-    await backends.send();
+    servers.handlers = [fixtures.answer(200)];
+    await servers.send();
+    await servers.send();
     chai.expect(connections).to.equal(1);
-    startAgain();
-    await backends.send();
+    restart();
+    await servers.send();
     chai.expect(connections).to.equal(2);
   });
 });
--- a/src/server_health/mod.ts
+++ b/src/server_health/mod.ts
@@ -10,4 +10,4 @@
  * ```
  * @module
  */
-export * from "./failure_shares.ts";
+export * from "./failure_rates.ts";
--- a/tools/bench/bench_load.ts
+++ b/tools/bench/bench_load.ts
@@ -68,7 +68,7 @@
         slots: SLOTS,
       }),
   );
-  const choice: forwarding.ServerChoice = {
+  const choice: forwarding.ServerChoiceOptions = {
     servers,
     loads: new forwarding.ServerLoads(clock),
     tried: new Set(),
