--- a/src/forwarding/forwarding_test.ts
+++ b/src/forwarding/forwarding_test.ts
@@ -25,7 +25,7 @@
 
   afterEach(() => servers.stop());
 
-  it("gives a whole answer unchanged", async () => {
+  it("returns a complete answer unchanged", async () => {
     servers.handlers = [fixtures.answer(200, { extra: "kept" })];
     const outcome = await servers.send();
     if (outcome.kind !== "answered") throw new Error(outcome.kind);
@@ -34,7 +34,7 @@
     chai.expect(servers.receivedBy).to.deep.equal(["s0"]);
   });
 
-  it("tells whether a server gave the length of its answer", async () => {
+  it("reports whether an answer body is delimited", async () => {
     servers.handlers = [(request, response) => {
       response.useChunkedEncodingByDefault = false;
       response.writeHead(200, { id: "job", receipt: "r", connection: "close" });
@@ -52,25 +52,25 @@
 
   const broken: Readonly<Record<string, fixtures.RequestHandler>> = {
     "an answer to another request": fixtures.answer(200, { id: "other" }),
-    "an answer without receipt": (_request, response) => {
+    "an answer without a receipt": (_request, response) => {
       response.writeHead(200, { id: "job" });
       response.end("body");
     },
-    "half an answer": answerTruncated,
-    "bytes that are no answer": (request) => {
+    "a truncated answer": answerTruncated,
+    "a malformed answer": (request) => {
       request.socket.end("garbage\r\n\r\n");
     },
     "a closed connection": (request) => request.socket.destroy(),
   };
   for (const [name, handler] of Object.entries(broken)) {
-    it(`asks another server after ${name}, if it may run twice`, async () => {
+    it(`retries an idempotent request after ${name}`, async () => {
       servers.handlers = [handler, fixtures.answer(200)];
       const outcome = await servers.send();
       chai.expect(outcome.kind).to.equal("answered");
       chai.expect(servers.receivedBy).to.deep.equal(["s0", "s1"]);
     });
 
-    it(`never runs a request twice that may not, after ${name}`, async () => {
+    it(`does not retry a request that may run only once after ${name}`, async () => {
       servers.handlers = [handler, fixtures.answer(200)];
       const outcome = await servers.send({ isRepeatable: false });
       chai.expect(outcome.kind).to.equal("failed");
@@ -78,33 +78,40 @@
     });
   }
 
-  it("takes a refusal elsewhere, also of a request that may run only once", async () => {
+  it("retries a refused request elsewhere even if it may run only once", async () => {
     servers.handlers = [REFUSE, REFUSE, fixtures.answer(200)];
-    const outcome = await servers.send({ isRepeatable: false, maxAttempts: 1 });
+    const outcome = await servers.send({
+      isRepeatable: false,
+      maxAttempts: 1,
+    });
     chai.expect(outcome.kind).to.equal("answered");
     chai.expect(servers.receivedBy).to.deep.equal(["s0", "s1", "s2"]);
   });
 
-  it("says that nothing ran once every server refused, asking each once", async () => {
+  it("reports that nothing ran after every server refused once", async () => {
     servers.handlers = [REFUSE, REFUSE, REFUSE];
     chai.expect((await servers.send()).kind).to.equal("notRun");
     chai.expect(servers.receivedBy).to.deep.equal(["s0", "s1", "s2"]);
   });
 
-  it("does not say that nothing ran where one server may have run it", async () => {
+  it("reports a failure if one server may have run the request", async () => {
     servers.handlers = [answerTruncated, REFUSE, REFUSE];
     chai.expect((await servers.send()).kind).to.equal("failed");
   });
 
-  it("goes to no more servers than it may", async () => {
-    servers.handlers = [answerTruncated, answerTruncated, fixtures.answer(200)];
+  it("sends no more than the maximum number of attempts", async () => {
+    servers.handlers = [
+      answerTruncated,
+      answerTruncated,
+      fixtures.answer(200),
+    ];
     chai.expect((await servers.send({ maxAttempts: 2 })).kind).to.equal(
       "failed",
     );
     chai.expect(servers.receivedBy).to.deep.equal(["s0", "s1"]);
   });
 
-  it("gives a server's own error when no other one does better", async () => {
+  it("returns a server's 5xx answer if no other server succeeds", async () => {
     servers.handlers = [
       fixtures.answer(500),
       fixtures.answer(500),
@@ -116,7 +123,7 @@
     chai.expect(servers.receivedBy).to.deep.equal(["s0", "s1"]);
   });
 
-  it("asks a second server beside a silent one and cancels the first", async () => {
+  it("hedges a request to a silent server and cancels the first attempt", async () => {
     const closed = new Promise((resolve) => {
       servers.handlers = [
         (request) => request.socket.once("close", resolve),
@@ -129,7 +136,7 @@
     await closed;
   });
 
-  it("asks no second server beside one, when it may run only once", async () => {
+  it("does not hedge a request that may run only once", async () => {
     servers.handlers = [(request, response) => {
       setTimeout(() => fixtures.answer(200)(request, response), 50);
     }, fixtures.answer(200)];
@@ -137,7 +144,7 @@
     chai.expect(servers.receivedBy).to.deep.equal(["s0"]);
   });
 
-  it("cancels the work once the caller has left", async () => {
+  it("cancels the attempt when the caller disconnects", async () => {
     const cancellation = new csp.Cancellation();
     const closed = new Promise((resolve) => {
       servers.handlers = [(request) => {
@@ -151,7 +158,7 @@
     await closed;
   });
 
-  describe("what it learns of servers", () => {
+  describe("latency estimates", () => {
     let fakeClock = new clocks.FakeClock();
     let loads = new serverLoads.ServerLoads(fakeClock);
 
@@ -166,7 +173,7 @@
       );
     }
 
-    it("expects more of a server that answers fast than of one that fails fast", () => {
+    it("are higher for a server that fails fast than for one that answers", () => {
       for (let round = 0; round < 4; round += 1) {
         for (const [id, tookMs] of [["sound", 60], ["failing", 5]] as const) {
           loads.recordStart(id);
@@ -177,14 +184,14 @@
       chai.expect(estimate("failing")).to.be.greaterThan(estimate("sound"));
     });
 
-    it("tries a server that failed again after some seconds", () => {
+    it("recover some seconds after a failure", () => {
       loads.recordOutcome("failing", false);
       const before = estimate("failing");
       fakeClock.extendBy(20_000);
       chai.expect(estimate("failing")).to.be.lessThan(before - 70);
     });
 
-    it("learns from a request given up that its server is slow, not that it is fast", () => {
+    it("rise after a slow unanswered request but do not fall after a fast one", () => {
       const first = estimate("a");
       loads.recordStart("a");
       loads.recordUnanswered("a", 10);
@@ -195,7 +202,7 @@
     });
   });
 
-  it("goes to the sound server after the first one answered errors", async () => {
+  it("prefers a healthy server after another one answered with errors", async () => {
     const loads = new serverLoads.ServerLoads(clock);
     servers.handlers = [
       fixtures.answer(500),
@@ -208,7 +215,7 @@
       .lessThan(6);
   });
 
-  it("refuses at once, and says why, where its turn could only come too late", async () => {
+  it("refuses at once, with a reason, if its turn would come too late", async () => {
     const loads = new serverLoads.ServerLoads(clock);
     for (const id of ["s0", "s1", "s2"]) loads.markFull(id);
     const outcome = await servers.send(
@@ -222,7 +229,7 @@
     chai.expect(servers.receivedBy).to.deep.equal([]);
   });
 
-  it("waits for a place where all servers refuse, and is answered in its turn", async () => {
+  it("queues a request that all servers refuse and sends it in its turn", async () => {
     let refusals = 0;
     function refuseAtFirst(
       request: http.IncomingMessage,
@@ -241,7 +248,7 @@
     chai.expect(refusals).to.equal(7);
   });
 
-  it("ends at its deadline and says whether it was sent", async () => {
+  it("expires at its deadline and reports whether it was sent", async () => {
     servers.handlers = [() => {}];
     const nowMs = clock.getMonotonicMs();
     chai.expect(await servers.send({ deadlineAtMs: nowMs + 50 })).to.deep
