--- a/src/fleet_daemon/caller_handler.ts
+++ b/src/fleet_daemon/caller_handler.ts
@@ -225,17 +225,17 @@
         MIN_HEDGE_DELAY_MS,
         route.targetLatencyMs * HEDGE_DELAY_FRACTION,
       ),
-      onStarted: (begunAtMs) => this.#countUsage(sender, begunAtMs),
+      onStarted: (startedAtMs) => this.#countUsage(sender, startedAtMs),
       cancellation,
     });
     this.#recordOutcome(routed, outcome);
     return this.#toAnswer(outcome);
   }
 
-  #countUsage(sender: accounts.Sender, begunAtMs: number): void {
+  #countUsage(sender: accounts.Sender, startedAtMs: number): void {
     const { clock, usage } = this.#options;
     if (sender.kind !== "account" || usage === undefined) return;
-    const elapsedMs = clock.getMonotonicMs() - begunAtMs;
+    const elapsedMs = clock.getMonotonicMs() - startedAtMs;
     usage.count(sender.name, clock.getWallMs() - elapsedMs);
   }
 
--- a/src/fleet_daemon/replica_reader_test.ts
+++ b/src/fleet_daemon/replica_reader_test.ts
@@ -88,7 +88,7 @@
     chai.expect(calls).to.deep.equal(["leader", "near", "near", "leader"]);
   });
 
-  it("reads from the leader if the preferred replica fails", async () => {
+  it("reads from the leader if the preferred replica fails or refuses", async () => {
     await readNext();
     const refusals: readonly (ReadReply | Error)[] = [
       new Error("the connection closed"),
