--- a/src/fleet_daemon/box_components.ts
+++ b/src/fleet_daemon/box_components.ts
@@ -41,7 +41,7 @@
   readonly peers: fleet.PeerPool;
   readonly directory: fleet.BoxDirectory;
   readonly servers: registry.ServerRegistry;
-  readonly refusedReports: registry.RefusedReports;
+  readonly refusedReports: registry.RefusalRecorder;
   /**
    * Whether the configuration in force names a service; true for every name
    * while there is no configuration.
@@ -77,7 +77,7 @@
     clock,
     log,
     metrics: boxMetrics,
-    refusedReports: new registry.RefusedReports({
+    refusedReports: new registry.RefusalRecorder({
       clock,
       log,
       metrics: boxMetrics,
@@ -99,7 +99,7 @@
   };
   const link: fleet.FleetLink = createLink(
     shared,
-    (record) => crashGuard.learn(record),
+    (record) => crashGuard.mergeRemoteRecord(record),
   );
   const crashGuard = createCrashGuard(shared, link);
   const forwarder = new forwarding.Forwarder({
@@ -125,7 +125,7 @@
     table: components.crashTable,
     findPortState: httpClient.findPortState,
     publish: (record) => link.publishCrash(record),
-    ...crashGuards.createGrantCalls(storeLeader),
+    ...crashGuards.createGrantClient(storeLeader),
   });
 }
 
--- a/src/fleet_daemon/control_handler.ts
+++ b/src/fleet_daemon/control_handler.ts
@@ -18,7 +18,7 @@
   readonly dialect: dialects.Dialect;
   readonly directory: fleet.BoxDirectory;
   readonly servers: registry.ServerRegistry;
-  readonly refusedReports: Pick<registry.RefusedReports, "note">;
+  readonly refusedReports: Pick<registry.RefusalRecorder, "record">;
   /**
    * Whether the configuration in force names a service; true for every name
    * while there is no configuration.
@@ -49,7 +49,7 @@
       case "leave":
         return this.#handleLeave(call.lifetime);
       case "badReport":
-        this.#options.refusedReports.note(call.refusal);
+        this.#options.refusedReports.record(call.refusal);
         return dialect.formatFailure(call.failure);
       case "putConfiguration":
         return await this.#putConfiguration(call.stored);
@@ -85,7 +85,7 @@
   /** Publishes the report to the other boxes before the server is answered. */
   #handleHeartbeat(report: registry.ServerReport): dialects.RawAnswer {
     const { servers, link, log, dialect, clock, isService } = this.#options;
-    const refusal = registry.findRefusal(report, {
+    const refusal = registry.validateReport(report, {
       known: servers.get(report.id),
       wallMs: clock.getWallMs(),
       isService,
@@ -115,7 +115,7 @@
 
   /** Refuses a report; the server then sends it to another box. */
   #refuseReport(refusal: registry.ReportRefusal): dialects.RawAnswer {
-    this.#options.refusedReports.note(refusal);
+    this.#options.refusedReports.record(refusal);
     return this.#refuse(
       "malformedBody",
       `Cannot take the report: ${refusal.field} is at fault`,
--- a/src/fleet_daemon/entry_box.ts
+++ b/src/fleet_daemon/entry_box.ts
@@ -179,7 +179,7 @@
       delayMs: 0,
       action: () => {
         const stored = stateMachine.getStored();
-        if (stored === undefined || !configuration.offer(stored)) return;
+        if (stored === undefined || !configuration.update(stored)) return;
         link.publishConfiguration();
       },
     });
--- a/src/fleet_daemon/store_box.ts
+++ b/src/fleet_daemon/store_box.ts
@@ -32,7 +32,7 @@
   readonly #autoscaler: capacity.Autoscaler | undefined;
   readonly #weightOrders: weightOrders.WeightOrderScheduler;
   readonly #engineTracker: weightOrders.EngineTracker;
-  readonly #crashReplicator: crashGuards.CrashKeeper;
+  readonly #crashReplicator: crashGuards.CrashReplicator;
   readonly #components: boxComponents.BoxComponents;
   readonly #stateMachine: submissions.SubmissionMachine;
   readonly #ages: submissions.SubmissionAges;
@@ -120,7 +120,7 @@
     });
   }
 
-  #createCrashReplicator(): crashGuards.CrashKeeper {
+  #createCrashReplicator(): crashGuards.CrashReplicator {
     const { link, crashTable, crashGuard } = this.#components;
     const shared = {
       ...this.#components,
@@ -128,10 +128,10 @@
       machine: this.#stateMachine,
       table: crashTable,
     };
-    return new crashGuards.CrashKeeper({
+    return new crashGuards.CrashReplicator({
       ...shared,
       guard: crashGuard,
-      desk: new crashGuards.GrantDesk(shared),
+      grants: new crashGuards.GrantService(shared),
       publish: (record) => link.publishCrash(record),
     });
   }
@@ -164,7 +164,7 @@
       policy,
       endpoint,
       countNeededSlots: (service, leastMs) =>
-        this.#dispatcher.countNeededPlaces(service, leastMs),
+        this.#dispatcher.computeRequiredSlots(service, leastMs),
     });
   }
 
