--- a/src/fleet_daemon/entry_box.ts
+++ b/src/fleet_daemon/entry_box.ts
@@ -171,10 +171,10 @@
     return group;
   }
 
-  /** Offers only the last of several configurations applied in one batch. */
+  /** Puts only the last of several configurations of one batch in force. */
   #createStateMachine(): trafficConfig.ConfigurationMachine {
     const { clock, configuration, link } = this.#components;
-    const deferredOffer = new clocks.GatheredCall({
+    const deferredUpdate = new clocks.GatheredCall({
       clock,
       delayMs: 0,
       action: () => {
@@ -184,7 +184,7 @@
       },
     });
     const stateMachine = new trafficConfig.ConfigurationMachine(() =>
-      deferredOffer.schedule()
+      deferredUpdate.schedule()
     );
     return stateMachine;
   }
