--- a/src/fleet_daemon/_duty_settings.ts
+++ b/src/fleet_daemon/_duty_settings.ts
@@ -17,7 +17,7 @@
  */
 export function getUsageTimings(
   settings: fleetSettings.FleetSettings,
-): usages.WindowTimes | undefined {
+): usages.WindowTimings | undefined {
   const { usageWindowS, usageLateS } = settings.bounds;
   const isEnabled = settings.infrastructure?.duties.includes(
     USAGE_REPORTING_DUTY,
@@ -27,7 +27,7 @@
   }
   return {
     windowMs: usageWindowS * MS_PER_SECOND,
-    lateMs: usageLateS * MS_PER_SECOND,
+    reportDelayMs: usageLateS * MS_PER_SECOND,
   };
 }
 
--- a/src/fleet_daemon/_replica_reader.ts
+++ b/src/fleet_daemon/_replica_reader.ts
@@ -49,7 +49,7 @@
   /** Reads one page, from the leader if the preferred replica fails. */
   async read(
     query: ResultsQuery,
-    timeouts: replicaGroups.CallTimes,
+    timeouts: replicaGroups.CallTimeouts,
   ): Promise<results.Result<submissions.ResultPage>> {
     return await this.#readFromPreferred(query, timeouts) ??
       await this.#readFromLeader(query, timeouts);
@@ -57,7 +57,7 @@
 
   async #readFromPreferred(
     query: ResultsQuery,
-    timeouts: replicaGroups.CallTimes,
+    timeouts: replicaGroups.CallTimeouts,
   ): Promise<results.Result<submissions.ResultPage> | undefined> {
     const replicaId = this.#findPreferredId();
     if (replicaId === undefined) return undefined;
@@ -91,7 +91,7 @@
 
   async #readFromLeader(
     query: ResultsQuery,
-    timeouts: replicaGroups.CallTimes,
+    timeouts: replicaGroups.CallTimeouts,
   ): Promise<results.Result<submissions.ResultPage>> {
     const { clock, stores } = this.#options;
     const reply = await controlHandlers.callStoreLeader<submissions.ReadReply>(
--- a/src/fleet_daemon/box_components.ts
+++ b/src/fleet_daemon/box_components.ts
@@ -48,7 +48,7 @@
    */
   readonly isService: (name: string) => boolean;
   readonly configuration: trafficConfig.ConfigurationHolder;
-  readonly link: fleet.FleetLink;
+  readonly link: fleet.FleetGossip;
   /** Records of work that crashed backend servers, as known to this box. */
   readonly crashTable: crashRecords.CrashTable;
   readonly crashGuard: crashGuards.CrashGuard;
@@ -97,7 +97,7 @@
     status: { isReady: false, isLeaving: false, ledTerm: 0 },
     draw: Math.random,
   };
-  const link: fleet.FleetLink = createLink(
+  const link: fleet.FleetGossip = createLink(
     shared,
     (record) => crashGuard.mergeRemoteRecord(record),
   );
@@ -117,7 +117,7 @@
 
 function createCrashGuard(
   components: LocalComponents,
-  link: fleet.FleetLink,
+  link: fleet.FleetGossip,
 ): crashGuards.CrashGuard {
   const storeLeader = createLeaderCaller(components, isStoreBox);
   return new crashGuards.CrashGuard({
@@ -132,11 +132,11 @@
 function createLink(
   components: LocalComponents,
   learnCrash: (record: crashRecords.CrashRecord) => boolean,
-): fleet.FleetLink {
+): fleet.FleetGossip {
   const { settings, status, clock } = components;
   const { box, roles, listen, seeds, dataFolder } = settings;
   const startedAtMs = clock.getWallMs();
-  return new fleet.FleetLink({
+  return new fleet.FleetGossip({
     ...components,
     learnCrash,
     seeds: seeds.map((seed) => seed.address),
--- a/src/fleet_daemon/caller_handler.ts
+++ b/src/fleet_daemon/caller_handler.ts
@@ -37,7 +37,7 @@
   readonly peers: fleet.Peers;
   readonly failureDomain: string;
   /** Counts usage per account; undefined where usage is not reported. */
-  readonly usage: usages.UsageTeller | undefined;
+  readonly usage: usages.UsageRecorder | undefined;
   /** Returns a random number from 0 (inclusive) to 1 (exclusive). */
   readonly draw: () => number;
 }
@@ -117,7 +117,7 @@
   #checkKey(
     { raw, head, configuration, host }: ParsedRequest,
     allowsAnonymous: boolean,
-  ): accounts.KeyVerdict {
+  ): accounts.KeyCheckResult {
     const { log, metrics } = this.#options;
     const { key, requestId } = head;
     const result = accounts.checkKey(
--- a/src/fleet_daemon/control_handler.ts
+++ b/src/fleet_daemon/control_handler.ts
@@ -24,7 +24,7 @@
    * while there is no configuration.
    */
   readonly isService: (name: string) => boolean;
-  readonly link: fleet.FleetLink;
+  readonly link: fleet.FleetGossip;
   readonly core: replicaGroups.LeaderCaller;
   readonly stores: replicaGroups.LeaderCaller;
 }
@@ -251,7 +251,7 @@
 export async function callStoreLeader<T>(
   stores: replicaGroups.LeaderCaller,
   call: StoreCall,
-  timeouts: replicaGroups.CallTimes,
+  timeouts: replicaGroups.CallTimeouts,
 ): Promise<results.Result<T>> {
   const reply = await stores.call<submissions.LeaderReply<T>>(
     call.method,
--- a/src/fleet_daemon/entry_box.ts
+++ b/src/fleet_daemon/entry_box.ts
@@ -40,11 +40,11 @@
   readonly #addressListener: httpServer.HttpListener;
   readonly #controlHandler: controlHandlers.ControlHandler;
   readonly #core: replicaGroups.ReplicaGroup | undefined;
-  readonly #usageRecorder: usages.UsageTeller | undefined;
+  readonly #usageRecorder: usages.UsageRecorder | undefined;
 
   constructor(components: boxComponents.BoxComponents) {
     this.#components = components;
-    new replicaGroups.FoundingDesk({
+    new replicaGroups.BootstrapService({
       ...components,
       isFirstStart: components.settings.isFirstStart,
     });
@@ -155,11 +155,11 @@
       failureDomain: settings.box.failureDomain,
       dataFolder: settings.dataFolder,
       isFirstStart: settings.isFirstStart,
-      wanted: MAX_CORE_VOTERS,
-      least: 2 * settings.lossesToBear + 1,
+      maxVoters: MAX_CORE_VOTERS,
+      minVoters: 2 * settings.lossesToBear + 1,
       snapshotEntries: CORE_SNAPSHOT_ENTRIES,
       seeds: settings.seeds.map((seed) => seed.address),
-      machine: stateMachine,
+      stateMachine: stateMachine,
       canVote: boxComponents.isCoreBox,
       listRetiring: () => [],
     });
@@ -254,11 +254,11 @@
 function createUsageRecorder(
   components: boxComponents.BoxComponents,
   stores: replicaGroups.LeaderCaller,
-): usages.UsageTeller | undefined {
+): usages.UsageRecorder | undefined {
   const { clock, settings, directory } = components;
   const times = dutySettings.getUsageTimings(settings);
   if (times === undefined) return undefined;
-  return new usages.UsageTeller({
+  return new usages.UsageRecorder({
     clock,
     stores,
     times,
--- a/src/fleet_daemon/store_box.ts
+++ b/src/fleet_daemon/store_box.ts
@@ -34,7 +34,7 @@
   readonly #engineTracker: weightOrders.EngineTracker;
   readonly #crashReplicator: crashGuards.CrashReplicator;
   readonly #components: boxComponents.BoxComponents;
-  readonly #stateMachine: submissions.SubmissionMachine;
+  readonly #stateMachine: submissions.SubmissionStateMachine;
   readonly #ages: submissions.SubmissionAges;
   #isStopped = false;
 
@@ -44,7 +44,7 @@
     this.#ages = new submissions.SubmissionAges(components.clock);
     const { settings, clock } = components;
     const changed = new csp.Signal();
-    const stateMachine = new submissions.SubmissionMachine(() => {
+    const stateMachine = new submissions.SubmissionStateMachine(() => {
       changed.notify();
       this.#dispatcher.wake();
     });
@@ -56,11 +56,11 @@
       failureDomain: settings.box.failureDomain,
       dataFolder,
       isFirstStart: settings.isFirstStart,
-      wanted: voterCount,
-      least: voterCount,
+      maxVoters: voterCount,
+      minVoters: voterCount,
       snapshotEntries: STORE_SNAPSHOT_ENTRIES,
       seeds: settings.seeds.map((seed) => seed.address),
-      machine: stateMachine,
+      stateMachine: stateMachine,
       canVote: boxComponents.isStoreBox,
       listRetiring: () => stateMachine.listRetiring(),
     });
@@ -104,13 +104,13 @@
     new submissions.SubmissionService({
       ...this.#components,
       group: this.#group,
-      machine: stateMachine,
+      stateMachine: stateMachine,
       id: settings.box.address,
       barrier,
       getFailureDomain: (id) => directory.get(id)?.failureDomain,
-      changed,
+      stateChanged: changed,
       wantedVoters,
-      listStores: () =>
+      listStoreIds: () =>
         directory.listAlive()
           .filter((box) =>
             box.isStore && !box.isLeaving &&
@@ -145,7 +145,7 @@
       ...this.#components,
       group: this.#group,
       duty: this.#duty,
-      book: this.#stateMachine.getUsage(),
+      state: this.#stateMachine.getUsage(),
       times,
       endpoint,
     });
@@ -196,11 +196,14 @@
     if (this.#isStopped) return;
     const { clock, settings } = this.#components;
     this.#ages.observe(this.#stateMachine.listAll());
-    const ids = submissions.findForgettable(this.#stateMachine.listAll(), {
-      nowMs: clock.getWallMs(),
-      resultsKeepMs: settings.bounds.resultsKeepMs,
-      getKnownMs: (id) => this.#ages.getAgeMs(id),
-    });
+    const ids = submissions.findExpiredSubmissions(
+      this.#stateMachine.listAll(),
+      {
+        nowMs: clock.getWallMs(),
+        resultRetentionMs: settings.bounds.resultsKeepMs,
+        getAgeMs: (id) => this.#ages.getAgeMs(id),
+      },
+    );
     if (ids.length > 0 && this.#group.hasAuthority()) {
       const command: submissions.SubmissionCommand = {
         kind: "forgetSubmissions",
