--- a/src/backend_server/backend_server.ts
+++ b/src/backend_server/backend_server.ts
@@ -1,6 +1,6 @@
 import * as z from "zod";
 
-/** A server behind the system, as the box list tells. */
+/** Schema of a backend server's entry in the box list. */
 export const backendServerSchema = z.object({
   id: z.string().min(1),
   service: z.string().min(1),
@@ -9,9 +9,12 @@
   port: z.number().int(),
   failureDomain: z.string(),
   state: z.enum(["live", "leaving"]),
-  /** Whether it refuses orders with an old fencing number. */
+  /** Whether the server rejects orders with an outdated fencing number. */
   checksFence: z.boolean().default(false),
 }).readonly();
 
-/** A server behind the system. */
+/**
+ * A model engine (`language`) or an application server (`plain`) to which
+ * requests are forwarded.
+ */
 export type BackendServer = z.infer<typeof backendServerSchema>;
--- a/src/backend_server/mod.ts
+++ b/src/backend_server/mod.ts
@@ -1,10 +1,10 @@
 /**
- * The backend server aggregate.
+ * Backend servers and the roles of engines.
  *
  * @example
  * ```ts
- * import * as backends from "../backend_server/mod.ts";
- * backends.backendServerSchema.parse(json);
+ * import * as backendServers from "../backend_server/mod.ts";
+ * backendServers.backendServerSchema.parse(json);
  * ```
  * @module
  */
--- a/src/backend_server/server_role.ts
+++ b/src/backend_server/server_role.ts
@@ -1,28 +1,28 @@
-/** Roles of an engine: what it may be given. */
+/** Roles of an engine: `mixed` serves every use, the others only their own. */
 export const SERVER_ROLES = ["mixed", "rollout", "caller"] as const;
 
-/** What an engine may be given. */
+/** Which requests an engine serves. */
 export type ServerRole = typeof SERVER_ROLES[number];
 
-/** What a request is for. */
+/** Purpose of a request: a trainer's rollout or a caller's completion. */
 export type ServerUse = "rollout" | "caller";
 
-/** The role that operators set for an engine. */
+/** A role that an operator set for an engine. */
 export interface RoleSetting {
   readonly server: string;
   readonly role: ServerRole;
-  /** Configuration revision that last changed it. */
+  /** Configuration revision that last changed the role. */
   readonly revision: number;
 }
 
 /**
- * Tells whether an engine in a role takes requests of a use.
+ * Checks whether an engine with a role serves requests of a use.
  *
  * @param role The engine's role.
- * @param use What the request is for.
- * @returns Whether it does.
+ * @param use The request's purpose.
+ * @returns True for `mixed` and for a role equal to the use.
  */
-export function canUse(role: ServerRole, use: ServerUse): boolean {
+export function canServeUse(role: ServerRole, use: ServerUse): boolean {
   switch (role) {
     case "mixed":
       return true;
--- a/src/box_list/box_list_client.ts
+++ b/src/box_list/box_list_client.ts
@@ -1,55 +1,57 @@
 import * as z from "zod";
-import * as backends from "../backend_server/mod.ts";
+import * as backendServers from "../backend_server/mod.ts";
 import * as httpClient from "../http_client/mod.ts";
 import * as results from "../results/mod.ts";
 
-/** Characters of an id in a log line at most. */
-const MAX_ID_CHARACTERS = 80;
+/** Maximum length of an invalid entry's id, in characters. */
+const MAX_ID_LENGTH = 80;
 
 const boxListSchema = z.object({ servers: z.array(z.unknown()).readonly() });
 
-const namedSchema = z.object({ id: z.string().max(MAX_ID_CHARACTERS) });
+const idSchema = z.object({ id: z.string().max(MAX_ID_LENGTH) });
 
-/** An entry that names no server to use. */
-export interface UnreadEntry {
-  /** Its id, as far as that can be told. */
+/** A box list entry that does not match the schema. */
+export interface InvalidEntry {
+  /** The entry's id; empty if it is missing, invalid or too long. */
   readonly id: string;
-  /** Field at fault. */
+  /** Path of the first invalid field; empty if the entry is no object. */
   readonly field: string;
 }
 
-/** What a box list says. */
+/** Content of a box list. */
 export interface BoxList {
-  readonly servers: readonly backends.BackendServer[];
-  readonly unread: readonly UnreadEntry[];
+  readonly servers: readonly backendServers.BackendServer[];
+  readonly invalidEntries: readonly InvalidEntry[];
 }
 
-const TIMEOUT_MS = 1_000;
+const CALL_TIMEOUT_MS = 1_000;
 
-/** Reads the platform's box list: `GET /boxes`. */
+/** Client of the platform's box list service: `GET /boxes`. */
 export class BoxListClient {
   readonly #baseUrl: string;
 
-  /** @param baseUrl Address of the box list service. */
+  /** @param baseUrl Base URL of the box list service. */
   constructor(baseUrl: string) {
     this.#baseUrl = baseUrl;
   }
 
   /**
-   * Reads the backend servers that are live or leaving. An entry that can't be
-   * read, as one of another writer, names no server; the others hold.
+   * Reads the backend servers that are live or leaving. Invalid entries are
+   * listed separately and do not affect the valid ones.
+   *
+   * @returns The list, or `connectFailed`.
    */
   async readServers(): Promise<results.Result<BoxList>> {
     const answer = await httpClient.sendJson({
       baseUrl: this.#baseUrl,
       path: "/boxes",
       method: "GET",
-      timeoutMs: TIMEOUT_MS,
+      timeoutMs: CALL_TIMEOUT_MS,
     });
     if (answer.kind === "failure") return answer;
     const parsed = boxListSchema.safeParse(answer.value.json);
     if (parsed.success) {
-      return results.createOk(readEntries(parsed.data.servers));
+      return results.createOk(parseEntries(parsed.data.servers));
     }
     return results.createFailure(
       "connectFailed",
@@ -58,22 +60,22 @@
   }
 }
 
-function readEntries(entries: readonly unknown[]): BoxList {
-  const servers = new Map<string, backends.BackendServer>();
-  const unread: UnreadEntry[] = [];
+function parseEntries(entries: readonly unknown[]): BoxList {
+  const servers = new Map<string, backendServers.BackendServer>();
+  const invalidEntries: InvalidEntry[] = [];
   for (const entry of entries) {
-    const parsed = backends.backendServerSchema.safeParse(entry);
+    const parsed = backendServers.backendServerSchema.safeParse(entry);
     if (parsed.success) {
       servers.set(parsed.data.id, parsed.data);
       continue;
     }
     const field = parsed.error.issues[0]?.path.map(String).join(".") ?? "";
-    unread.push({ id: findId(entry), field });
+    invalidEntries.push({ id: readId(entry), field });
   }
-  return { servers: [...servers.values()], unread };
+  return { servers: [...servers.values()], invalidEntries };
 }
 
-function findId(entry: unknown): string {
-  const read = namedSchema.safeParse(entry);
-  return read.success ? read.data.id : "";
+function readId(entry: unknown): string {
+  const parsed = idSchema.safeParse(entry);
+  return parsed.success ? parsed.data.id : "";
 }
--- a/src/box_list/mod.ts
+++ b/src/box_list/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Adapter to the platform's box list.
+ * Client of the platform's box list.
  *
  * @example
  * ```ts
--- a/src/caller/_forward.ts
+++ b/src/caller/_forward.ts
@@ -1,18 +1,18 @@
-import type * as backends from "../backend_server/mod.ts";
+import type * as backendServers from "../backend_server/mod.ts";
 import * as csp from "../csp/mod.ts";
 import * as httpClient from "../http_client/mod.ts";
 import type * as http from "node:http";
 import type * as callerContexts from "./caller_context.ts";
 
-/** Headers that a backend server is given from the caller. */
+/** Headers of the caller's request that are forwarded. */
 const FORWARDED_HEADERS = ["content-type", "accept"] as const;
 
-/** A request to one backend server. */
+/** How a call is forwarded to one backend server. */
 export interface ForwardRequest {
   readonly path: string;
   readonly requestId: string;
   readonly isFreshConnection: boolean;
-  /** Gives the request up when cancelled. */
+  /** Aborts the request when cancelled. */
   readonly cancellation: csp.Cancellation;
 }
 
@@ -27,12 +27,12 @@
   return Object.fromEntries(entries);
 }
 
-/** Sends an admitted call to one backend server and keeps count of it. */
+/** Sends an admitted call to one backend server, counted as in flight. */
 export async function forwardCall(
   context: callerContexts.CallerContext,
   call: callerContexts.AdmittedCall,
-  server: backends.BackendServer,
-  forward: ForwardRequest,
+  server: backendServers.BackendServer,
+  request: ForwardRequest,
 ): Promise<httpClient.HttpOutcome> {
   const { table, settings: { limits } } = context;
   table.addRequest(server.id);
@@ -40,29 +40,29 @@
     address: server.address,
     port: server.port,
     method: call.request.method ?? "GET",
-    path: forward.path,
+    path: request.path,
     headers: {
       ...pickHeaders(call.request.headers),
-      "x-request-id": forward.requestId,
+      "x-request-id": request.requestId,
     },
     ...(call.body.length === 0 ? {} : { body: call.body }),
     timeoutMs: Math.max(1, call.deadlineMs - context.clock.getMonotonicMs()),
     connectTimeoutMs: limits.connectTimeoutMs,
-    isFreshConnection: forward.isFreshConnection,
-    cancellation: forward.cancellation,
+    isFreshConnection: request.isFreshConnection,
+    cancellation: request.cancellation,
   });
   table.removeRequest(server.id, outcome.kind !== "answered");
-  return checkEcho(outcome, forward.requestId);
+  return checkRequestId(outcome, request.requestId);
 }
 
-/** An answer that names another request is never given on. */
-function checkEcho(
+/** Treats a response whose `x-request-id` names another request as broken. */
+function checkRequestId(
   outcome: httpClient.HttpOutcome,
   requestId: string,
 ): httpClient.HttpOutcome {
   if (outcome.kind !== "answered") return outcome;
-  const echoed = outcome.head.headers["x-request-id"];
-  if (echoed === undefined || echoed === requestId) return outcome;
+  const answeredId = outcome.head.headers["x-request-id"];
+  if (answeredId === undefined || answeredId === requestId) return outcome;
   return {
     kind: "broken",
     message: "it answered another request",
@@ -72,10 +72,11 @@
 }
 
 /**
- * Gives a backend server's whole answer to the caller. As a latin1 string,
- * which keeps every byte, head and body leave in one write.
+ * Sends a backend server's complete response to the caller. The body is
+ * written as a latin1 string, which preserves every byte, so that Node.js sends
+ * head and body in one write.
  */
-export function answerWhole(
+export function sendAnswer(
   response: http.ServerResponse,
   status: number,
   contentType: string,
@@ -90,14 +91,16 @@
   response.end(body.toString("latin1"), "latin1");
 }
 
-/** Reads the content type of an answer. */
+/** Returns the content type of a response, or the default for binary data. */
 export function getContentType(head: httpClient.HttpHead): string {
   const value = head.headers["content-type"];
   return typeof value === "string" ? value : "application/octet-stream";
 }
 
-/** Cancels what is done for a caller that goes away. */
-export function watchCaller(response: http.ServerResponse): csp.Cancellation {
+/** Creates a cancellation that fires if the caller disconnects early. */
+export function cancelOnDisconnect(
+  response: http.ServerResponse,
+): csp.Cancellation {
   const cancellation = new csp.Cancellation();
   response.once("close", () => {
     if (!response.writableFinished) cancellation.cancel();
--- a/src/caller/admit_call.ts
+++ b/src/caller/admit_call.ts
@@ -7,7 +7,7 @@
 const RETRY_AFTER_MS = 200;
 
 /**
- * Finds the client account of a request's bearer token.
+ * Authenticates a request: finds the client account of its bearer token.
  *
  * @param request The request.
  * @param view The box's configuration.
@@ -32,21 +32,25 @@
   );
 }
 
-/** Load of a box when a request comes. */
+/** State of a box that decides whether it admits a request. */
 export interface AdmissionLoad {
+  /** Whether the box holds a configuration lease. */
   readonly hasLease: boolean;
+  /** Requests that the box is serving. */
   readonly inFlight: number;
+  /** Limit of `inFlight`. */
   readonly maxInFlight: number;
+  /** Requests of the client account that the box is serving. */
   readonly accountInFlight: number;
 }
 
 /**
- * Decides whether a request of an account is admitted. A refusal here is
- * true: nothing ran.
+ * Decides whether a request of a client account is admitted. A refused request
+ * was not sent to any backend server.
  *
  * @param account The client account.
- * @param load The load now.
- * @returns Ok, or `noLease` or `overloaded` with the time to come back.
+ * @param load The current load.
+ * @returns Ok, or `noLease` or `overloaded` with a retry delay.
  */
 export function admitCall(
   account: accounts.ClientAccount,
--- a/src/caller/caller_context.ts
+++ b/src/caller/caller_context.ts
@@ -8,7 +8,7 @@
 import type * as settings from "../settings/mod.ts";
 import type * as retryBudgets from "./retry_budget.ts";
 
-/** What the caller side of a box works with. */
+/** Dependencies of the caller API of a box. */
 export interface CallerContext {
   readonly settings: settings.Settings;
   readonly clock: clocks.Clock;
@@ -19,12 +19,12 @@
   readonly log: logs.Log;
 }
 
-/** One admitted request. */
+/** An admitted request and its client account. */
 export interface AdmittedCall {
   readonly request: http.IncomingMessage;
   readonly response: http.ServerResponse;
   readonly account: accounts.ClientAccount;
   readonly body: Buffer;
-  /** Monotonic time by which the answer must be whole, in ms. */
+  /** Monotonic time by which the response must be complete, in ms. */
   readonly deadlineMs: number;
 }
--- a/src/caller/caller_path_test.ts
+++ b/src/caller/caller_path_test.ts
@@ -5,7 +5,10 @@
 
 const box = new oneBoxes.OneBox(8);
 
-function sync(key: string, json: unknown = { key }): Promise<oneBoxes.Answer> {
+function sendSync(
+  key: string,
+  json: unknown = { key },
+): Promise<oneBoxes.Answer> {
   return box.send("POST", "/services/app/sync", {
     headers: { "idempotency-key": key },
     json,
@@ -23,15 +26,15 @@
     box.runs = [];
   });
 
-  it("answers a lookup through the live server though another refuses connections", async () => {
-    for (let count = 0; count < 10; count += 1) {
+  it("answers a lookup from a live server while another refuses connections", async () => {
+    for (let attempt = 0; attempt < 10; attempt += 1) {
       chai.expect((await box.send("GET", "/services/app/stock?sku=1")).status)
         .to
         .equal(200);
     }
   });
 
-  it("refuses what can't be served, with a numbered error that says nothing ran", async () => {
+  it("rejects invalid requests with a named error and the outcome notRun", async () => {
     const refusals = [
       [
         await box.send("GET", "/services/app/stock", { token: "wrong" }),
@@ -71,7 +74,7 @@
     chai.expect(box.runs).to.deep.equal([]);
   });
 
-  it("gives a half-sent request up in time and runs nothing", async () => {
+  it("times out an incomplete request without running it", async () => {
     const socket = net.connect(8080, box.address);
     socket.write(
       `POST /services/app/sync HTTP/1.1\r\nhost: b\r\nauthorization: Bearer ${oneBoxes.TOKEN}\r\nidempotency-key: h\r\ncontent-length: 50\r\n\r\nhalf`,
@@ -84,30 +87,30 @@
     chai.expect(box.runs).to.deep.equal([]);
   });
 
-  it("runs a call that must not be repeated once and gives a resend the first answer", async () => {
-    const first = await sync("k1");
-    const again = await sync("k1");
-    const other = await sync("k1", { key: "other" });
+  it("runs a non-repeatable call once and answers a resend with the stored response", async () => {
+    const first = await sendSync("k1");
+    const resent = await sendSync("k1");
+    const changedBody = await sendSync("k1", { key: "other" });
     chai.expect(first.status).to.equal(200);
-    chai.expect(again).to.deep.equal(first);
-    chai.expect(other.json.error).to.include({
+    chai.expect(resent).to.deep.equal(first);
+    chai.expect(changedBody.json.error).to.include({
       name: "keyReused",
       outcome: "notRun",
     });
     chai.expect(box.runs.length).to.equal(1);
   });
 
-  for (const broken of ["truncate", "reset", "swap", "silent"] as const) {
-    it(`says unknown when a server does ${broken} to a call that must not be repeated, and never runs it again`, async () => {
-      box.manner = broken;
-      const first = await sync(`k-${broken}`);
+  for (const fault of ["truncate", "reset", "swap", "silent"] as const) {
+    it(`reports an unknown outcome when a server fails a non-repeatable call (${fault}) and never runs it again`, async () => {
+      box.manner = fault;
+      const first = await sendSync(`k-${fault}`);
       box.manner = "answer";
-      const again = await sync(`k-${broken}`);
+      const resent = await sendSync(`k-${fault}`);
       chai.expect(first.json.error).to.include({
         name: "backendFailed",
         outcome: "unknown",
       });
-      chai.expect(again.json.error).to.include({
+      chai.expect(resent.json.error).to.include({
         name: "unknownOutcome",
         outcome: "unknown",
       });
@@ -115,13 +118,13 @@
     });
   }
 
-  for (const broken of ["truncate", "swap"] as const) {
-    it(`says unknown, whatever a later try met, to a lookup's caller when a server did ${broken}`, async () => {
-      box.manner = broken;
-      for (let count = 0; count < 12; count += 1) {
-        const before = box.runs.length;
+  for (const fault of ["truncate", "swap"] as const) {
+    it(`reports an unknown outcome exactly for lookups that ran before a server failed (${fault})`, async () => {
+      box.manner = fault;
+      for (let attempt = 0; attempt < 12; attempt += 1) {
+        const runsBefore = box.runs.length;
         const answer = await box.send("GET", "/services/app/stock");
-        const hasRun = box.runs.length > before;
+        const hasRun = box.runs.length > runsBefore;
         chai.expect(answer.json.error.outcome).to.equal(
           hasRun ? "unknown" : "notRun",
         );
@@ -130,7 +133,7 @@
     });
   }
 
-  it("says that nothing ran when an address does not answer", async () => {
+  it("reports notRun when no connection can be opened", async () => {
     const answer = await httpClient.sendJson({
       baseUrl: box.deadUrl,
       method: "GET",
--- a/src/caller/find_route.ts
+++ b/src/caller/find_route.ts
@@ -1,6 +1,6 @@
 import type * as settings from "../settings/mod.ts";
 
-/** Where a caller's request goes. */
+/** Route of a request to the caller port. */
 export type Route =
   | { readonly kind: "addresses" }
   | { readonly kind: "completion"; readonly format: "text" | "chat" }
@@ -8,7 +8,7 @@
     readonly kind: "service";
     readonly service: settings.ServiceSettings;
     readonly operation: settings.OperationSettings;
-    /** Path and query at the backend server. */
+    /** Path and query for the backend server. */
     readonly path: string;
   }
   | {
@@ -18,7 +18,7 @@
   }
   | { readonly kind: "unknown" };
 
-/** What a trainer may ask. */
+/** Actions of the trainer API. */
 export type TrainerAction = "open" | "fetch" | "acknowledge";
 
 const SERVICE_PATH = /^\/services\/([a-z0-9_.-]+)(\/.*)$/;
@@ -31,7 +31,7 @@
  * @param method HTTP method.
  * @param url Path and query.
  * @param services The services of the deployment.
- * @returns The route; `unknown` if there is none.
+ * @returns The route; `unknown` if nothing matches.
  */
 export function findRoute(
   method: string,
--- a/src/caller/answer_addresses.ts
+++ b/src/caller/list_addresses.ts
@@ -1,34 +1,33 @@
 import type * as control from "../control/mod.ts";
 
-/** One address that a caller may use. */
+/** A box's address for callers. */
 export interface AddressEntry {
   readonly box: string;
   readonly address: string;
   readonly port: number;
   readonly failureDomain: string;
-  /** Share of a caller's requests, against the other entries. */
+  /** Relative share of a caller's requests. */
   readonly weight: number;
 }
 
-/** Answer to "which address to use". */
-export interface AddressAnswer {
+/** Response of `GET /v1/addresses`. */
+export interface AddressList {
   readonly addresses: readonly AddressEntry[];
-  /** How long the answer may be kept, in ms. */
+  /** How long callers may cache the list, in ms. */
   readonly keepMs: number;
 }
 
 /**
- * Lists the addresses that a caller may use: every box with a lease that is
- * not being stopped.
+ * Lists the addresses of all boxes that have a lease and are not draining.
  *
- * @param membership The deployment's boxes.
- * @param keepMs How long the answer may be kept, in ms.
- * @returns The answer; empty when no box can serve.
+ * @param membership The boxes of the deployment.
+ * @param keepMs How long callers may cache the list, in ms.
+ * @returns The list; empty if no box can serve.
  */
-export function answerAddresses(
+export function listAddresses(
   membership: control.Membership,
   keepMs: number,
-): AddressAnswer {
+): AddressList {
   const addresses = membership.boxes
     .filter((box) => !box.isDraining)
     .map((box): AddressEntry => ({
--- a/src/caller/retry_budget.ts
+++ b/src/caller/retry_budget.ts
@@ -1,26 +1,30 @@
-/** Retries that are allowed before any request was counted. */
-const FIRST_RETRIES = 10;
-const MAX_SAVED_RETRIES = 100;
+/** Retries available before the first attempt is recorded. */
+const INITIAL_BALANCE = 10;
+/** Most retries that can accumulate. */
+const MAX_BALANCE = 100;
 
-/** Bounds retries to a share of first tries, so that load is not amplified. */
+/**
+ * Limits retries to a fraction of first attempts, so that failures do not
+ * amplify the load.
+ */
 export class RetryBudget {
   readonly #ratio: number;
-  #saved = FIRST_RETRIES;
+  #balance = INITIAL_BALANCE;
 
-  /** @param ratio Retries earned by each first try. */
+  /** @param ratio Retries added per first attempt. */
   constructor(ratio: number) {
     this.#ratio = ratio;
   }
 
-  /** Notes a first try. */
-  addFirstTry(): void {
-    this.#saved = Math.min(MAX_SAVED_RETRIES, this.#saved + this.#ratio);
+  /** Adds the retries that a first attempt earns. */
+  recordFirstAttempt(): void {
+    this.#balance = Math.min(MAX_BALANCE, this.#balance + this.#ratio);
   }
 
-  /** Takes one retry; false when the budget is spent. */
+  /** Takes one retry; returns false if the budget is exhausted. */
   takeRetry(): boolean {
-    if (this.#saved < 1) return false;
-    this.#saved -= 1;
+    if (this.#balance < 1) return false;
+    this.#balance -= 1;
     return true;
   }
 }
--- a/src/caller/serve_completion.ts
+++ b/src/caller/serve_completion.ts
@@ -6,11 +6,11 @@
 import * as httpServer from "../http_server/mod.ts";
 import * as models from "../model_version/mod.ts";
 import * as results from "../results/mod.ts";
-import * as forwards from "./_forward.ts";
+import * as forward from "./_forward.ts";
 import type * as callerContexts from "./caller_context.ts";
 
 const DEFAULT_MAX_TOKENS = 256;
-/** Callers wait at a till; rollouts do not. */
+/** Above the priority of rollouts, since callers wait for the response. */
 const CALLER_PRIORITY = 8;
 
 const commonFields = {
@@ -26,7 +26,7 @@
   messages: z.array(z.object({ role: z.string(), content: z.string() })).min(1),
 });
 
-/** The shape of request and answer. */
+/** API format of request and response. */
 export type CompletionFormat = "text" | "chat";
 
 interface Completion {
@@ -66,12 +66,12 @@
 }
 
 /**
- * Serves a completion in the OpenAI style, streamed as server-sent events if
- * asked so. A stream that can't be finished is cut without its end mark.
+ * Serves a completion in the OpenAI format, streamed as server-sent events if
+ * requested. A stream that fails is closed without the `[DONE]` event.
  *
- * @param context The box.
- * @param call The call.
- * @param format Text or chat.
+ * @param context Dependencies of the caller API.
+ * @param call The admitted request.
+ * @param format Format of request and response.
  */
 export async function serveCompletion(
   context: callerContexts.CallerContext,
@@ -84,7 +84,7 @@
   }
   const completion = parsed.value;
   const writer = new CompletionWriter(call.response, format, completion);
-  const end = await generation.generateTokens({
+  const result = await generation.generateTokens({
     service: models.getServiceName(completion.model),
     model: completion.model,
     prompt: completion.prompt,
@@ -97,19 +97,19 @@
     table: context.table,
     timeoutMs: call.deadlineMs - context.clock.getMonotonicMs(),
     connectTimeoutMs: context.settings.limits.connectTimeoutMs,
-    cancellation: forwards.watchCaller(call.response),
-    onToken: (token) => writer.add(token),
+    cancellation: forward.cancelOnDisconnect(call.response),
+    onToken: (token) => writer.writeToken(token),
   });
-  writer.end(end);
+  writer.finish(result);
 }
 
-/** Writes one completion as it is generated. */
+/** Writes a completion, token by token if it is streamed. */
 class CompletionWriter {
   readonly #response: http.ServerResponse;
   readonly #format: CompletionFormat;
   readonly #completion: Completion;
   readonly #id = crypto.randomUUID();
-  #tokens: engines.GeneratedToken[] = [];
+  #bufferedTokens: engines.GeneratedToken[] = [];
 
   constructor(
     response: http.ServerResponse,
@@ -121,29 +121,29 @@
     this.#completion = completion;
   }
 
-  add(token: engines.GeneratedToken): void {
+  writeToken(token: engines.GeneratedToken): void {
     if (!this.#completion.isStream) {
-      this.#tokens.push(token);
+      this.#bufferedTokens.push(token);
       return;
     }
-    this.#begin();
+    this.#writeHead();
     this.#writeEvent(this.#createBody([token], null));
   }
 
-  end(end: results.Result<generation.GenerationEnd>): void {
-    if (end.kind === "failure") {
-      return httpServer.answerFailure(this.#response, end.failure);
+  finish(result: results.Result<generation.GenerationResult>): void {
+    if (result.kind === "failure") {
+      return httpServer.answerFailure(this.#response, result.failure);
     }
     if (!this.#completion.isStream) {
-      const body = this.#createBody(this.#tokens, end.value.reason);
+      const body = this.#createBody(this.#bufferedTokens, result.value.reason);
       return httpServer.answerJson(this.#response, 200, body);
     }
-    this.#begin();
-    this.#writeEvent(this.#createBody([], end.value.reason));
+    this.#writeHead();
+    this.#writeEvent(this.#createBody([], result.value.reason));
     this.#response.end("data: [DONE]\n\n");
   }
 
-  #begin(): void {
+  #writeHead(): void {
     if (this.#response.headersSent) return;
     this.#response.writeHead(200, {
       "content-type": "text/event-stream",
--- a/src/control/leader_duties.ts
+++ b/src/control/leader_duties.ts
@@ -101,12 +101,12 @@
       });
       return;
     }
-    this.#noteUnread(read.value.unread);
+    this.#noteUnread(read.value.invalidEntries);
     this.#options.service.getSession()?.setServers(read.value.servers);
   }
 
   /** Logs each fault once for as long as the list bears it. */
-  #noteUnread(unread: readonly boxList.UnreadEntry[]): void {
+  #noteUnread(unread: readonly boxList.InvalidEntry[]): void {
     const { log, metrics: sink } = this.#options;
     const faults = new Set<string>();
     for (const { id, field } of unread.slice(0, MAX_UNREAD)) {
--- a/src/engine/engine_client.ts
+++ b/src/engine/engine_client.ts
@@ -1,52 +1,56 @@
 import * as z from "zod";
-import * as backends from "../backend_server/mod.ts";
+import * as backendServers from "../backend_server/mod.ts";
 import * as httpClient from "../http_client/mod.ts";
 import * as results from "../results/mod.ts";
 
 const statusSchema = z.object({
-  /** When it started, in Unix ms; absent where each start has its own id. */
+  /** Process start, in Unix ms; absent if each start has its own server id. */
   born: z.number().int().min(0).optional(),
-  /** Weight version loaded, by model. */
+  /** Loaded weight version, by model. */
   models: z.record(z.string(), z.number().int()).default({}),
+  /** Running requests. */
   active: z.number().int(),
+  /** Requests waiting for a slot. */
   queued: z.number().int(),
+  /** Capacity, in concurrent requests. */
   slots: z.number().int().positive(),
+  /** Whether the engine is replacing its weights. */
   isSwapping: z.boolean().default(false),
-  role: z.enum(backends.SERVER_ROLES).default("mixed"),
+  role: z.enum(backendServers.SERVER_ROLES).default("mixed"),
 }).readonly();
 
-/** What a backend server reports of itself. */
+/** Status report of a backend server. */
 export type ServerReport = z.infer<typeof statusSchema>;
 
-/** What an engine is ordered to do. */
+/** Action of an order: load weights or change the role. */
 export type OrderAction =
   | {
     readonly kind: "load" | "loadAdapter";
     readonly model: string;
     readonly weightVersion: number;
   }
-  | { readonly kind: "setRole"; readonly role: backends.ServerRole };
+  | { readonly kind: "setRole"; readonly role: backendServers.ServerRole };
 
 /** An order to an engine. */
 export interface EngineOrder {
   readonly action: OrderAction;
-  /** Fencing number; rises with each leader. */
+  /** Fencing number; increases with each leader. */
   readonly fence: number;
-  /** Time after which the engine must not begin, in ms from now. */
+  /** Time within which the engine may start the action, in ms from now. */
   readonly deadlineMs: number;
 }
 
 const STATUS_TIMEOUT_MS = 800;
-const CONFLICT = 409;
+const CONFLICT_STATUS = 409;
 
 /**
- * Reads a backend server's report: `GET /v1/status`.
+ * Reads a backend server's status report: `GET /v1/status`.
  *
  * @param server The server.
- * @returns Its report, or `connectFailed`.
+ * @returns The report, or `connectFailed`.
  */
 export async function readReport(
-  server: backends.BackendServer,
+  server: backendServers.BackendServer,
 ): Promise<results.Result<ServerReport>> {
   const answer = await httpClient.sendJson({
     baseUrl: formatUrl(server),
@@ -68,11 +72,11 @@
  *
  * @param server The engine.
  * @param order The order.
- * @returns Ok once it is done; `notLeader` if the engine has seen a
- * newer fencing number; `backendFailed` if the load failed.
+ * @returns Ok once the action is complete; `notLeader` if the engine has seen
+ * a newer fencing number; `backendFailed` on any other status.
  */
 export async function sendOrder(
-  server: backends.BackendServer,
+  server: backendServers.BackendServer,
   order: EngineOrder,
 ): Promise<results.Result<undefined>> {
   const answer = await httpClient.sendJson({
@@ -88,7 +92,7 @@
   });
   if (answer.kind === "failure") return answer;
   if (answer.value.status === 200) return results.createOk(undefined);
-  if (answer.value.status === CONFLICT) {
+  if (answer.value.status === CONFLICT_STATUS) {
     return results.createFailure(
       "notLeader",
       `Cannot order ${server.id}: it has seen a newer fencing number`,
@@ -100,7 +104,7 @@
   );
 }
 
-function formatUrl(server: backends.BackendServer): string {
+function formatUrl(server: backendServers.BackendServer): string {
   return `http://${server.address}:${server.port}`;
 }
 
--- a/src/engine/event_reader.ts
+++ b/src/engine/event_reader.ts
@@ -1,7 +1,7 @@
 import * as eventSource from "eventsource-parser";
 import * as z from "zod";
 
-const END_MARK = "[DONE]";
+const END_MARKER = "[DONE]";
 
 const chunkSchema = z.object({
   weight_version: z.number().int().optional(),
@@ -16,50 +16,50 @@
 export interface CompletionEvent {
   readonly text: string;
   readonly tokenIds: readonly number[];
-  /** Undefined where the writer does not tell. */
+  /** Undefined if the engine does not report it. */
   readonly weightVersion: number | undefined;
   readonly finishReason: string | null;
 }
 
-/** Reads a completion's server-sent events, in the OpenAI style. */
+/** Parser of a completion's server-sent events in the OpenAI format. */
 export class EventReader {
   readonly #parser: eventSource.EventSourceParser;
   readonly #decoder = new TextDecoder();
   readonly #onEvent: (event: CompletionEvent) => void;
   #isEnded = false;
-  #fault: string | undefined;
+  #error: string | undefined;
 
-  /** @param onEvent Receives each event before the end mark. */
+  /** @param onEvent Receives each event before the `[DONE]` marker. */
   constructor(onEvent: (event: CompletionEvent) => void) {
     this.#onEvent = onEvent;
     this.#parser = eventSource.createParser({
-      onEvent: (event) => this.#readEvent(event.data),
+      onEvent: (event) => this.#handleEvent(event.data),
     });
   }
 
-  /** Reads a part of the stream. */
+  /** Parses the next chunk of the stream. */
   read(chunk: Buffer): void {
     this.#parser.feed(this.#decoder.decode(chunk, { stream: true }));
   }
 
-  /** Whether the end mark came and all before it could be read. */
+  /** Whether `[DONE]` was received and every event before it was valid. */
   isEnded(): boolean {
-    return this.#isEnded && this.#fault === undefined;
+    return this.#isEnded && this.#error === undefined;
   }
 
-  /** What could not be read, if anything. */
-  getFault(): string | undefined {
-    return this.#fault;
+  /** Returns the parse error, if any. */
+  getError(): string | undefined {
+    return this.#error;
   }
 
-  #readEvent(data: string): void {
-    if (this.#isEnded || this.#fault !== undefined) return;
-    if (data === END_MARK) {
+  #handleEvent(data: string): void {
+    if (this.#isEnded || this.#error !== undefined) return;
+    if (data === END_MARKER) {
       this.#isEnded = true;
       return;
     }
     const event = parseEvent(data);
-    if (event === undefined) this.#fault = "an event can't be read";
+    if (event === undefined) this.#error = "malformed completion event";
     else this.#onEvent(event);
   }
 }
--- a/src/engine/mod.ts
+++ b/src/engine/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Adapter to the model engines: reports, orders, token streams.
+ * Client of the model engines: status reports, orders, cache events and token
+ * streams.
  *
  * @example
  * ```ts
--- a/src/engine/stream_completion.ts
+++ b/src/engine/stream_completion.ts
@@ -1,36 +1,38 @@
-import type * as backends from "../backend_server/mod.ts";
+import type * as backendServers from "../backend_server/mod.ts";
 import type * as csp from "../csp/mod.ts";
 import * as httpClient from "../http_client/mod.ts";
 import * as eventReaders from "./event_reader.ts";
 
-/** What an engine is asked to generate. */
+/** Request for a completion by one engine. */
 export interface CompletionRequest {
   readonly requestId: string;
   readonly model: string;
   readonly prompt: string;
   readonly maxTokens: number;
-  /** 0 yields to all, 9 yields to none. */
+  /** Scheduling priority, from 0 (lowest) to 9 (highest). */
   readonly priority: number;
-  /** Tokens that were generated before, to go on from. */
+  /** Ids of the tokens generated so far, from which the engine resumes. */
   readonly resumeTokens: readonly number[];
 }
 
-/** A token with the weight version that produced it. */
+/** A generated token and the weight version that produced it. */
 export interface GeneratedToken {
   readonly tokenId: number;
   readonly text: string;
   readonly weightVersion: number;
 }
 
-/** How one engine's stream ended. */
-export type StreamEnd =
+/** Outcome of one engine's stream. */
+export type StreamOutcome =
   | { readonly kind: "finished"; readonly reason: string }
   /** Nothing was sent to the engine. */
   | { readonly kind: "notSent"; readonly message: string }
+  /** The engine answered with a status other than 200. */
   | { readonly kind: "refused"; readonly status: number }
+  /** The connection failed, or the stream was incomplete or invalid. */
   | { readonly kind: "broken"; readonly message: string };
 
-/** How a stream is run. */
+/** Limits of a stream and the receiver of its tokens. */
 export interface StreamOptions {
   readonly timeoutMs: number;
   readonly connectTimeoutMs: number;
@@ -38,20 +40,23 @@
   readonly onToken: (token: GeneratedToken) => void;
 }
 
-/** Follows one completion on one engine. */
+/** Handles the HTTP exchange of one completion on one engine. */
 class CompletionStream implements httpClient.ExchangeListener {
   readonly #options: StreamOptions;
-  readonly #resolve: (end: StreamEnd) => void;
+  readonly #resolve: (outcome: StreamOutcome) => void;
   readonly #reader: eventReaders.EventReader;
   #status = 0;
-  #reason: string | undefined;
+  #finishReason: string | undefined;
   #hasUnknownVersion = false;
 
-  constructor(options: StreamOptions, resolve: (end: StreamEnd) => void) {
+  constructor(
+    options: StreamOptions,
+    resolve: (outcome: StreamOutcome) => void,
+  ) {
     this.#options = options;
     this.#resolve = resolve;
     this.#reader = new eventReaders.EventReader((event) =>
-      this.#takeEvent(event)
+      this.#handleEvent(event)
     );
   }
 
@@ -68,12 +73,12 @@
       return this.#resolve({ kind: "refused", status: this.#status });
     }
     if (
-      this.#reader.isEnded() && this.#reason !== undefined &&
+      this.#reader.isEnded() && this.#finishReason !== undefined &&
       !this.#hasUnknownVersion
     ) {
-      return this.#resolve({ kind: "finished", reason: this.#reason });
+      return this.#resolve({ kind: "finished", reason: this.#finishReason });
     }
-    const message = this.#reader.getFault() ?? "the stream ended early";
+    const message = this.#reader.getError() ?? "the stream ended early";
     this.#resolve({ kind: "broken", message });
   }
 
@@ -82,10 +87,13 @@
     this.#resolve({ kind, message });
   }
 
-  /** A token whose weight version is not told can't name its origin. */
-  #takeEvent(event: eventReaders.CompletionEvent): void {
+  /**
+   * Passes an event's tokens on. From the first event without a weight version
+   * on, tokens are dropped and the stream counts as broken.
+   */
+  #handleEvent(event: eventReaders.CompletionEvent): void {
     const { tokenIds, text, weightVersion, finishReason } = event;
-    if (finishReason !== null) this.#reason = finishReason;
+    if (finishReason !== null) this.#finishReason = finishReason;
     if (weightVersion === undefined || this.#hasUnknownVersion) {
       this.#hasUnknownVersion = true;
       return;
@@ -101,15 +109,15 @@
  * server-sent events.
  *
  * @param server The engine.
- * @param request What to generate.
- * @param options Bounds, and where tokens go.
- * @returns How the stream ended; tokens were given before.
+ * @param request The prompt and its parameters.
+ * @param options Limits, and the receiver of the tokens.
+ * @returns The outcome, after the last call of `onToken`.
  */
 export function streamCompletion(
-  server: backends.BackendServer,
+  server: backendServers.BackendServer,
   request: CompletionRequest,
   options: StreamOptions,
-): Promise<StreamEnd> {
+): Promise<StreamOutcome> {
   const body = JSON.stringify({
     model: request.model,
     prompt: request.prompt,
--- a/src/generation/mod.ts
+++ b/src/generation/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Generation of tokens across engines, resumed where one fails.
+ * Token generation that resumes on another engine when one fails.
  *
  * @example
  * ```ts
--- a/src/operator/check_access.ts
+++ b/src/operator/check_access.ts
@@ -5,16 +5,16 @@
 import * as results from "../results/mod.ts";
 import type * as operatorRoutes from "./operator_routes.ts";
 
-/** Who asks. */
+/** An authenticated operator: root, or one of a client account. */
 export type Operator =
   | { readonly kind: "root" }
   | { readonly kind: "account"; readonly account: string };
 
 /**
- * Finds out who asks.
+ * Authenticates the sender of a request by its bearer token.
  *
  * @param request The request.
- * @param rootTokenSha256 Hash of the root token.
+ * @param rootTokenSha256 SHA-256 hash of the root token.
  * @param view The box's configuration.
  * @returns The operator, or `badToken`.
  */
@@ -43,11 +43,12 @@
 }
 
 /**
- * Tells whether an operator may use a route. An operator of a client account
- * reaches only that account; whether another exists is not told.
+ * Checks whether an operator may use a route. An operator of a client account
+ * is limited to that account; the refusal does not reveal whether another
+ * account exists.
  *
- * @param operator Who asks.
- * @param route What is asked.
+ * @param operator The operator.
+ * @param route The requested route.
  * @returns Ok, or `forbidden`.
  */
 export function checkAccess(
--- a/src/operator/mod.ts
+++ b/src/operator/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Adapter to operators: the administration API.
+ * The administration API for operators.
  *
  * @example
  * ```ts
--- a/src/operator/operator_test.ts
+++ b/src/operator/operator_test.ts
@@ -4,13 +4,13 @@
 
 const box = new oneBoxes.OneBox(9);
 
-describe("operators at one box", function () {
+describe("administration API of one box", function () {
   this.timeout(oneBoxes.TEST_TIMEOUT_MS);
 
   before(() => box.start());
   after(() => box.stop());
 
-  it("refuses a change against another revision and one of another account", async () => {
+  it("rejects a change with a wrong base revision and one to another account", async () => {
     const change = {
       baseRevision: 99,
       requestId: "late",
@@ -38,7 +38,7 @@
     });
   });
 
-  it("numbers every bad request of an operator and changes nothing", async () => {
+  it("rejects every invalid request with a named error and changes nothing", async () => {
     const valid = {
       baseRevision: 0,
       requestId: "x",
@@ -117,7 +117,7 @@
     chai.expect(records.length).to.equal(1);
   });
 
-  it("refuses a body that is not JSON", async () => {
+  it("rejects a body that is not JSON", async () => {
     const outcome = await httpClient.sendRequest({
       address: box.address,
       port: 8081,
@@ -133,7 +133,7 @@
     chai.expect(text).to.contain("malformedBody");
   });
 
-  it("changes the log level of a running box, and only to one that exists", async () => {
+  it("sets the log level of a running box and rejects unknown levels", async () => {
     const change = { port: 8081, token: oneBoxes.ROOT };
     const set = await box.send("PUT", "/v1/log-level", {
       ...change,
--- a/src/routing/choose_server.ts
+++ b/src/routing/choose_server.ts
@@ -37,7 +37,7 @@
   const { server, models } = candidate;
   if (server.service !== need.service || server.state !== "live") return false;
   if (need.excluded.has(server.id)) return false;
-  if (!backends.canUse(candidate.role, need.use)) return false;
+  if (!backends.canServeUse(candidate.role, need.use)) return false;
   if (need.model === undefined) return true;
   const weightVersion = models.get(need.model);
   return weightVersion !== undefined && weightVersion >= need.minVersion;
--- a/src/scorer/mod.ts
+++ b/src/scorer/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Adapter to the services that score samples.
+ * Client of the services that score samples.
  *
  * @example
  * ```ts
--- a/src/scorer/scorer_client.ts
+++ b/src/scorer/scorer_client.ts
@@ -7,62 +7,65 @@
 const scoreSchema = z.object({ score: z.number() });
 
 const RETRY_DELAY_MS = 100;
-const MAX_TRIES = 5;
+const MAX_ATTEMPTS = 5;
 
-/** What a scorer needs. */
+/** Options of a {@link ScorerClient}. */
 export interface ScorerOptions {
+  /** Base URL of the scoring service. */
   readonly url: string;
+  /** Timeout of each attempt, in ms. */
   readonly timeoutMs: number;
+  /** Maximum number of concurrent requests; others are queued. */
   readonly maxInFlight: number;
   readonly clock: clocks.Clock;
 }
 
-/** Asks the scoring service for scores: `POST /v1/score`. */
+/** Client of the scoring service: `POST /v1/score`. */
 export class ScorerClient {
   readonly #options: ScorerOptions;
   #inFlight = 0;
-  #waiting: readonly (() => void)[] = [];
+  #waiters: readonly (() => void)[] = [];
 
   constructor(options: ScorerOptions) {
     this.#options = options;
   }
 
   /**
-   * Scores one sample; it is tried again on failure, since scoring is
-   * repeatable.
+   * Scores one sample. Failed attempts are retried with increasing delays,
+   * since scoring is idempotent.
    *
    * @param prompt The prompt.
    * @param tokens The sample's tokens.
-   * @returns The score, or the last failure.
+   * @returns The score, or the failure of the last attempt.
    */
   async score(
     prompt: string,
     tokens: readonly number[],
   ): Promise<results.Result<number>> {
-    await this.#enter();
+    await this.#acquireSlot();
     try {
-      return await this.#tryScore(prompt, tokens);
+      return await this.#scoreWithRetries(prompt, tokens);
     } finally {
-      this.#leave();
+      this.#releaseSlot();
     }
   }
 
-  async #tryScore(
+  async #scoreWithRetries(
     prompt: string,
     tokens: readonly number[],
   ): Promise<results.Result<number>> {
-    let last: results.Result<number> = results.createFailure(
+    let lastResult: results.Result<number> = results.createFailure(
       "backendFailed",
       "Cannot score: no try was made",
     );
-    for (let attempt = 0; attempt < MAX_TRIES; attempt += 1) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
       if (attempt > 0) {
         await clocks.sleep(this.#options.clock, RETRY_DELAY_MS * attempt);
       }
-      last = await this.#sendOnce(prompt, tokens);
-      if (last.kind === "ok") return last;
+      lastResult = await this.#sendOnce(prompt, tokens);
+      if (lastResult.kind === "ok") return lastResult;
     }
-    return last;
+    return lastResult;
   }
 
   async #sendOnce(
@@ -87,23 +90,25 @@
     );
   }
 
-  #enter(): Promise<void> {
+  /** Resolves once fewer than `maxInFlight` requests are running. */
+  #acquireSlot(): Promise<void> {
     if (this.#inFlight < this.#options.maxInFlight) {
       this.#inFlight += 1;
       return Promise.resolve();
     }
     return new Promise((resolve) => {
-      this.#waiting = [...this.#waiting, resolve];
+      this.#waiters = [...this.#waiters, resolve];
     });
   }
 
-  #leave(): void {
-    const [next, ...rest] = this.#waiting;
+  /** Passes the slot to the first waiter, if there is one. */
+  #releaseSlot(): void {
+    const [next, ...rest] = this.#waiters;
     if (next === undefined) {
       this.#inFlight -= 1;
       return;
     }
-    this.#waiting = rest;
+    this.#waiters = rest;
     next();
   }
 }
--- a/src/trainer/mod.ts
+++ b/src/trainer/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Adapter to trainers: steps, slots, samples.
+ * The trainer API: opens steps, delivers samples and acknowledges them.
  *
  * @example
  * ```ts
--- a/src/trainer/peer_calls.ts
+++ b/src/trainer/peer_clients.ts
@@ -1,11 +1,11 @@
 import type * as control from "../control/mod.ts";
 import * as rpc from "../rpc/mod.ts";
 
-/** Longest wait for another box: a fetch's own wait and more, in ms. */
+/** Timeout of a call, in ms; longer than the longest wait of a fetch. */
 const CALL_TIMEOUT_MS = 30_000;
 
-/** Calls other boxes, over connections that are kept. */
-export class PeerCalls {
+/** RPC clients of other boxes, one per address. */
+export class PeerClients {
   readonly #clients = new Map<string, rpc.RpcClient>();
 
   /**
@@ -13,8 +13,8 @@
    *
    * @param box The box.
    * @param method The method.
-   * @param params Its parameters.
-   * @returns The answer, or undefined if none came.
+   * @param params The method's parameters.
+   * @returns The answer, or undefined if the call failed or timed out.
    */
   async call<T>(
     box: control.BoxView,
@@ -22,7 +22,11 @@
     params: object,
   ): Promise<T | undefined> {
     try {
-      return await this.#get(box).call<T>(method, params, CALL_TIMEOUT_MS);
+      return await this.#getClient(box).call<T>(
+        method,
+        params,
+        CALL_TIMEOUT_MS,
+      );
     } catch {
       return undefined;
     }
@@ -32,10 +36,10 @@
     for (const client of this.#clients.values()) client.close();
   }
 
-  #get(box: control.BoxView): rpc.RpcClient {
+  #getClient(box: control.BoxView): rpc.RpcClient {
     const key = `${box.address}:${box.peerPort}`;
-    const known = this.#clients.get(key);
-    if (known !== undefined) return known;
+    const existing = this.#clients.get(key);
+    if (existing !== undefined) return existing;
     const client = new rpc.RpcClient({
       address: box.address,
       port: box.peerPort,
--- a/src/trainer/step_feed.ts
+++ b/src/trainer/step_feed.ts
@@ -15,9 +15,9 @@
 
 const PROPOSE_TIMEOUT_MS = 5_000;
 const GENERATION_TIMEOUT_MS = 600_000;
-const RETRY_MS = 100;
+const RETRY_DELAY_MS = 100;
 
-/** What feeds work with. */
+/** Dependencies of a {@link StepFeed}. */
 export interface FeedContext {
   readonly clock: clocks.Clock;
   readonly client: control.ControlClient;
@@ -28,16 +28,17 @@
   readonly connectTimeoutMs: number;
 }
 
-/** A sample that is made but not bound. */
+/** A generated and scored sample that is not bound to its slot yet. */
 interface ReadySample {
   readonly sample: Omit<steps.Sample, "ageMs">;
-  /** Monotonic time of its first token, in ms. */
-  readonly startedMs: number;
+  /** Monotonic time of the first token, in ms. */
+  readonly firstTokenAtMs: number;
 }
 
 /**
- * Makes the samples of one step on this box. Samples wait here unbound until
- * the trainer fetches; only then is their age checked and the slot bound.
+ * Generates and scores the samples of one step on the box that owns it.
+ * Samples are held unbound until the trainer fetches them; then the replicated
+ * state checks their age and binds them to their slots.
  */
 export class StepFeed {
   readonly #context: FeedContext;
@@ -61,12 +62,12 @@
     this.#acknowledged = new Set(view.acknowledged);
   }
 
-  /** Starts to make what the step lacks. */
+  /** Starts generating the samples of all unfilled slots. */
   start(): void {
     this.#scheduleSlots();
   }
 
-  /** Gives up what is under way; what was bound stays bound. */
+  /** Cancels running generations; bound samples stay bound. */
   stop(): void {
     this.#stopped.cancel();
     this.#changed.notify();
@@ -81,11 +82,12 @@
   }
 
   /**
-   * Binds what is ready and gives all that is bound and not acknowledged.
+   * Binds the ready samples and returns every bound sample that is not
+   * acknowledged.
    *
    * @param trainerVersion The trainer's weight version.
    * @param waitMs How long to wait for a first sample, in ms.
-   * @returns The samples; none after the wait.
+   * @returns The samples, empty after the wait; or why binding failed.
    */
   async fetch(
     trainerVersion: number,
@@ -97,17 +99,17 @@
     for (;;) {
       const bound = await this.#bindReady();
       if (bound.kind === "failure") return bound;
-      const leftMs = endMs - clock.getMonotonicMs();
-      const isDone = this.#bound.size > 0 || this.isComplete() ||
+      const remainingMs = endMs - clock.getMonotonicMs();
+      const hasResult = this.#bound.size > 0 || this.isComplete() ||
         this.isStopped();
-      if (isDone || leftMs <= 0) {
+      if (hasResult || remainingMs <= 0) {
         return results.createOk([...this.#bound.values()]);
       }
-      if (this.#ready.size === 0) await this.#changed.wait(clock, leftMs);
+      if (this.#ready.size === 0) await this.#changed.wait(clock, remainingMs);
     }
   }
 
-  /** Notes what the trainer holds. */
+  /** Commits that the trainer received the samples of these slots. */
   async acknowledge(
     slots: readonly number[],
   ): Promise<results.Result<undefined>> {
@@ -127,7 +129,6 @@
     return results.createOk(undefined);
   }
 
-  /** Counts the slots of the step. */
   countSlots(): number {
     return steps.countSlots({ request: this.#view.request });
   }
@@ -150,7 +151,7 @@
 
   #startSlot(slot: number): void {
     this.#running.add(slot);
-    this.#makeSample(slot).then((sample) => {
+    this.#generateSample(slot).then((sample) => {
       if (sample !== undefined) this.#ready.set(slot, sample);
     }).catch((error: unknown) => {
       this.#context.log.write("error", "sample.failed", {
@@ -160,12 +161,12 @@
     }).finally(() => {
       this.#running.delete(slot);
       this.#changed.notify();
-      const delayMs = this.#ready.has(slot) ? 0 : RETRY_MS;
+      const delayMs = this.#ready.has(slot) ? 0 : RETRY_DELAY_MS;
       this.#context.clock.startTimer(delayMs, () => this.#scheduleSlots());
     });
   }
 
-  async #makeSample(slot: number): Promise<ReadySample | undefined> {
+  async #generateSample(slot: number): Promise<ReadySample | undefined> {
     const { clock, client, table, scorer, connectTimeoutMs } = this.#context;
     const view = client.getView();
     const template = view.templates.get(this.#template);
@@ -175,8 +176,8 @@
     const prompt = this.#getPrompt(slot);
     const tokens: number[] = [];
     let spans: readonly steps.VersionSpan[] = [];
-    let startedMs = clock.getMonotonicMs();
-    const end = await generation.generateTokens({
+    let firstTokenAtMs = clock.getMonotonicMs();
+    const generated = await generation.generateTokens({
       service: models.getServiceName(parameters.model),
       model: parameters.model,
       prompt,
@@ -191,18 +192,18 @@
       connectTimeoutMs,
       cancellation: this.#stopped,
       onToken: (token) => {
-        if (tokens.length === 0) startedMs = clock.getMonotonicMs();
+        if (tokens.length === 0) firstTokenAtMs = clock.getMonotonicMs();
         tokens.push(token.tokenId);
         spans = steps.addToken(spans, token.weightVersion);
       },
     });
-    if (end.kind === "failure" || tokens.length === 0) return undefined;
+    if (generated.kind === "failure" || tokens.length === 0) return undefined;
     const score = await scorer.score(prompt, tokens);
     if (score.kind === "failure") return undefined;
     const sampleId = crypto.randomUUID();
     return {
       sample: { sampleId, slot, tokens, spans, score: score.value },
-      startedMs,
+      firstTokenAtMs,
     };
   }
 
@@ -211,13 +212,16 @@
     account: Parameters<typeof templates.getStalenessBound>[1],
   ): number {
     const bound = templates.getStalenessBound(template, account);
-    const known = this.#context.client.getView().models.get(
+    const model = this.#context.client.getView().models.get(
       template.parameters.model,
     );
-    const current = Math.max(known?.weightVersion ?? 0, this.#trainerVersion);
+    const newestVersion = Math.max(
+      model?.weightVersion ?? 0,
+      this.#trainerVersion,
+    );
     return Math.max(
       template.parameters.minWeightVersion,
-      current - bound.versions,
+      newestVersion - bound.versions,
     );
   }
 
@@ -226,23 +230,23 @@
     return `${prompts[Math.floor(slot / groupSize)]}#${slot % groupSize}`;
   }
 
-  /** Fetches that come at once share one binding. */
+  /** Binds the ready samples; concurrent fetches share one proposal. */
   #bindReady(): Promise<results.Result<undefined>> {
-    this.#binding ??= this.#offerReady().finally(() => {
+    this.#binding ??= this.#proposeReady().finally(() => {
       this.#binding = undefined;
     });
     return this.#binding;
   }
 
-  async #offerReady(): Promise<results.Result<undefined>> {
-    const offered = [...this.#ready.values()];
-    if (offered.length === 0 || this.isStopped()) {
+  async #proposeReady(): Promise<results.Result<undefined>> {
+    const ready = [...this.#ready.values()];
+    if (ready.length === 0 || this.isStopped()) {
       return results.createOk(undefined);
     }
     const nowMs = this.#context.clock.getMonotonicMs();
-    const samples = offered.map(({ sample, startedMs }) => ({
+    const samples = ready.map(({ sample, firstTokenAtMs }) => ({
       ...sample,
-      ageMs: Math.ceil(nowMs - startedMs),
+      ageMs: Math.ceil(nowMs - firstTokenAtMs),
     }));
     const answer = await this.#context.client.propose({
       kind: "bindSamples",
@@ -258,12 +262,14 @@
         `Cannot bind samples: ${answer.value.kind}`,
       );
     }
-    for (const item of answer.value.answers) this.#takeAnswer(item, samples);
+    for (const bindAnswer of answer.value.answers) {
+      this.#handleAnswer(bindAnswer, samples);
+    }
     this.#scheduleSlots();
     return results.createOk(undefined);
   }
 
-  #takeAnswer(
+  #handleAnswer(
     answer: steps.BindAnswer,
     samples: readonly steps.Sample[],
   ): void {
--- a/src/trainer/step_feed_test.ts
+++ b/src/trainer/step_feed_test.ts
@@ -9,7 +9,7 @@
 const ORIGIN = { operator: "root", requestId: "r", atMs: 0 };
 const STEP_ID = "cascade/notes/1";
 
-/** A state with an open step, reached through proposals as by a box. */
+/** Replicated state of one template; proposals are applied at once. */
 class FakeControl {
   state = replicated.EMPTY_STATE;
   readonly clock = new clocks.FakeClock(1_000);
@@ -58,7 +58,7 @@
     return answer.step;
   }
 
-  /** A feed without engines: it shows only what is bound already. */
+  /** Creates a feed without engines, which returns only bound samples. */
   createFeed(view: replicated.StepView): stepFeeds.StepFeed {
     const client = {
       getView: () => ({ templates: new Map() }),
@@ -101,28 +101,34 @@
 }
 
 describe("step feed", () => {
-  it("shows the same samples again until they are acknowledged, at the next owner too", async () => {
-    const fake = new FakeControl();
-    fake.openStep("box-1");
-    fake.bind(1, [createSample(0), createSample(1)]);
-    const second = fake.createFeed(fake.openStep("box-2"));
-    chai.expect(await fetchIds(second)).to.deep.equal(["s0", "s1"]);
-    chai.expect(await fetchIds(second)).to.deep.equal(["s0", "s1"]);
-    await second.acknowledge([0]);
-    await second.acknowledge([0]);
-    chai.expect(await fetchIds(second)).to.deep.equal(["s1"]);
-    const third = fake.createFeed(fake.openStep("box-3"));
-    chai.expect(await fetchIds(third)).to.deep.equal(["s1"]);
-    await third.acknowledge([1]);
-    chai.expect(third.isComplete()).to.equal(true);
+  it("returns bound samples until they are acknowledged, also after a change of owner", async () => {
+    const fakeControl = new FakeControl();
+    fakeControl.openStep("box-1");
+    fakeControl.bind(1, [createSample(0), createSample(1)]);
+    const secondFeed = fakeControl.createFeed(fakeControl.openStep("box-2"));
+    chai.expect(await fetchIds(secondFeed)).to.deep.equal(["s0", "s1"]);
+    chai.expect(await fetchIds(secondFeed)).to.deep.equal(["s0", "s1"]);
+    await secondFeed.acknowledge([0]);
+    await secondFeed.acknowledge([0]);
+    chai.expect(await fetchIds(secondFeed)).to.deep.equal(["s1"]);
+    const thirdFeed = fakeControl.createFeed(fakeControl.openStep("box-3"));
+    chai.expect(await fetchIds(thirdFeed)).to.deep.equal(["s1"]);
+    await thirdFeed.acknowledge([1]);
+    chai.expect(thirdFeed.isComplete()).to.equal(true);
   });
 
-  it("is complete at once for a step whose every slot was acknowledged before", () => {
-    const fake = new FakeControl();
-    fake.openStep("box-1");
-    fake.bind(1, [createSample(0), createSample(1)]);
-    fake.apply({ kind: "acknowledgeSamples", stepId: STEP_ID, slots: [0, 1] });
-    chai.expect(fake.createFeed(fake.openStep("box-2")).isComplete()).to.equal(
+  it("is complete when created for a step whose slots are all acknowledged", () => {
+    const fakeControl = new FakeControl();
+    fakeControl.openStep("box-1");
+    fakeControl.bind(1, [createSample(0), createSample(1)]);
+    fakeControl.apply({
+      kind: "acknowledgeSamples",
+      stepId: STEP_ID,
+      slots: [0, 1],
+    });
+    chai.expect(
+      fakeControl.createFeed(fakeControl.openStep("box-2")).isComplete(),
+    ).to.equal(
       true,
     );
   });
--- a/src/trainer/trainer_service.ts
+++ b/src/trainer/trainer_service.ts
@@ -7,7 +7,7 @@
 import type * as rpc from "../rpc/mod.ts";
 import * as steps from "../rollout_step/mod.ts";
 import * as templates from "../rollout_template/mod.ts";
-import * as peerCalls from "./peer_calls.ts";
+import * as peerClients from "./peer_clients.ts";
 import * as stepFeeds from "./step_feed.ts";
 
 const MAX_PROMPTS = 8_192;
@@ -27,7 +27,7 @@
 
 const fetchSchema = z.strictObject({
   ...stepFields,
-  /** Weight version that the trainer is at. */
+  /** The trainer's current weight version. */
   trainerVersion: z.number().int().min(0),
   waitMs: z.number().int().min(0).max(MAX_WAIT_MS).default(0),
 });
@@ -39,7 +39,7 @@
 
 type Body = Readonly<Record<string, unknown>>;
 
-/** A trainer's request as it goes between boxes. */
+/** A trainer's request as forwarded between boxes. */
 interface TrainerRequest {
   readonly account: string;
   readonly trainer: string;
@@ -47,21 +47,24 @@
   readonly body: Body;
 }
 
-/** Where a step is worked on. */
-type Place =
-  | { readonly kind: "here"; readonly feed: stepFeeds.StepFeed }
-  | { readonly kind: "other"; readonly box: string };
+/** The box that owns a step: this one, with the step's feed, or another. */
+type StepOwner =
+  | { readonly kind: "local"; readonly feed: stepFeeds.StepFeed }
+  | { readonly kind: "remote"; readonly box: string };
 
 /**
- * Answers trainers: a step is opened, fetched and acknowledged. A trainer may
- * ask any box; the box that owns the step answers through it.
+ * Serves the trainer API: opens steps, returns samples and acknowledges them.
+ * Any box accepts a request and forwards it to the box that owns the step.
  */
 export class TrainerService implements callers.TrainerHandler {
   readonly #context: stepFeeds.FeedContext;
   readonly #feeds = new Map<string, stepFeeds.StepFeed>();
-  readonly #peers = new peerCalls.PeerCalls();
+  readonly #peers = new peerClients.PeerClients();
 
-  /** @param server Takes the requests that other boxes pass on. */
+  /**
+   * @param context Dependencies of the feeds.
+   * @param server Receives the requests that other boxes forward.
+   */
   constructor(context: stepFeeds.FeedContext, server: rpc.RpcServer) {
     this.#context = context;
     server.add(
@@ -101,25 +104,28 @@
     request: TrainerRequest,
     canForward: boolean,
   ): Promise<results.Result<object>> {
-    const known = readStep(request);
-    if (known.kind === "failure") return known;
-    const place = await this.#findPlace(request, known.value, []);
-    if (place.kind === "failure") return place;
-    if (place.value.kind === "here") {
-      return await this.#serve(request, place.value.feed);
+    const stepId = parseStepId(request);
+    if (stepId.kind === "failure") return stepId;
+    const owner = await this.#resolveOwner(request, stepId.value, []);
+    if (owner.kind === "failure") return owner;
+    if (owner.value.kind === "local") {
+      return await this.#serve(request, owner.value.feed);
     }
-    if (!canForward) return refuseMoved();
-    return await this.#forward(request, known.value, place.value.box);
+    if (!canForward) return createMovedFailure();
+    return await this.#forward(request, stepId.value, owner.value.box);
   }
 
-  /** Passes a request on; an owner that does not answer loses the step. */
+  /**
+   * Forwards a request to the step's owner. If the owner does not answer, this
+   * box tries to take the step over.
+   */
   async #forward(
     request: TrainerRequest,
     stepId: string,
-    owner: string,
+    ownerBox: string,
   ): Promise<results.Result<object>> {
     const { boxes } = this.#context.client.getView().membership;
-    const box = boxes.find((candidate) => candidate.id === owner);
+    const box = boxes.find((candidate) => candidate.id === ownerBox);
     const answer = box === undefined
       ? undefined
       : await this.#peers.call<results.Result<object>>(
@@ -128,10 +134,10 @@
         request,
       );
     if (answer !== undefined) return answer;
-    const place = await this.#findPlace(request, stepId, [owner]);
-    if (place.kind === "failure") return place;
-    if (place.value.kind === "other") return refuseMoved();
-    return await this.#serve(request, place.value.feed);
+    const newOwner = await this.#resolveOwner(request, stepId, [ownerBox]);
+    if (newOwner.kind === "failure") return newOwner;
+    if (newOwner.value.kind === "remote") return createMovedFailure();
+    return await this.#serve(request, newOwner.value.feed);
   }
 
   async #serve(
@@ -154,21 +160,25 @@
   ): Promise<results.Result<object>> {
     const parsed = httpServer.parseFields(acknowledgeSchema, body);
     if (parsed.kind === "failure") return parsed;
-    const done = await feed.acknowledge(parsed.value.slots);
-    if (done.kind === "failure") return done;
+    const acknowledged = await feed.acknowledge(parsed.value.slots);
+    if (acknowledged.kind === "failure") return acknowledged;
     return results.createOk({ isComplete: feed.isComplete() });
   }
 
-  async #findPlace(
+  /**
+   * Finds the step's owner. If the step has none among the live boxes, this
+   * box becomes the owner and starts a feed.
+   */
+  async #resolveOwner(
     request: TrainerRequest,
     stepId: string,
-    deadBoxes: readonly string[],
-  ): Promise<results.Result<Place>> {
-    const known = this.#feeds.get(stepId);
-    if (known !== undefined && !known.isStopped()) {
-      return results.createOk({ kind: "here", feed: known });
+    unreachableBoxes: readonly string[],
+  ): Promise<results.Result<StepOwner>> {
+    const existing = this.#feeds.get(stepId);
+    if (existing !== undefined && !existing.isStopped()) {
+      return results.createOk({ kind: "local", feed: existing });
     }
-    const command = this.#createCommand(request, stepId, deadBoxes);
+    const command = this.#createCommand(request, stepId, unreachableBoxes);
     if (command.kind === "failure") return command;
     const answer = await this.#context.client.propose(
       command.value,
@@ -178,11 +188,11 @@
     switch (answer.value.kind) {
       case "step":
         return results.createOk({
-          kind: "here",
+          kind: "local",
           feed: this.#startFeed(answer.value.step),
         });
       case "ownedBy":
-        return results.createOk({ kind: "other", box: answer.value.box });
+        return results.createOk({ kind: "remote", box: answer.value.box });
       default:
         return results.createFailure(
           "unknownStep",
@@ -194,23 +204,25 @@
   #createCommand(
     request: TrainerRequest,
     stepId: string,
-    deadBoxes: readonly string[],
+    unreachableBoxes: readonly string[],
   ): results.Result<replicated.OpenStep | replicated.TakeStep> {
     const { client } = this.#context;
     const box = client.getBoxView().id;
     const liveBoxes = client.getView().membership.boxes
-      .filter((other) => !other.isDraining && !deadBoxes.includes(other.id))
+      .filter((other) =>
+        !other.isDraining && !unreachableBoxes.includes(other.id)
+      )
       .map((other) => other.id);
     if (request.action !== "open") {
       return results.createOk({ kind: "takeStep", stepId, box, liveBoxes });
     }
-    const opened = this.#createStepRequest(request);
-    if (opened.kind === "failure") return opened;
+    const stepRequest = this.#createStepRequest(request);
+    if (stepRequest.kind === "failure") return stepRequest;
     return results.createOk({
       kind: "openStep",
       box,
       liveBoxes,
-      request: opened.value,
+      request: stepRequest.value,
     });
   }
 
@@ -241,16 +253,16 @@
   }
 
   #startFeed(view: replicated.StepView): stepFeeds.StepFeed {
-    const known = this.#feeds.get(view.stepId);
-    if (known !== undefined && !known.isStopped()) return known;
-    this.#dropFinished();
+    const existing = this.#feeds.get(view.stepId);
+    if (existing !== undefined && !existing.isStopped()) return existing;
+    this.#removeFinishedFeeds();
     const feed = new stepFeeds.StepFeed(this.#context, view);
     this.#feeds.set(view.stepId, feed);
     feed.start();
     return feed;
   }
 
-  #dropFinished(): void {
+  #removeFinishedFeeds(): void {
     for (const [stepId, feed] of this.#feeds) {
       if (feed.isStopped() || feed.isComplete()) this.#feeds.delete(stepId);
     }
@@ -272,7 +284,7 @@
   });
 }
 
-function readStep(request: TrainerRequest): results.Result<string> {
+function parseStepId(request: TrainerRequest): results.Result<string> {
   const parsed = httpServer.parseFields(z.object(stepFields), request.body);
   if (parsed.kind === "failure") return parsed;
   return results.createOk(
@@ -280,7 +292,7 @@
   );
 }
 
-function refuseMoved(): results.Result<object> {
+function createMovedFailure(): results.Result<object> {
   return results.createFailure(
     "unknownStep",
     "Cannot serve the step: it moves to another box",
--- a/src/weight_store/mod.ts
+++ b/src/weight_store/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Adapter to the weight store.
+ * Client of the weight store.
  *
  * @example
  * ```ts
--- a/src/weight_store/weight_store_client.ts
+++ b/src/weight_store/weight_store_client.ts
@@ -2,7 +2,7 @@
 import * as httpClient from "../http_client/mod.ts";
 import * as results from "../results/mod.ts";
 
-const latestSchema = z.object({
+const latestVersionsSchema = z.object({
   models: z.array(
     z.object({
       model: z.string(),
@@ -11,33 +11,37 @@
   ).readonly(),
 });
 
-/** The newest version of a model in the store. */
+/** The newest weight version of a model in the store. */
 export interface StoredVersion {
   readonly model: string;
   readonly weightVersion: number;
 }
 
-const TIMEOUT_MS = 1_000;
+const CALL_TIMEOUT_MS = 1_000;
 
-/** Reads the weight store: `GET /v1/models`. */
+/** Client of the weight store: `GET /v1/models`. */
 export class WeightStoreClient {
   readonly #baseUrl: string;
 
-  /** @param baseUrl Address of the weight store. */
+  /** @param baseUrl Base URL of the weight store. */
   constructor(baseUrl: string) {
     this.#baseUrl = baseUrl;
   }
 
-  /** Reads the newest version of each model. */
+  /**
+   * Reads the newest weight version of each model.
+   *
+   * @returns The versions, or `connectFailed`.
+   */
   async readLatest(): Promise<results.Result<readonly StoredVersion[]>> {
     const answer = await httpClient.sendJson({
       baseUrl: this.#baseUrl,
       path: "/v1/models",
       method: "GET",
-      timeoutMs: TIMEOUT_MS,
+      timeoutMs: CALL_TIMEOUT_MS,
     });
     if (answer.kind === "failure") return answer;
-    const parsed = latestSchema.safeParse(answer.value.json);
+    const parsed = latestVersionsSchema.safeParse(answer.value.json);
     if (answer.value.status === 200 && parsed.success) {
       return results.createOk(parsed.data.models);
     }
