--- a/src/box_list/box_list_client.ts
+++ b/src/box_list/box_list_client.ts
@@ -14,7 +14,7 @@
 export interface InvalidEntry {
   /** The entry's id; empty if it is missing, invalid or too long. */
   readonly id: string;
-  /** Path of the first invalid field; empty if the entry is no object. */
+  /** Path of the first invalid field; empty if the entry is not an object. */
   readonly field: string;
 }
 
--- a/src/caller/caller_listener.ts
+++ b/src/caller/caller_listener.ts
@@ -156,7 +156,7 @@
   }
 
   /**
-   * Replaces an authentication failure by `noLease` if the box has no lease,
+   * Replaces an authentication failure with `noLease` if the box has no lease,
    * since its list of tokens may be outdated.
    */
   #selectAdmissionFailure(failure: results.Failure): results.Failure {
--- a/src/caller/serve_at_most_once.ts
+++ b/src/caller/serve_at_most_once.ts
@@ -78,11 +78,9 @@
     for (;;) {
       const answer = await this.#claim();
       if (answer.kind === "failure") return this.#refuseClaim(answer.failure);
-      const isClaimedByOther = answer.value.kind === "heldByOther";
+      const isHeldByOther = answer.value.kind === "heldByOther";
       const canWait = this.#context.clock.getMonotonicMs() < waitDeadlineMs;
-      if (!isClaimedByOther || !canWait) {
-        return this.#handleClaimAnswer(answer.value);
-      }
+      if (!isHeldByOther || !canWait) return this.#handleClaim(answer.value);
       await clocks.sleep(this.#context.clock, CLAIM_RETRY_DELAY_MS);
     }
   }
@@ -116,7 +114,7 @@
     );
   }
 
-  async #handleClaimAnswer(answer: replicated.CommandAnswer): Promise<void> {
+  async #handleClaim(answer: replicated.CommandAnswer): Promise<void> {
     switch (answer.kind) {
       case "claimed":
         return await this.#send();
--- a/src/trainer/step_feed.ts
+++ b/src/trainer/step_feed.ts
@@ -262,9 +262,7 @@
         `Cannot bind samples: ${answer.value.kind}`,
       );
     }
-    for (const bindAnswer of answer.value.answers) {
-      this.#handleAnswer(bindAnswer, samples);
-    }
+    for (const item of answer.value.answers) this.#handleAnswer(item, samples);
     this.#scheduleSlots();
     return results.createOk(undefined);
   }
