--- a/src/caller/serve_at_most_once.ts
+++ b/src/caller/serve_at_most_once.ts
@@ -163,7 +163,7 @@
       message: "no backend server is live",
     };
     for (;;) {
-      const server = this.#context.table.choosePlain(
+      const server = this.#context.table.chooseForService(
         this.#route.service.name,
         excluded,
       );
--- a/src/caller/serve_repeatable.ts
+++ b/src/caller/serve_repeatable.ts
@@ -31,7 +31,7 @@
   context.budget.recordFirstAttempt();
   for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
     if (attempt > 0 && !canRetry(context, call, lastOutcome)) break;
-    const server = context.table.choosePlain(route.service.name, excluded);
+    const server = context.table.chooseForService(route.service.name, excluded);
     if (server === undefined) break;
     excluded = new Set([...excluded, server.id]);
     const outcome = await forward.forwardCall(context, call, server, {
--- a/src/consensus/clock_step_test.ts
+++ b/src/consensus/clock_step_test.ts
@@ -41,7 +41,7 @@
   return {
     ...leader,
     commitIndex: ENTRIES,
-    role: { ...leader.role, firstIndex: ENTRIES },
+    role: { ...leader.role, termStartIndex: ENTRIES },
     config: { ...leader.config, electionTimeoutMs: LONG_MS },
   };
 }
--- a/src/consensus/feeding_watch_test.ts
+++ b/src/consensus/feeding_watch_test.ts
@@ -62,7 +62,7 @@
     const leader = fixtures.createLeader();
     const recorder = new fixtures.NoticeRecorder(leader);
     const unheard = fixtures.changeProgress(leader, {
-      answeredSentAtMs: Number.NEGATIVE_INFINITY,
+      lastAckedSentAtMs: Number.NEGATIVE_INFINITY,
       identity: { incarnation: 0, isAdmitted: false },
     });
     recorder.observe(unheard);
@@ -120,7 +120,7 @@
   it("tells of a voter that has never answered this leader", () => {
     const leader = fixtures.createLeader();
     const unheard = fixtures.changeProgress(leader, {
-      answeredSentAtMs: Number.NEGATIVE_INFINITY,
+      lastAckedSentAtMs: Number.NEGATIVE_INFINITY,
       identity: { incarnation: 0, isAdmitted: false },
     });
     const recorder = new fixtures.NoticeRecorder(leader);
--- a/src/consensus/large_log_test.ts
+++ b/src/consensus/large_log_test.ts
@@ -3,7 +3,7 @@
 import * as path from "node:path";
 import * as chai from "chai";
 import * as clocks from "../clock/mod.ts";
-import * as makeDataFolder from "./make_data_folder.ts";
+import * as makeDataFolder from "./initialize_data_folder.ts";
 import * as replicaDrivers from "./replica_driver.ts";
 
 /*
@@ -31,7 +31,7 @@
   after(() => fs.rmSync(folder, { recursive: true, force: true }));
 
   it("is cut by its bytes, long before it holds as many entries", async () => {
-    await makeDataFolder.makeDataFolder({
+    await makeDataFolder.initializeDataFolder({
       folder,
       owner: "a",
       wallMs: 1,
@@ -49,7 +49,7 @@
       },
       clock,
       dataFolder: folder,
-      machine: { apply: () => 0, save: () => [], restore: () => {} },
+      stateMachine: { apply: () => 0, save: () => [], restore: () => {} },
       snapshotEntries: 4_096,
       send: () => {},
       onFatal: () => {},
--- a/src/consensus/leader_watch_test.ts
+++ b/src/consensus/leader_watch_test.ts
@@ -63,7 +63,10 @@
     const follower = fixtures.createFollower(fixtures.ADMITTED);
     const recorder = new fixtures.NoticeRecorder(follower);
     recorder.clock.extendBy(1_900);
-    const heard = { ...follower, heardAtMs: recorder.clock.getMonotonicMs() };
+    const heard = {
+      ...follower,
+      leaderContactAtMs: recorder.clock.getMonotonicMs(),
+    };
     recorder.observeLeader(heard);
     recorder.clock.extendBy(1_900);
     recorder.observeLeader(heard);
--- a/src/consensus/notice_fixture_test.ts
+++ b/src/consensus/notice_fixture_test.ts
@@ -1,6 +1,6 @@
 import * as clocks from "../clock/mod.ts";
 import * as leaderFixtures from "./leader_fixture_test.ts";
-import * as noticeTellers from "./_notice_teller.ts";
+import * as noticeTellers from "./_notice_reporter.ts";
 import type * as messages from "./message.ts";
 import type * as notices from "./replica_notice.ts";
 import type * as replicaStates from "./replica_state.ts";
@@ -15,11 +15,11 @@
 /** Gathers the notices of a replica, whose state the test gives. */
 export class NoticeRecorder {
   readonly clock = new clocks.FakeClock(START_MS);
-  readonly #teller: noticeTellers.NoticeTeller;
+  readonly #teller: noticeTellers.NoticeReporter;
   readonly #told: notices.ReplicaNotice[] = [];
 
   constructor(opened: replicaStates.ReplicaState) {
-    this.#teller = new noticeTellers.NoticeTeller(
+    this.#teller = new noticeTellers.NoticeReporter(
       { clock: this.clock, onNotice: (notice) => this.#told.push(notice) },
       opened,
     );
@@ -41,7 +41,7 @@
     reply: Omit<messages.VoteReply, "kind" | "term">,
   ): void {
     const message = { kind: "voteReply" as const, term: 3, ...reply };
-    this.#teller.noteEvent(state, { kind: "message", from: "b", message });
+    this.#teller.recordEvent(state, { kind: "message", from: "b", message });
   }
 
   /** Gives the notices of a kind, in order. */
@@ -78,7 +78,7 @@
   if (role.kind !== "leader") return state;
   const known = role.progress.get("b");
   if (known === undefined) return state;
-  const changed = { ...known, answeredSentAtMs: START_MS, ...change };
+  const changed = { ...known, lastAckedSentAtMs: START_MS, ...change };
   const progress = new Map([...role.progress, ["b", changed] as const]);
   return { ...state, role: { ...role, progress } };
 }
--- a/src/consensus/replica_driver_test.ts
+++ b/src/consensus/replica_driver_test.ts
@@ -4,7 +4,7 @@
 import * as chai from "chai";
 import * as clocks from "../clock/mod.ts";
 import * as listMachines from "./list_machine_test.ts";
-import * as makeDataFolder from "./make_data_folder.ts";
+import * as makeDataFolder from "./initialize_data_folder.ts";
 import * as openReplicas from "./_open_replica.ts";
 import type * as notices from "./replica_notice.ts";
 import * as replicaDrivers from "./replica_driver.ts";
@@ -30,7 +30,7 @@
       },
       clock: new clocks.SystemClock(),
       dataFolder,
-      machine,
+      stateMachine: machine,
       snapshotEntries: 16,
       send: () => {},
       onFatal: (error) => {
@@ -64,7 +64,7 @@
       },
       clock: new clocks.SystemClock(),
       dataFolder: empty,
-      machine,
+      stateMachine: machine,
       snapshotEntries: 16,
       send: () => {},
       onFatal: () => {},
@@ -77,7 +77,7 @@
 
   it("tells at its opening what its disk held, with the bytes that were cut off", async () => {
     const own = fs.mkdtempSync(path.join(os.tmpdir(), "hoistscale-opened-"));
-    await makeDataFolder.makeDataFolder({
+    await makeDataFolder.initializeDataFolder({
       folder: own,
       owner: "a",
       wallMs: 5,
@@ -96,7 +96,7 @@
       },
       clock: new clocks.FakeClock(),
       dataFolder: own,
-      machine: new listMachines.ListMachine(),
+      stateMachine: new listMachines.ListMachine(),
       snapshotEntries: 16,
       send: () => {},
       onNotice: (notice) => told.push(notice),
@@ -133,7 +133,7 @@
       },
       clock,
       dataFolder: own,
-      machine: new listMachines.ListMachine(),
+      stateMachine: new listMachines.ListMachine(),
       snapshotEntries: 16,
       send: () => {},
       onNotice: (notice) => told.push(notice.kind),
@@ -161,7 +161,11 @@
   });
 
   it("keeps every accepted command over stops under load, with snapshots in between", async () => {
-    await makeDataFolder.makeDataFolder({ folder, owner: "a", wallMs: 1 });
+    await makeDataFolder.initializeDataFolder({
+      folder,
+      owner: "a",
+      wallMs: 1,
+    });
     const accepted: string[] = [];
     for (let round = 0; round < 8; round += 1) {
       const machine = new listMachines.ListMachine();
@@ -191,7 +195,11 @@
 
   it("has no authority before its machine holds what was accepted before", async () => {
     const own = fs.mkdtempSync(path.join(os.tmpdir(), "hoistscale-authority-"));
-    await makeDataFolder.makeDataFolder({ folder: own, owner: "a", wallMs: 1 });
+    await makeDataFolder.initializeDataFolder({
+      folder: own,
+      owner: "a",
+      wallMs: 1,
+    });
     let accepted = 0;
     for (let round = 0; round < 5; round += 1) {
       const machine = new listMachines.ListMachine();
--- a/src/consensus/replica_status_test.ts
+++ b/src/consensus/replica_status_test.ts
@@ -27,7 +27,7 @@
       identity: fixtures.EMPTIED,
     });
     chai.expect(countPresent(emptied, 999)).to.equal(2);
-    const heard = fixtures.changeProgress(leader, { answeredSentAtMs: 500 });
+    const heard = fixtures.changeProgress(leader, { lastAckedSentAtMs: 500 });
     chai.expect(countPresent(heard, 1_400)).to.equal(2);
     chai.expect(countPresent(heard, 1_500)).to.equal(1);
   });
--- a/src/consensus/simulated_node_test.ts
+++ b/src/consensus/simulated_node_test.ts
@@ -1,5 +1,5 @@
 import type * as fakeNetworks from "./fake_network_test.ts";
-import * as authorities from "./authority.ts";
+import * as authorities from "./leader_lease.ts";
 import * as savedRecords from "./_saved_record.ts";
 import type * as messages from "./message.ts";
 import * as replicaSets from "./replica_set.ts";
@@ -91,7 +91,7 @@
     disk: founders.includes(config.id)
       ? {
         snapshot: undefined,
-        records: savedRecords.createFounding(founders, 0),
+        records: savedRecords.createBootstrapRecords(founders, 0),
       }
       : createEmptyDisk(0),
     suspendedUntilMs: 0,
--- a/src/consensus/snapshot_admission_test.ts
+++ b/src/consensus/snapshot_admission_test.ts
@@ -43,7 +43,7 @@
       },
       clock: new clocks.FakeClock(),
       dataFolder: folder,
-      machine: new listMachines.ListMachine(),
+      stateMachine: new listMachines.ListMachine(),
       snapshotEntries: 16,
       send: () => {},
       onFatal: () => {},
--- a/src/consensus/snapshot_reigns_test.ts
+++ b/src/consensus/snapshot_reigns_test.ts
@@ -56,13 +56,13 @@
         for (const message of sent.splice(0)) {
           if (message.kind !== "snapshotPart" || left === 0) continue;
           left -= 1;
-          const taken = receiver.take(message);
+          const taken = receiver.addPart(message);
           whole ??= taken.whole;
-          sender?.takeReply("b", taken.reply, TERM + reign);
+          sender?.handleReply("b", taken.reply, TERM + reign);
         }
         clock.extendBy(HEARTBEAT_MS);
       }
-      sender?.drop();
+      sender?.pause();
       sent.length = 0;
     }
     chai.expect(whole?.snapshot.state.length).to.equal(PARTS);
--- a/src/consensus/snapshot_restart_test.ts
+++ b/src/consensus/snapshot_restart_test.ts
@@ -46,9 +46,9 @@
         hasRestarted = true;
         receiver = new transfers.SnapshotReceiver();
       }
-      const taken = receiver.take(message);
+      const taken = receiver.addPart(message);
       whole ??= taken.whole;
-      sender.takeReply("b", taken.reply, TERM);
+      sender.handleReply("b", taken.reply, TERM);
     }
     clock.extendBy(HEARTBEAT_MS);
   }
--- a/src/consensus/snapshot_transfer_test.ts
+++ b/src/consensus/snapshot_transfer_test.ts
@@ -4,7 +4,7 @@
 import * as chai from "chai";
 import * as clocks from "../clock/mod.ts";
 import * as listMachines from "./list_machine_test.ts";
-import * as makeDataFolder from "./make_data_folder.ts";
+import * as makeDataFolder from "./initialize_data_folder.ts";
 import type * as messages from "./message.ts";
 import * as replicaDrivers from "./replica_driver.ts";
 import * as transfers from "./_snapshot_transfer.ts";
@@ -40,10 +40,10 @@
       turn += 1;
       if (message.kind !== "snapshotPart") continue;
       if (losses[turn % losses.length] === true) continue;
-      const { reply, whole } = receiver.take(message);
+      const { reply, whole } = receiver.addPart(message);
       if (whole !== undefined) arrived.push(whole);
       if (losses[(turn * 7) % losses.length] !== true) {
-        sender.takeReply("b", reply, 3);
+        sender.handleReply("b", reply, 3);
       }
     }
     clock.extendBy(100);
@@ -88,10 +88,12 @@
 
   it("leave parts of an earlier transfer out", () => {
     const receiver = new transfers.SnapshotReceiver();
-    receiver.take(createPart("x", 0));
-    chai.expect(receiver.take(createPart("y", 1)).reply.received).to.equal(0);
-    receiver.take(createPart("y", 0));
-    const { whole } = receiver.take(createPart("y", 1));
+    receiver.addPart(createPart("x", 0));
+    chai.expect(receiver.addPart(createPart("y", 1)).reply.received).to.equal(
+      0,
+    );
+    receiver.addPart(createPart("y", 0));
+    const { whole } = receiver.addPart(createPart("y", 1));
     chai.expect(whole?.snapshot.state).to.deep.equal(["y0", "y1"]);
   });
 });
@@ -117,7 +119,7 @@
     const folder = fs.mkdtempSync(path.join(os.tmpdir(), `hoistscale-${id}-`));
     folders.push(folder);
     if (isFounder) {
-      await makeDataFolder.makeDataFolder({
+      await makeDataFolder.initializeDataFolder({
         folder,
         owner: id,
         wallMs: 1,
@@ -136,7 +138,7 @@
       },
       clock: new clocks.SystemClock(),
       dataFolder: folder,
-      machine,
+      stateMachine: machine,
       snapshotEntries: 32,
       send: (to, message) => {
         const text = JSON.stringify(message);
--- a/src/consensus/snapshot_turn_test.ts
+++ b/src/consensus/snapshot_turn_test.ts
@@ -20,8 +20,8 @@
 const EMPTY: replicaStates.Progress = {
   nextIndex: 1,
   matchIndex: 0,
-  answeredSentAtMs: NOW_MS,
-  movedAtMs: NOW_MS,
+  lastAckedSentAtMs: NOW_MS,
+  lastProgressAtMs: NOW_MS,
   identity: { incarnation: 1, isAdmitted: false },
 };
 
@@ -42,7 +42,7 @@
     const whole = leader.role.progress.get("c");
     if (whole === undefined) throw new Error("c is not followed");
     const progress = new Map([
-      ["c", { ...whole, answeredSentAtMs: NOW_MS }] as const,
+      ["c", { ...whole, lastAckedSentAtMs: NOW_MS }] as const,
       ["b", EMPTY] as const,
       ["d", EMPTY] as const,
       ["e", EMPTY] as const,
--- a/src/consensus/snapshot_window_test.ts
+++ b/src/consensus/snapshot_window_test.ts
@@ -32,11 +32,11 @@
       sent = [];
       const replies = arrived.flatMap((message) => {
         if (message.kind !== "snapshotPart") return [];
-        const taken = receiver.take(message);
+        const taken = receiver.addPart(message);
         whole ??= taken.whole;
         return [taken.reply];
       });
-      for (const reply of replies) sender.takeReply("b", reply, 3);
+      for (const reply of replies) sender.handleReply("b", reply, 3);
     }
     chai.expect(whole?.snapshot.state.length).to.equal(PARTS);
   });
--- a/src/consensus/stalled_feeding_test.ts
+++ b/src/consensus/stalled_feeding_test.ts
@@ -1,5 +1,5 @@
 import * as chai from "chai";
-import * as feedings from "./_feeding.ts";
+import * as feedings from "./_append_window.ts";
 import * as leaderFixtures from "./leader_fixture_test.ts";
 import * as replicaLogs from "./replica_log.ts";
 import type * as replicaStates from "./replica_state.ts";
@@ -25,8 +25,8 @@
   return {
     nextIndex: matchIndex + 1,
     matchIndex,
-    answeredSentAtMs: NOW_MS,
-    movedAtMs,
+    lastAckedSentAtMs: NOW_MS,
+    lastProgressAtMs: movedAtMs,
     identity: EMPTIED,
   };
 }
--- a/src/generation/generate_tokens.ts
+++ b/src/generation/generate_tokens.ts
@@ -81,7 +81,7 @@
       use,
       excluded: this.#excluded,
     };
-    const server = this.#options.table.choosePrompt(
+    const server = this.#options.table.chooseForPrompt(
       requirements,
       this.#request.prompt,
     );
--- a/src/replica_group/explained_loss_test.ts
+++ b/src/replica_group/explained_loss_test.ts
@@ -70,14 +70,14 @@
       failureDomain: id,
       dataFolder: box.folder,
       isFirstStart: false,
-      wanted: IDS.length,
-      least: IDS.length,
+      maxVoters: IDS.length,
+      minVoters: IDS.length,
       snapshotEntries: 4_096,
       seeds: [],
       clock,
       log: new logs.Log(id, "info", (line) => box.lines.push(line)),
       metrics: new metricTypes.FleetMetrics(),
-      machine: { apply: () => 0, save: () => [], restore: () => {} },
+      stateMachine: { apply: () => 0, save: () => [], restore: () => {} },
       directory: {
         listAlive: () => [],
         listAll: () => [],
@@ -144,7 +144,7 @@
 
   it("tells of an emptied voter until it counts, and then why none leads", async () => {
     for (const id of IDS) {
-      await consensus.makeDataFolder({
+      await consensus.initializeDataFolder({
         folder: getBox(id).folder,
         owner: id,
         wallMs: 1,
--- a/src/replica_group/founding_desk_test.ts
+++ b/src/replica_group/founding_desk_test.ts
@@ -1,9 +1,9 @@
 import * as chai from "chai";
 import * as clocks from "../clock/mod.ts";
 import * as logs from "../log/mod.ts";
-import * as foundingDesks from "./founding_desk.ts";
+import * as foundingDesks from "./bootstrap_service.ts";
 
-function createApplicant(id: string): foundingDesks.Applicant {
+function createApplicant(id: string): foundingDesks.BootstrapRequest {
   return { group: "g", id, failureDomain: id, wanted: 3, least: 3 };
 }
 
@@ -13,14 +13,14 @@
   const server = { add: () => {} };
 
   it("waits for late applicants, chooses once and keeps to it", () => {
-    const desk = new foundingDesks.FoundingDesk({
+    const desk = new foundingDesks.BootstrapService({
       clock,
       log,
       server,
       isFirstStart: true,
     });
-    function apply(id: string): foundingDesks.FoundingReply {
-      return desk.apply(createApplicant(id));
+    function apply(id: string): foundingDesks.BootstrapReply {
+      return desk.handleRequest(createApplicant(id));
     }
     chai.expect(apply("a").kind).to.equal("wait");
     clock.extendBy(5_000);
@@ -35,12 +35,14 @@
   });
 
   it("never chooses in a process that is not the box's first", () => {
-    const desk = new foundingDesks.FoundingDesk({
+    const desk = new foundingDesks.BootstrapService({
       clock,
       log,
       server,
       isFirstStart: false,
     });
-    chai.expect(desk.apply(createApplicant("a")).kind).to.equal("refused");
+    chai.expect(desk.handleRequest(createApplicant("a")).kind).to.equal(
+      "refused",
+    );
   });
 });
--- a/src/replica_group/group_machine_test.ts
+++ b/src/replica_group/group_machine_test.ts
@@ -18,7 +18,7 @@
 const LOADS_A_PART = 10;
 
 /** Knows who holds the duties and who is to be emptied; counts the rest. */
-export class GroupMachine implements consensus.Machine {
+export class GroupMachine implements consensus.StateMachine {
   #holder: string | undefined;
   #retiring: readonly string[] = [];
   #loaded = 0;
--- a/src/replica_group/plan_emptied_voter_test.ts
+++ b/src/replica_group/plan_emptied_voter_test.ts
@@ -28,17 +28,17 @@
 
 const EMPTIED = createFollower("b", { matchIndex: 0, isAdmitted: false });
 
-const SITUATION: planVoters.VoterSituation = {
+const SITUATION: planVoters.VoterPlanInput = {
   self: "a",
   voters: ["a", "b", "c"],
   wanted: 3,
   commitIndex: COMMIT_INDEX,
-  reignMs: 60_000,
+  leadershipMs: 60_000,
   followers: [EMPTIED, createFollower("c"), createFollower("d")],
   candidates: ["a", "b", "c", "d"],
   failureDomains: new Map([..."abcd"].map((id) => [id, `of ${id}`])),
   retiring: [],
-  deadMs: 3_000,
+  failureTimeoutMs: 3_000,
 };
 
 describe("plan of voters with an emptied one that answers", () => {
--- a/src/replica_group/plan_voters_test.ts
+++ b/src/replica_group/plan_voters_test.ts
@@ -1,27 +1,27 @@
 import * as chai from "chai";
 import * as consensus from "../consensus/mod.ts";
-import * as foundingDesks from "./founding_desk.ts";
+import * as foundingDesks from "./bootstrap_service.ts";
 import * as planVoters from "./plan_voters.ts";
 
 function createFollower(id: string, silentMs = 10, matchIndex = 100) {
   return { id, matchIndex, silentMs, isAdmitted: true };
 }
 
-const SITUATION: planVoters.VoterSituation = {
+const SITUATION: planVoters.VoterPlanInput = {
   self: "a",
   voters: ["a", "b", "c"],
   wanted: 3,
   commitIndex: 100,
-  reignMs: 60_000,
+  leadershipMs: 60_000,
   followers: [createFollower("b"), createFollower("c"), createFollower("d")],
   candidates: ["a", "b", "c", "d"],
   failureDomains: new Map([..."abcdefg"].map((id) => [id, `of ${id}`])),
   retiring: [],
-  deadMs: 3_000,
+  failureTimeoutMs: 3_000,
 };
 
 function plan(
-  changes: Partial<planVoters.VoterSituation>,
+  changes: Partial<planVoters.VoterPlanInput>,
 ): readonly string[] | undefined {
   return planVoters.planVoters({ ...SITUATION, ...changes });
 }
@@ -101,7 +101,7 @@
       const followers = [silent, createFollower("c", 10, commitIndex), spare];
       return plan({ commitIndex, followers });
     }
-    const nearIndex = commitIndex - consensus.NEAR_ENTRIES;
+    const nearIndex = commitIndex - consensus.MAX_CAUGHT_UP_LAG_ENTRIES;
     chai.expect(planWith(createFollower("d", 10, nearIndex))).to.deep.equal(
       ["a", "b", "c", "d"],
     );
@@ -125,10 +125,10 @@
   });
 
   it("wants an odd number, and never fewer than losses need", () => {
-    chai.expect(planVoters.countWanted(3, 9, 2)).to.equal(3);
-    chai.expect(planVoters.countWanted(3, 9, 4)).to.equal(3);
-    chai.expect(planVoters.countWanted(3, 9, 8)).to.equal(7);
-    chai.expect(planVoters.countWanted(3, 9, 20)).to.equal(9);
+    chai.expect(planVoters.countTargetVoters(3, 9, 2)).to.equal(3);
+    chai.expect(planVoters.countTargetVoters(3, 9, 4)).to.equal(3);
+    chai.expect(planVoters.countTargetVoters(3, 9, 8)).to.equal(7);
+    chai.expect(planVoters.countTargetVoters(3, 9, 20)).to.equal(9);
   });
 
   it("founds over as many failure domains as there are, with an odd number", () => {
@@ -139,7 +139,7 @@
       wanted: 4,
       least: 3,
     }));
-    chai.expect(foundingDesks.chooseFounders(applicants)).to.deep.equal([
+    chai.expect(foundingDesks.chooseInitialVoters(applicants)).to.deep.equal([
       "e1",
       "n1",
       "s1",
--- a/src/replica_group/simulated_cases_test.ts
+++ b/src/replica_group/simulated_cases_test.ts
@@ -88,10 +88,10 @@
     barrier: {} as readBarriers.ReadBarrier,
     getFailureDomain: () => undefined,
     id: leader,
-    machine: machine as unknown as submissions.SubmissionMachine,
-    changed: new csp.Signal(),
+    stateMachine: machine as unknown as submissions.SubmissionStateMachine,
+    stateChanged: new csp.Signal(),
     wantedVoters: WANTED,
-    listStores: () => stores.listIds(),
+    listStoreIds: () => stores.listIds(),
   });
   const read = methods.get(submissions.METHODS.readRetire);
   const reply = read?.({ box } as never) as submissions.LeaderReply<
--- a/src/replica_group/simulated_disk_test.ts
+++ b/src/replica_group/simulated_disk_test.ts
@@ -21,7 +21,7 @@
 /** A log as the driver of a replica uses it; its real one writes files. */
 type UsedLog = Pick<
   storage.DurableLog,
-  "append" | "compact" | "writeDraft" | "takeDraft" | "close"
+  "append" | "compact" | "writeSnapshotDraft" | "installSnapshotDraft" | "close"
 >;
 
 /** Syncs that replacing a log by a snapshot takes, during which a process waits. */
@@ -51,7 +51,7 @@
 
   /** Writes what a founding voter begins with. */
   found(voters: readonly string[]): void {
-    this.#records = [...savedRecords.createFounding(voters, 0)];
+    this.#records = [...savedRecords.createBootstrapRecords(voters, 0)];
     this.#summary = undefined;
   }
 
@@ -93,12 +93,12 @@
     let draft: storage.StoredSnapshot | undefined;
     const log: UsedLog = {
       append: (records) => this.#append(process, toSaved(records)),
-      writeDraft: async (snapshot) => {
+      writeSnapshotDraft: async (snapshot) => {
         const tookMs = snapshot.parts.length / PARTS_A_MS + this.syncMs;
         await this.#finish(process, tookMs, () => {});
         draft = snapshot;
       },
-      takeDraft: (records) => {
+      installSnapshotDraft: (records) => {
         if (draft === undefined) throw new Error("no draft was written");
         return this.#swap(process, draft, toSaved(records));
       },
--- a/src/trainer/step_feed.ts
+++ b/src/trainer/step_feed.ts
@@ -194,7 +194,7 @@
       onToken: (token) => {
         if (tokens.length === 0) firstTokenAtMs = clock.getMonotonicMs();
         tokens.push(token.tokenId);
-        spans = steps.addToken(spans, token.weightVersion);
+        spans = steps.appendToken(spans, token.weightVersion);
       },
     });
     if (generated.kind === "failure" || tokens.length === 0) return undefined;
