--- a/src/consensus/_append_window.ts
+++ b/src/consensus/_append_window.ts
@@ -1,4 +1,4 @@
-import * as authorities from "./authority.ts";
+import * as authorities from "./leader_lease.ts";
 import * as entrySizes from "./_entry_size.ts";
 import * as replicaLogs from "./replica_log.ts";
 import * as replicaStates from "./replica_state.ts";
@@ -74,7 +74,7 @@
   const { maxBatchEntries } = state.config;
   const { nextIndex } = progress;
   // Before the first reply the match index is unknown, so the window does not apply.
-  if (!Number.isFinite(progress.answeredSentAtMs)) {
+  if (!Number.isFinite(progress.lastAckedSentAtMs)) {
     return countFitting(
       state.log,
       nextIndex,
@@ -131,8 +131,9 @@
   gained: number,
   nowMs: number,
 ): number {
-  const { feedEntries = INITIAL_CATCH_UP_BATCH } = before;
-  const { getAuthorityUntilMs, NEVER_SUSPENDED } = authorities;
+  const { catchUpBatchEntries: feedEntries = INITIAL_CATCH_UP_BATCH } = before;
+  const { getLeaseExpiryMs: getAuthorityUntilMs, NEVER_SUSPENDED } =
+    authorities;
   const remainingMs = getAuthorityUntilMs(state, nowMs, NEVER_SUSPENDED) -
     nowMs;
   const hasHeadroom =
@@ -160,8 +161,12 @@
     };
   }
   if (!selectCatchUps(state, nowMs).includes(to)) return undefined;
-  const { feedEntries = Math.min(INITIAL_CATCH_UP_BATCH, maxBatchEntries) } =
-    progress;
+  const {
+    catchUpBatchEntries: feedEntries = Math.min(
+      INITIAL_CATCH_UP_BATCH,
+      maxBatchEntries,
+    ),
+  } = progress;
   return {
     entries: MAX_CATCH_UP_MESSAGES * feedEntries,
     bytes: MAX_CATCH_UP_MESSAGES * MAX_MESSAGE_BYTES,
@@ -202,7 +207,7 @@
   progress: replicaStates.Progress,
 ): boolean {
   const lag = replicaLogs.getLastIndex(state.log) - progress.matchIndex;
-  return lag > replicaStates.NEAR_ENTRIES;
+  return lag > replicaStates.MAX_CAUGHT_UP_LAG_ENTRIES;
 }
 
 /**
@@ -220,7 +225,7 @@
   const candidates = [...state.role.progress]
     .filter(([, progress]) =>
       !progress.identity.isAdmitted && isFarBehind(state, progress) &&
-      nowMs - progress.answeredSentAtMs < STALL_TIMEOUT_MS
+      nowMs - progress.lastAckedSentAtMs < STALL_TIMEOUT_MS
     )
     .toSorted(([a, left], [b, right]) =>
       Number(voters.includes(b)) - Number(voters.includes(a)) ||
@@ -238,6 +243,6 @@
 
 /** Tells whether a replica has confirmed nothing new for `STALL_TIMEOUT_MS`. */
 function isStalled(progress: replicaStates.Progress, nowMs: number): boolean {
-  const { movedAtMs } = progress;
+  const { lastProgressAtMs: movedAtMs } = progress;
   return movedAtMs !== undefined && nowMs - movedAtMs > STALL_TIMEOUT_MS;
 }
--- a/src/consensus/_catch_up_monitor.ts
+++ b/src/consensus/_catch_up_monitor.ts
@@ -24,7 +24,7 @@
  * yet.
  */
 export class CatchUpMonitor {
-  readonly #notify: notices.TakeNotice;
+  readonly #notify: notices.NoticeHandler;
   #followers: ReadonlyMap<string, FollowerState> = new Map();
   /**
    * Monotonic time of the next notice, in ms; undefined while all followers
@@ -32,7 +32,7 @@
    */
   #nextNoticeMs: number | undefined;
 
-  constructor(notify: notices.TakeNotice) {
+  constructor(notify: notices.NoticeHandler) {
     this.#notify = notify;
   }
 
@@ -119,7 +119,8 @@
   progress: replicaStates.Progress,
   nowMs: number,
 ): FollowerState {
-  const { identity, matchIndex, answeredSentAtMs } = progress;
+  const { identity, matchIndex, lastAckedSentAtMs: answeredSentAtMs } =
+    progress;
   const { incarnation, isAdmitted } = identity;
   if (!Number.isFinite(answeredSentAtMs)) {
     return before?.kind === "unheard"
@@ -163,7 +164,7 @@
   id: string,
   follower: FollowerState,
   nowMs: number,
-): notices.FeedingFollower | undefined {
+): notices.UnadmittedFollower | undefined {
   const isVoter = replicaStates.listVoters(state).includes(id);
   switch (follower.kind) {
     case "counted":
@@ -174,7 +175,7 @@
     }
     case "fed": {
       const matchIndex = getMatchIndex(state, id);
-      const answeredSentAtMs = findProgress(state, id)?.answeredSentAtMs ??
+      const answeredSentAtMs = findProgress(state, id)?.lastAckedSentAtMs ??
         nowMs;
       return {
         kind: "fed",
--- a/src/consensus/_durable_writer.ts
+++ b/src/consensus/_durable_writer.ts
@@ -47,7 +47,7 @@
    */
   async writeSnapshot(snapshot: messages.Snapshot): Promise<boolean> {
     try {
-      await this.#log.writeDraft(toStored(snapshot));
+      await this.#log.writeSnapshotDraft(toStored(snapshot));
       return true;
     } catch (error) {
       if (storage.isDiskFull(error)) return false;
@@ -65,7 +65,9 @@
     records: readonly savedRecords.SavedRecord[],
   ): csp.Step<boolean> {
     try {
-      yield* this.#trackDuration(csp.waitFor(this.#log.takeDraft(records)));
+      yield* this.#trackDuration(
+        csp.waitFor(this.#log.installSnapshotDraft(records)),
+      );
       return true;
     } catch (error) {
       if (storage.isDiskFull(error)) return false;
--- a/src/consensus/_former_leader.ts
+++ b/src/consensus/_former_leader.ts
@@ -43,9 +43,9 @@
   state: replicaStates.ReplicaState,
   nowMs: number,
 ): boolean {
-  const { former, config, term } = state;
+  const { formerLeader: former, config, term } = state;
   return former?.id === config.id && former.term === term &&
-    nowMs < former.hurryUntilMs;
+    nowMs < former.earlyElectionUntilMs;
 }
 
 /**
@@ -57,7 +57,7 @@
   state: replicaStates.ReplicaState,
   candidate: string,
 ): boolean {
-  const { role, former, term } = state;
+  const { role, formerLeader: former, term } = state;
   if (role.kind === "follower" && role.leader !== undefined) {
     return role.leader === candidate;
   }
--- a/src/consensus/_heartbeat_gap.ts
+++ b/src/consensus/_heartbeat_gap.ts
@@ -16,8 +16,8 @@
   state: replicaStates.ReplicaState,
   term: number,
   nowMs: number,
-): replicaStates.Lateness {
-  const { lateness, heardAtMs } = state;
+): replicaStates.HeartbeatGap {
+  const { heartbeatGap: lateness, leaderContactAtMs: heardAtMs } = state;
   if (lateness.term !== term) return { term, gapMs: 0 };
   const gapMs = Math.max(nowMs - heardAtMs, lateness.gapMs * GAP_DECAY);
   return { term, gapMs };
@@ -32,7 +32,7 @@
  * @returns The additional delay, in ms.
  */
 export function getExtraDelayMs(state: replicaStates.ReplicaState): number {
-  const { lateness, config } = state;
+  const { heartbeatGap: lateness, config } = state;
   const delayMs = GAPS_TO_ALLOW * lateness.gapMs - config.electionTimeoutMs;
   return Math.min(MAX_EXTRA_DELAY_MS, Math.max(0, delayMs));
 }
--- a/src/consensus/_leader_monitor.ts
+++ b/src/consensus/_leader_monitor.ts
@@ -20,7 +20,7 @@
 
 /** Reports when a replica knows no leader, with the last vote replies. */
 export class LeaderMonitor {
-  readonly #notify: notices.TakeNotice;
+  readonly #notify: notices.NoticeHandler;
   /** Monotonic time at which a leader with authority was last known, in ms. */
   #leaderSeenAtMs: number;
   /** Leaderless time at which the next notice is due, in ms. */
@@ -32,7 +32,7 @@
    * @param nowMs Monotonic time at which the replica was opened, in ms.
    * @param notify Receives the notices.
    */
-  constructor(nowMs: number, notify: notices.TakeNotice) {
+  constructor(nowMs: number, notify: notices.NoticeHandler) {
     this.#leaderSeenAtMs = nowMs;
     this.#notify = notify;
   }
@@ -47,7 +47,7 @@
     reply: messages.VoteReply,
     nowMs: number,
   ): void {
-    const others = replicaStates.listOthers(state);
+    const others = replicaStates.listOtherVoters(state);
     const kept = [...this.#replies].filter(([id]) => others.includes(id));
     this.#replies = others.includes(from)
       ? new Map([...kept, [from, { reply, atMs: nowMs }] as const])
@@ -70,7 +70,7 @@
     nowMs: number,
     writingMs: number,
   ): void {
-    const seenAtMs = hasAuthority ? nowMs : state.heardAtMs;
+    const seenAtMs = hasAuthority ? nowMs : state.leaderContactAtMs;
     if (seenAtMs > this.#leaderSeenAtMs) {
       this.#leaderSeenAtMs = seenAtMs;
       this.#nextNoticeAfterMs = NOTICE_INTERVAL_MS;
@@ -98,7 +98,7 @@
       lastTerm: replicaLogs.getTermAt(log, lastIndex) ?? 0,
       commitIndex,
       set: replicaStatuses.describeVoterSet(state),
-      asked: replicaStates.listOthers(state).map((id) => ({
+      asked: replicaStates.listOtherVoters(state).map((id) => ({
         id,
         answer: describeReply(this.#replies.get(id), nowMs),
       })),
--- a/src/consensus/_notice_reporter.ts
+++ b/src/consensus/_notice_reporter.ts
@@ -15,7 +15,7 @@
 /** Reports changes of a replica since it was last observed. */
 export class NoticeReporter {
   readonly #clock: clocks.Clock;
-  readonly #notify: notices.TakeNotice;
+  readonly #notify: notices.NoticeHandler;
   #lastRole = "";
   #lastVoters = "";
   #hadAuthority = false;
--- a/src/consensus/_progress.ts
+++ b/src/consensus/_progress.ts
@@ -13,7 +13,7 @@
   return {
     nextIndex: reply.index + 1,
     matchIndex: 0,
-    answeredSentAtMs: Number.NEGATIVE_INFINITY,
+    lastAckedSentAtMs: Number.NEGATIVE_INFINITY,
     identity: reply.identity,
   };
 }
@@ -44,14 +44,14 @@
   nowMs: number,
 ): replicaStates.Progress {
   const { identity, sentAtMs, index } = reply;
-  const { movedAtMs = nowMs } = old;
-  const answeredSentAtMs = Math.max(old.answeredSentAtMs, sentAtMs);
+  const { lastProgressAtMs: progressAtMs = nowMs } = old;
+  const ackedSentAtMs = Math.max(old.lastAckedSentAtMs, sentAtMs);
   const replied = {
     ...old,
     identity,
-    answeredSentAtMs,
-    answeredAtMs: nowMs,
-    movedAtMs,
+    lastAckedSentAtMs: ackedSentAtMs,
+    lastReplyAtMs: nowMs,
+    lastProgressAtMs: progressAtMs,
   };
   if (!reply.isMatch) return resetNextIndex(replied, reply, nowMs);
   const hasAdvanced = index > old.matchIndex;
@@ -59,6 +59,6 @@
     ...replied,
     matchIndex: Math.max(old.matchIndex, index),
     nextIndex: Math.max(old.nextIndex, index + 1),
-    movedAtMs: hasAdvanced ? nowMs : movedAtMs,
+    lastProgressAtMs: hasAdvanced ? nowMs : progressAtMs,
   };
 }
--- a/src/consensus/_replication.ts
+++ b/src/consensus/_replication.ts
@@ -24,8 +24,11 @@
   if (role.kind !== "leader") return { state, effects: [] };
   const sent = appendRequests.createAppends(state, role.progress, nowMs);
   const progress = new Map(sent.map(([to, append]) => [to, append.progress]));
-  const heartbeatAtMs = nowMs + state.config.heartbeatMs;
-  const next = { ...state, role: { ...role, progress, heartbeatAtMs } };
+  const heartbeatDueAtMs = nowMs + state.config.heartbeatMs;
+  const next = {
+    ...state,
+    role: { ...role, progress, nextHeartbeatAtMs: heartbeatDueAtMs },
+  };
   return commitReplicated({
     state: next,
     effects: sent.map(([, append]) => append.effect),
@@ -67,14 +70,14 @@
 ): replicaStates.Transition {
   const { state } = transition;
   if (state.role.kind !== "leader") return transition;
-  const matches = replicaStates.listAdmitted(state).map((progress) =>
+  const matches = replicaStates.listAdmittedProgress(state).map((progress) =>
     progress.matchIndex
   );
   const own = replicaStates.isVoter(state)
     ? [replicaLogs.getLastIndex(state.log)]
     : [];
   const sorted = [...own, ...matches].sort((a, b) => b - a);
-  const index = sorted[replicaStates.getQuorum(state) - 1] ?? 0;
+  const index = sorted[replicaStates.getQuorumSize(state) - 1] ?? 0;
   if (replicaLogs.getTermAt(state.log, index) !== state.term) return transition;
   const committed = commits.advanceCommitIndex(state, index);
   return {
@@ -119,7 +122,8 @@
   if (progress === undefined) return state;
   if (progress.matchIndex <= before.matchIndex) return state;
   const lag = replicaLogs.getLastIndex(state.log) - progress.matchIndex;
-  const entriesGained = (before.feedLag ?? Number.POSITIVE_INFINITY) - lag;
+  const entriesGained = (before.catchUpLagEntries ?? Number.POSITIVE_INFINITY) -
+    lag;
   const feedEntries = appendWindows.updateBatchSize(
     state,
     before,
@@ -128,7 +132,11 @@
   );
   const next = new Map([
     ...role.progress,
-    [from, { ...progress, feedEntries, feedLag: lag }] as const,
+    [from, {
+      ...progress,
+      catchUpBatchEntries: feedEntries,
+      catchUpLagEntries: lag,
+    }] as const,
   ]);
   return { ...state, role: { ...role, progress: next } };
 }
@@ -177,8 +185,8 @@
   const { role } = state;
   if (role.kind !== "leader") return state;
   const heartbeatAtMs = Math.min(
-    role.heartbeatAtMs,
+    role.nextHeartbeatAtMs,
     nowMs + MAX_COMMIT_DELAY_MS,
   );
-  return { ...state, role: { ...role, heartbeatAtMs } };
+  return { ...state, role: { ...role, nextHeartbeatAtMs: heartbeatAtMs } };
 }
--- a/src/consensus/_snapshot_transfer.ts
+++ b/src/consensus/_snapshot_transfer.ts
@@ -37,7 +37,7 @@
   /** Creates a snapshot of the current state. */
   readonly createSnapshot: () => messages.Snapshot;
   /** Called when the transfer of a snapshot starts. */
-  readonly onNotice?: notices.TakeNotice | undefined;
+  readonly onNotice?: notices.NoticeHandler | undefined;
 }
 
 /**
--- a/src/consensus/mod.ts
+++ b/src/consensus/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Consensus of the boxes with a disk: one log, one leader a term.
+ * Raft consensus between boxes with a disk: a replicated log with at most one
+ * leader per term, pre-votes, leader leases and single-voter changes.
  *
  * @example
  * ```ts
@@ -9,9 +10,8 @@
  * ```
  * @module
  */
-export * from "./authority.ts";
-export * from "./machine.ts";
-export * from "./make_data_folder.ts";
+export * from "./initialize_data_folder.ts";
+export * from "./leader_lease.ts";
 export * from "./message.ts";
 export * from "./replica_driver.ts";
 export * from "./replica_log.ts";
@@ -20,4 +20,5 @@
 export * from "./replica_set.ts";
 export * from "./replica_state.ts";
 export * from "./replica_status.ts";
+export * from "./state_machine.ts";
 export * from "./step_replica.ts";
--- a/src/consensus/replica_options.ts
+++ b/src/consensus/replica_options.ts
@@ -1,21 +1,21 @@
 import type * as clocks from "../clock/mod.ts";
-import type * as machines from "./machine.ts";
+import type * as stateMachines from "./state_machine.ts";
 import type * as messages from "./message.ts";
 import type * as notices from "./replica_notice.ts";
 import type * as replicaStates from "./replica_state.ts";
 
-/** What a driver needs. */
+/** Options of a replica driver. */
 export interface ReplicaDriverOptions {
   readonly config: replicaStates.ReplicaConfig;
   readonly clock: clocks.Clock;
   readonly dataFolder: string;
-  readonly machine: machines.Machine;
-  /** Log entries after which a snapshot is taken. */
+  readonly stateMachine: stateMachines.StateMachine;
+  /** Number of log entries after which a snapshot is taken. */
   readonly snapshotEntries: number;
-  /** Sends a message; it may be lost. */
+  /** Sends a message to a replica; delivery isn't guaranteed. */
   readonly send: (to: string, message: messages.DriverMessage) => void;
-  /** Told of what explains the group afterwards. */
-  readonly onNotice?: notices.TakeNotice;
-  /** Told of a failed write; the process must end. */
+  /** Receives notices for the log. */
+  readonly onNotice?: notices.NoticeHandler;
+  /** Called on an unexpected error, such as a failed write; must end the process. */
   readonly onFatal: (error: unknown) => void;
 }
--- a/src/dispatch/dispatcher.ts
+++ b/src/dispatch/dispatcher.ts
@@ -43,7 +43,7 @@
   readonly servers: registry.ServerRegistry;
   readonly configuration: trafficConfig.ConfigurationHolder;
   readonly group: replicaGroups.ReplicaGroup;
-  readonly machine: submissions.SubmissionMachine;
+  readonly machine: submissions.SubmissionStateMachine;
   readonly engines: engineTables.EngineTable;
   readonly forwarder: forwarding.Forwarder;
   readonly crashGuard: itemCrashTrackers.ItemCrashTrackerOptions["crashGuard"];
--- a/src/dispatch/item_task.ts
+++ b/src/dispatch/item_task.ts
@@ -159,7 +159,7 @@
    * @param isSameSubmission Whether they were stored for this submission.
    */
   restore(
-    texts: readonly submissions.KeptText[],
+    texts: readonly submissions.StoredText[],
     isSameSubmission: boolean,
   ): void {
     const { minimumVersion, terms } = this.submission;
--- a/src/dispatch/text_replicator.ts
+++ b/src/dispatch/text_replicator.ts
@@ -52,7 +52,7 @@
   readonly progress: itemRuns.TextProgress;
   /** Reset count of the text; differs if the text was reset meanwhile. */
   readonly resetCount: number;
-  readonly text: submissions.TextToKeep;
+  readonly text: submissions.TextToStore;
 }
 
 function markKept({ progress, resetCount, text }: TextPart): void {
@@ -67,7 +67,7 @@
   const { progress, submission, item } = task;
   const lastId = progress.getLastId();
   if (lastId === undefined) return [];
-  const text: submissions.TextToKeep = {
+  const text: submissions.TextToStore = {
     submission: submission.id,
     item: item.id,
     afterId: progress.getStoredLastId(),
--- a/src/item_run/text_progress.ts
+++ b/src/item_run/text_progress.ts
@@ -21,7 +21,7 @@
   #resets = 0;
 
   /** Starts from a stored text. */
-  restore(stored: submissions.KeptText): void {
+  restore(stored: submissions.StoredText): void {
     this.#data = [stored.text];
     this.#lastId = stored.lastId;
     this.#versions = new Set(stored.versions);
--- a/src/routing/choose_server.ts
+++ b/src/routing/choose_server.ts
@@ -42,7 +42,7 @@
     return false;
   }
   if (requirements.excluded.has(server.id)) return false;
-  if (!backends.canUse(candidate.role, requirements.use)) return false;
+  if (!backends.canServeUse(candidate.role, requirements.use)) return false;
   if (requirements.model === undefined) return true;
   const weightVersion = models.get(requirements.model);
   return weightVersion !== undefined &&
--- a/src/storage/_read_records.ts
+++ b/src/storage/_read_records.ts
@@ -1,51 +1,56 @@
 import * as fs from "node:fs";
 import * as records from "./record.ts";
 
-/** Bytes read from a file at a time, so that no file is held whole. */
+/** Number of bytes read from a file at a time. */
 const CHUNK_BYTES = 1024 * 1024;
 
-/** Where reading a file of records ended. */
-export interface ReadEnd {
-  /** Bytes that are whole records. */
-  readonly wholeBytes: number;
-  /** Bytes after them. */
-  readonly restBytes: number;
-  /** Whether whole records stand after damaged bytes. */
-  readonly isDamaged: boolean;
+/** Result of reading a file of records. */
+export interface ReadSummary {
+  /** Length of the leading valid records, in bytes. */
+  readonly validBytes: number;
+  /** Number of bytes after them. */
+  readonly trailingBytes: number;
+  /** Whether a valid record follows invalid bytes. */
+  readonly isCorrupt: boolean;
 }
 
 /**
- * Reads a file of records one by one.
+ * Reads a file of records without loading the whole file.
  *
- * @param name The file.
- * @param onPayload Receives the payload of each whole record, in order.
- * @returns Where the whole records end.
+ * @param filePath The file.
+ * @param onPayload Receives the payload of each leading valid record, in order.
+ * @returns Where the leading valid records end.
+ * @throws The error of the file system.
  */
 export function readRecords(
-  name: string,
+  filePath: string,
   onPayload: (payload: Buffer) => void,
-): ReadEnd {
-  const descriptor = fs.openSync(name, "r");
+): ReadSummary {
+  const descriptor = fs.openSync(filePath, "r");
   try {
-    return readFrom(descriptor, onPayload);
+    return readAllRecords(descriptor, onPayload);
   } finally {
     fs.closeSync(descriptor);
   }
 }
 
-function readFrom(
+function readAllRecords(
   descriptor: number,
   onPayload: (payload: Buffer) => void,
-): ReadEnd {
-  let rest: Buffer = Buffer.alloc(0);
-  let wholeBytes = 0;
+): ReadSummary {
+  let trailing: Buffer = Buffer.alloc(0);
+  let validBytes = 0;
   for (;;) {
     const chunk = readChunk(descriptor);
     if (chunk.length === 0) {
-      const isDamaged = records.hasRecordAfter(rest, 0);
-      return { wholeBytes, restBytes: rest.length, isDamaged };
+      const isCorrupt = records.hasRecordFrom(trailing, 0);
+      return {
+        validBytes,
+        trailingBytes: trailing.length,
+        isCorrupt,
+      };
     }
-    const bytes = Buffer.concat([rest, chunk]);
+    const bytes = Buffer.concat([trailing, chunk]);
     let offset = 0;
     for (;;) {
       const record = records.decodeRecord(bytes, offset);
@@ -53,8 +58,8 @@
       onPayload(record.payload);
       offset = record.end;
     }
-    wholeBytes += offset;
-    rest = bytes.subarray(offset);
+    validBytes += offset;
+    trailing = bytes.subarray(offset);
   }
 }
 
--- a/src/storage/durable_log.ts
+++ b/src/storage/durable_log.ts
@@ -3,36 +3,36 @@
 import * as path from "node:path";
 import * as results from "../results/mod.ts";
 import * as readRecords from "./_read_records.ts";
-import * as encodings from "./_encode_records.ts";
+import * as encodeRecords from "./_encode_records.ts";
 
 const FORMAT_VERSION = 3;
-/** Format before, in which each record of a write stands by itself. */
-const SINGLE_RECORDS_VERSION = 2;
-/** A snapshot that is being written; nothing reads it before its rename. */
+/** Previous format, which has no batches: each value is a record of its own. */
+const UNBATCHED_FORMAT_VERSION = 2;
+/** File name of a snapshot until it is complete. */
 const DRAFT_NAME = "snapshot.draft";
 
-/** First record of each log file. */
+/** First record of a log file. */
 interface FileHeader {
   readonly format: number;
   readonly owner: string;
 }
 
-/** A state in parts, so that none is held as one text. */
+/** A snapshot in parts, so that it is never encoded as one string. */
 export interface StoredSnapshot {
-  /** What the snapshot is of. */
+  /** Metadata of the snapshot. */
   readonly head: unknown;
   readonly parts: readonly unknown[];
 }
 
-/** What a data folder held when it was opened. */
+/** The content of a data folder when it was opened. */
 export interface LoadedLog {
   readonly snapshot: StoredSnapshot | undefined;
   readonly records: readonly unknown[];
-  /** Bytes of a torn tail that were cut off. */
+  /** Length of the torn tail that was truncated, in bytes. */
   readonly tornBytes: number;
 }
 
-/** A log with its content. */
+/** A log and its content. */
 export interface OpenedLog {
   readonly log: DurableLog;
   readonly loaded: LoadedLog;
@@ -53,16 +53,17 @@
 }
 
 /**
- * An append-only log with snapshots in one folder. Generation g is the file
- * `log.g` on top of `snapshot.g`; the rename of a new snapshot starts the next.
+ * An append-only log with snapshots in a folder. Generation g consists of
+ * `snapshot.g` (none for generation 0) and `log.g`, whose records follow it. A new
+ * generation starts when its snapshot is renamed into place.
  */
 export class DurableLog {
   readonly #folder: string;
   readonly #owner: string;
   #generation: number;
   #file: fsPromises.FileHandle;
-  /** Bytes of the log file that are whole records. */
-  #wholeBytes: number;
+  /** Length of the log file without a failed append, in bytes. */
+  #validBytes: number;
 
   private constructor(
     folder: string,
@@ -70,7 +71,7 @@
     generation: number,
     file: fsPromises.FileHandle,
   ) {
-    this.#wholeBytes = fs.fstatSync(file.fd).size;
+    this.#validBytes = fs.fstatSync(file.fd).size;
     this.#folder = folder;
     this.#owner = owner;
     this.#generation = generation;
@@ -78,26 +79,26 @@
   }
 
   /**
-   * Opens a data folder, repairing a torn tail.
+   * Opens a data folder and truncates a torn tail of its log.
    *
-   * @param folder The data folder; made if missing.
-   * @param owner Id of the box; a folder of another box is refused.
+   * @param folder The data folder; created if missing.
+   * @param owner Id of the box that owns the folder.
    * @throws FailureError `corruptLog` or `wrongFolder`.
    */
   static async open(folder: string, owner: string): Promise<OpenedLog> {
     fs.mkdirSync(folder, { recursive: true });
     const generation = findGeneration(folder);
-    const name = path.join(folder, `log.${generation}`);
-    if (!fs.existsSync(name)) createFile(name, owner, []);
-    const read = readLog(name, owner);
+    const filePath = path.join(folder, `log.${generation}`);
+    if (!fs.existsSync(filePath)) createLogFile(filePath, owner, []);
+    const read = readLog(filePath, owner);
     const snapshot = readSnapshot(folder, generation);
-    if (read.tornBytes > 0) cutTail(name, read.wholeBytes);
-    // A process of the former version must not pass over what comes in this one.
-    if (read.isFormer) createFile(name, owner, read.records);
+    if (read.tornBytes > 0) truncateFile(filePath, read.validBytes);
+    // An older release would ignore batches, so it must not open the file again.
+    if (read.isPreviousFormat) createLogFile(filePath, owner, read.records);
     syncFolder(folder);
-    const file = await fsPromises.open(name, "a");
-    // A write whose process ended before its sync is read like any other; vouched
-    // for again and then lost with the power, it would never be sent anew.
+    const file = await fsPromises.open(filePath, "a");
+    // The last write may not have been synced when its process ended. Its records
+    // may be acknowledged from now on, so they must survive a power failure.
     await file.datasync();
     const log = new DurableLog(folder, owner, generation, file);
     return {
@@ -107,58 +108,57 @@
   }
 
   /**
-   * Appends records; they last once the promise resolves. A failed append
-   * leaves the log as it was, so that it can be tried again.
+   * Appends records; they are durable once the promise resolves. A failed append
+   * leaves the log unchanged and may be retried.
    *
-   * All records of a write stand under one checksum: pages of an unsynced write
-   * reach the disk in any order, and a whole record after a lost one would look
-   * like damage of what was confirmed, after which a box never starts again. Each
-   * write is synced before the next, so that at most one is torn.
+   * Each write has a single checksum: the pages of an unsynced write reach the
+   * disk in any order, and a valid record after a lost one would be taken for
+   * corruption. Each write is synced before the next, so at most one is torn.
    *
    * @throws The error of the file system.
    */
   async append(records: readonly unknown[]): Promise<void> {
-    let wholeBytes = this.#wholeBytes;
+    let validBytes = this.#validBytes;
     try {
-      for (const bytes of encodings.collectWrites(records)) {
+      for (const bytes of encodeRecords.encodeBatches(records)) {
         await this.#file.appendFile(bytes);
         await this.#file.datasync();
-        wholeBytes += bytes.length;
+        validBytes += bytes.length;
       }
     } catch (error) {
-      await this.#file.truncate(this.#wholeBytes);
+      await this.#file.truncate(this.#validBytes);
       throw error;
     }
-    this.#wholeBytes = wholeBytes;
+    this.#validBytes = validBytes;
   }
 
   /**
-   * Replaces all that came before by a snapshot and the records that follow it.
+   * Replaces the log with a snapshot and the records that follow it.
    *
-   * @param snapshot The state.
-   * @param records What the new log begins with.
+   * @param snapshot The snapshot.
+   * @param records First records of the new log.
    */
   async compact(
     snapshot: StoredSnapshot,
     records: readonly unknown[],
   ): Promise<void> {
-    await this.writeDraft(snapshot);
-    await this.takeDraft(records);
+    await this.writeSnapshotDraft(snapshot);
+    await this.installSnapshotDraft(records);
   }
 
   /**
-   * Writes a snapshot part by part, beside the log, which takes records
-   * meanwhile. It holds nothing until `takeDraft`.
+   * Writes a snapshot part by part without installing it. Records may be appended
+   * in the meantime.
    *
-   * @param snapshot The state; it must not change meanwhile.
+   * @param snapshot The snapshot; must not change until the promise resolves.
    */
-  async writeDraft(snapshot: StoredSnapshot): Promise<void> {
+  async writeSnapshotDraft(snapshot: StoredSnapshot): Promise<void> {
     const { head, parts } = snapshot;
-    const name = path.join(this.#folder, DRAFT_NAME);
-    const file = await fsPromises.open(name, "w");
+    const filePath = path.join(this.#folder, DRAFT_NAME);
+    const file = await fsPromises.open(filePath, "w");
     try {
-      const first: SnapshotHeader = { head, parts: parts.length };
-      for (const bytes of encodings.collectBytes([first, ...parts])) {
+      const header: SnapshotHeader = { head, parts: parts.length };
+      for (const bytes of encodeRecords.encodeChunks([header, ...parts])) {
         await file.appendFile(bytes);
       }
       await file.datasync();
@@ -168,14 +168,14 @@
   }
 
   /**
-   * Puts the written snapshot in the place of the log.
+   * Replaces the log with the snapshot written by `writeSnapshotDraft`.
    *
-   * @param records What the new log begins with: all that follows the snapshot.
+   * @param records First records of the new log: all that follow the snapshot.
    */
-  async takeDraft(records: readonly unknown[]): Promise<void> {
+  async installSnapshotDraft(records: readonly unknown[]): Promise<void> {
     const next = this.#generation + 1;
-    const logName = path.join(this.#folder, `log.${next}`);
-    createFile(logName, this.#owner, records);
+    const logPath = path.join(this.#folder, `log.${next}`);
+    createLogFile(logPath, this.#owner, records);
     syncFolder(this.#folder);
     fs.renameSync(
       path.join(this.#folder, DRAFT_NAME),
@@ -183,8 +183,8 @@
     );
     syncFolder(this.#folder);
     await this.#file.close();
-    this.#file = await fsPromises.open(logName, "a");
-    this.#wholeBytes = fs.fstatSync(this.#file.fd).size;
+    this.#file = await fsPromises.open(logPath, "a");
+    this.#validBytes = fs.fstatSync(this.#file.fd).size;
     this.#removeGeneration(this.#generation);
     this.#generation = next;
   }
@@ -202,26 +202,27 @@
   }
 }
 
-/** First record of a snapshot file; its parts follow. */
+/** First record of a snapshot file, followed by the parts. */
 interface SnapshotHeader {
   readonly head: unknown;
+  /** Number of parts. */
   readonly parts: number;
 }
 
-/** Writes a log file whole or not at all. */
-function createFile(
-  name: string,
+/** Creates a log file atomically. */
+function createLogFile(
+  filePath: string,
   owner: string,
   records: readonly unknown[],
 ): void {
   const header: FileHeader = { format: FORMAT_VERSION, owner };
-  const descriptor = fs.openSync(`${name}.tmp`, "w");
-  for (const bytes of encodings.collectBytes([header, ...records])) {
+  const descriptor = fs.openSync(`${filePath}.tmp`, "w");
+  for (const bytes of encodeRecords.encodeChunks([header, ...records])) {
     fs.writeFileSync(descriptor, bytes);
   }
   fs.fsyncSync(descriptor);
   fs.closeSync(descriptor);
-  fs.renameSync(`${name}.tmp`, name);
+  fs.renameSync(`${filePath}.tmp`, filePath);
 }
 
 function readSnapshot(
@@ -229,46 +230,46 @@
   generation: number,
 ): StoredSnapshot | undefined {
   if (generation === 0) return undefined;
-  const name = path.join(folder, `snapshot.${generation}`);
+  const filePath = path.join(folder, `snapshot.${generation}`);
   const values: unknown[] = [];
-  const end = readRecords.readRecords(
-    name,
+  const summary = readRecords.readRecords(
+    filePath,
     (payload) => values.push(parsePayload(payload)),
   );
   const header = values[0] as SnapshotHeader | undefined;
   const parts = values.slice(1);
   if (header === undefined || parts.length !== header.parts) {
-    throw createCorruptError(name, end.wholeBytes);
+    throw createCorruptError(filePath, summary.validBytes);
   }
   return { head: header.head, parts };
 }
 
-interface ReadFile {
+interface ReadLogFile {
   readonly records: readonly unknown[];
-  readonly wholeBytes: number;
+  readonly validBytes: number;
   readonly tornBytes: number;
-  /** Whether the file has the format before. */
-  readonly isFormer: boolean;
+  /** Whether the file has the previous format. */
+  readonly isPreviousFormat: boolean;
 }
 
-function readLog(name: string, owner: string): ReadFile {
+function readLog(filePath: string, owner: string): ReadLogFile {
   const values: unknown[] = [];
-  const { wholeBytes, restBytes, isDamaged } = readRecords.readRecords(
-    name,
+  const { validBytes, trailingBytes, isCorrupt } = readRecords.readRecords(
+    filePath,
     (payload) => {
       const value = parsePayload(payload);
       if (Array.isArray(value)) values.push(...value);
       else values.push(value);
     },
   );
-  if (isDamaged) throw createCorruptError(name, wholeBytes);
+  if (isCorrupt) throw createCorruptError(filePath, validBytes);
   const header = values[0] as FileHeader | undefined;
-  checkHeader(header, name, owner);
+  checkHeader(header, filePath, owner);
   return {
     records: values.slice(1),
-    wholeBytes,
-    tornBytes: restBytes,
-    isFormer: header?.format !== FORMAT_VERSION,
+    validBytes,
+    tornBytes: trailingBytes,
+    isPreviousFormat: header?.format !== FORMAT_VERSION,
   };
 }
 
@@ -278,36 +279,36 @@
 
 function checkHeader(
   header: FileHeader | undefined,
-  name: string,
+  filePath: string,
   owner: string,
 ): void {
-  if (header === undefined) throw createCorruptError(name, 0);
-  const isKnown = header.format === FORMAT_VERSION ||
-    header.format === SINGLE_RECORDS_VERSION;
-  if (isKnown && header.owner === owner) return;
+  if (header === undefined) throw createCorruptError(filePath, 0);
+  const isKnownFormat = header.format === FORMAT_VERSION ||
+    header.format === UNBATCHED_FORMAT_VERSION;
+  if (isKnownFormat && header.owner === owner) return;
   throw new results.FailureError({
     code: "wrongFolder",
     message:
-      `Cannot open the data folder: ${name} has format ${header.format} and belongs to box ${header.owner}`,
+      `Cannot open the data folder: ${filePath} has format ${header.format} and belongs to box ${header.owner}`,
     outcome: "notRun",
   });
 }
 
-function cutTail(name: string, length: number): void {
-  const descriptor = fs.openSync(name, "r+");
+function truncateFile(filePath: string, length: number): void {
+  const descriptor = fs.openSync(filePath, "r+");
   fs.ftruncateSync(descriptor, length);
   fs.fsyncSync(descriptor);
   fs.closeSync(descriptor);
 }
 
 function createCorruptError(
-  name: string,
+  filePath: string,
   offset: number,
 ): results.FailureError {
   return new results.FailureError({
     code: "corruptLog",
     message:
-      `Cannot open the data folder: ${name} is damaged at byte ${offset} and has whole records after it`,
+      `Cannot open the data folder: ${filePath} is corrupt at byte ${offset}`,
     outcome: "notRun",
   });
 }
--- a/src/usage/usage_recorder.ts
+++ b/src/usage/usage_recorder.ts
@@ -10,7 +10,7 @@
  */
 const SEND_INTERVAL_MS = 300;
 /** Timeouts of sending the totals: in all, and for each attempt, in ms. */
-const CALL_TIMES: replicaGroups.CallTimes = { totalMs: 1_500, tryMs: 600 };
+const CALL_TIMES: replicaGroups.CallTimeouts = { totalMs: 1_500, tryMs: 600 };
 
 /** Dependencies of a usage recorder. */
 export interface UsageRecorderOptions {
