--- a/src/consensus/append_window_test.ts
+++ b/src/consensus/append_window_test.ts
@@ -7,12 +7,12 @@
 
 const ENTRIES = 2_000;
 const BATCH = leaderFixtures.CONFIG.maxBatchEntries;
-/** A leader keeps its authority throughout. */
+/** Long enough for the leader to keep its lease throughout. */
 const ELECTION_TIMEOUT_MS = 60_000;
 const ADMITTED = { incarnation: 0, isAdmitted: true };
 const UNADMITTED = { incarnation: 1, isAdmitted: false };
 
-/** A leader with a long log, and what it sends to one follower. */
+/** A leader with a long log that counts the entries sent to follower b. */
 class LeaderHarness {
   #state: replicaStates.ReplicaState;
   #nowMs = 1_000;
@@ -39,7 +39,7 @@
     return this.#nowMs;
   }
 
-  /** @returns Entries sent to b by this step. */
+  /** @returns The number of entries sent to b by this step. */
   step(event: replicaStates.ReplicaEvent): number {
     this.#nowMs += 1;
     const { state, effects } = stepReplica.stepReplica(
@@ -58,6 +58,7 @@
     );
   }
 
+  /** @returns The number of entries sent to b after its reply. */
   receiveReply(reply: Partial<messages.AppendReply>): number {
     return this.step({
       kind: "message",
@@ -75,8 +76,8 @@
   }
 }
 
-describe("feeding a replica that lost its disk", () => {
-  it("has two batches on their way, whatever is proposed meanwhile", () => {
+describe("append window", () => {
+  it("keeps at most two batches in flight to an unadmitted follower", () => {
     const leader = new LeaderHarness();
     let sent = leader.receiveReply({ isMatch: false });
     for (let round = 0; round < 50; round += 1) {
@@ -86,7 +87,7 @@
     chai.expect(sent).to.equal(2 * BATCH);
   });
 
-  it("sends the next batch once one is confirmed", () => {
+  it("sends the next batch once one is acknowledged", () => {
     const leader = new LeaderHarness();
     leader.receiveReply({ isMatch: false });
     leader.step({ kind: "tick" });
@@ -94,7 +95,7 @@
     chai.expect(leader.receiveReply({ index: BATCH })).to.equal(BATCH);
   });
 
-  it("goes back once for all that was sent before", () => {
+  it("resends only once for rejections of messages sent before", () => {
     const leader = new LeaderHarness();
     const sentAtMs = leader.getNowMs();
     leader.receiveReply({ isMatch: false, sentAtMs });
@@ -104,14 +105,14 @@
     chai.expect(resent).to.equal(0);
   });
 
-  it("goes back again where entries were lost on their way", () => {
+  it("resends again when entries were lost in transit", () => {
     const leader = new LeaderHarness();
     leader.receiveReply({ isMatch: false });
     leader.step({ kind: "propose", commands: ["x"] });
     chai.expect(leader.receiveReply({ isMatch: false })).to.equal(BATCH);
   });
 
-  it("does not hold back entries from a follower that counts", () => {
+  it("does not delay entries for an admitted follower", () => {
     const leader = new LeaderHarness();
     let sent = leader.receiveReply({ index: ENTRIES, identity: ADMITTED });
     for (let round = 0; round < 50; round += 1) {
--- a/src/consensus/catch_up_monitor_test.ts
+++ b/src/consensus/catch_up_monitor_test.ts
@@ -3,7 +3,7 @@
 import * as replicaLogs from "./replica_log.ts";
 import type * as replicaStates from "./replica_state.ts";
 
-describe("watch over feeding", () => {
+describe("catch-up monitor", () => {
   function appendEntries(
     state: replicaStates.ReplicaState,
     count: number,
@@ -16,7 +16,7 @@
     return { ...state, log: replicaLogs.appendEntries(state.log, entries) };
   }
 
-  it("tells once that a follower counts which this leader fed, and how long", () => {
+  it("reports once that a follower was admitted, with its catch-up time", () => {
     const leader = fixtures.createLeader();
     const recorder = new fixtures.NoticeRecorder(leader);
     recorder.observe(leader, true);
@@ -45,7 +45,7 @@
     }]);
   });
 
-  it("tells of a follower that lost its disk and counts between two looks", () => {
+  it("reports a follower that was wiped and admitted between two observations", () => {
     const leader = fixtures.createLeader();
     const recorder = new fixtures.NoticeRecorder(leader);
     recorder.observe(leader, true);
@@ -58,7 +58,7 @@
     chai.expect(notice?.fedMs).to.equal(0);
   });
 
-  it("tells nothing of a follower that counts when a new leader first hears it", () => {
+  it("does not report a follower that was admitted before its first reply", () => {
     const leader = fixtures.createLeader();
     const recorder = new fixtures.NoticeRecorder(leader);
     const unanswered = fixtures.changeProgress(leader, {
@@ -73,7 +73,7 @@
     chai.expect(recorder.listByKind("followerAdmitted")).to.deep.equal([]);
   });
 
-  it("tells each second how far the followers are that do not count", () => {
+  it("reports the progress of unadmitted followers every second", () => {
     const leader = appendEntries(fixtures.createLeader(), 100);
     const recorder = new fixtures.NoticeRecorder(leader);
     const unadmitted = { identity: fixtures.UNADMITTED, matchIndex: 0 };
@@ -122,7 +122,7 @@
       ]);
   });
 
-  it("tells of a voter that has never answered this leader", () => {
+  it("reports a voter that has never replied to this leader", () => {
     const leader = fixtures.createLeader();
     const unanswered = fixtures.changeProgress(leader, {
       answeredSentAtMs: Number.NEGATIVE_INFINITY,
@@ -141,7 +141,7 @@
       ]);
   });
 
-  it("tells nothing of feeding while all followers count, nor without the lead", () => {
+  it("reports no catch-up after losing leadership or once all are admitted", () => {
     const leader = fixtures.createLeader();
     const recorder = new fixtures.NoticeRecorder(leader);
     const unadmitted = fixtures.changeProgress(leader, {
--- a/src/consensus/clock_step_test.ts
+++ b/src/consensus/clock_step_test.ts
@@ -6,12 +6,9 @@
 import * as stepReplica from "./step_replica.ts";
 
 /*
- * A replica takes the time of day of its first start as its incarnation. Where that
- * clock was stepped back before its disk was lost, the emptied replica has a
- * smaller incarnation than its former self; the leader takes each of its answers
- * for a late one of the former self and passes it over. The replica then counts
- * for as long as that leader leads as silent and empty: with three boxes and no
- * spare nothing replaces it, and the next lost disk leaves one voter of three.
+ * A wiped replica whose clock was stepped back gets a smaller incarnation than
+ * before, and the leader ignored its replies as stale ones: the replica was never
+ * caught up while that leader kept the leadership.
  */
 
 const ENTRIES = 40;
@@ -19,7 +16,7 @@
 const STEPPED_BACK_INCARNATION = 3_000;
 const ROUNDS = 40;
 const ROUND_MS = 20;
-/** The leader keeps its authority throughout. */
+/** Long enough for the leader to keep its lease throughout. */
 const ELECTION_TIMEOUT_MS = 60_000;
 
 /** A leader that has committed all entries, the last one in its own term. */
@@ -37,7 +34,9 @@
       })),
     ),
   });
-  if (leader.role.kind !== "leader") throw new Error("a does not lead");
+  if (leader.role.kind !== "leader") {
+    throw new Error("replica a is not the leader");
+  }
   return {
     ...leader,
     commitIndex: ENTRIES,
@@ -46,6 +45,7 @@
   };
 }
 
+/** Creates replica b with an empty log and a smaller incarnation than before. */
 function createWipedFollower(): replicaStates.ReplicaState {
   return stepReplica.createReplica(
     { ...leaderFixtures.CONFIG, id: "b" },
@@ -59,7 +59,7 @@
   );
 }
 
-/** Steps a replica; gives what it sends to another one. */
+/** Steps a replica and returns the messages that it sends to one peer. */
 function step(
   state: replicaStates.ReplicaState,
   event: replicaStates.ReplicaEvent,
@@ -76,8 +76,8 @@
   return { state: next.state, sent };
 }
 
-describe("a replica whose clock was stepped back before its disk was lost", () => {
-  it("is fed and counts again under the same leader", () => {
+describe("wiped replica whose clock was stepped back", () => {
+  it("catches up and is admitted again by the same leader", () => {
     let leader = createLeader();
     let follower = createWipedFollower();
     let toLeader: readonly messages.Message[] = [];
@@ -102,7 +102,9 @@
     }
     chai.expect(replicaLogs.getLastIndex(follower.log)).to.equal(ENTRIES);
     chai.expect(follower.identity.isAdmitted).to.equal(true);
-    if (leader.role.kind !== "leader") throw new Error("a leads no more");
+    if (leader.role.kind !== "leader") {
+      throw new Error("replica a is no longer the leader");
+    }
     const progress = leader.role.progress.get("b");
     chai.expect(progress?.matchIndex).to.equal(ENTRIES);
     chai.expect(progress?.identity).to.deep.equal(follower.identity);
--- a/src/consensus/commit_delay_test.ts
+++ b/src/consensus/commit_delay_test.ts
@@ -4,8 +4,8 @@
 import type * as replicaStates from "./replica_state.ts";
 import * as stepReplica from "./step_replica.ts";
 
-describe("news of a commit", () => {
-  it("tells followers of a commit long before the next heartbeat is due", () => {
+describe("commit index propagation", () => {
+  it("sends a new commit index well before the next heartbeat is due", () => {
     const config = {
       ...leaderFixtures.CONFIG,
       heartbeatMs: 90,
--- a/src/consensus/consensus_test.ts
+++ b/src/consensus/consensus_test.ts
@@ -6,11 +6,11 @@
 import * as simulations from "./simulation_test.ts";
 import * as stepReplica from "./step_replica.ts";
 
-/** Schedules of handovers; how many meet a leader is chance. */
+/** Number of schedules with leadership transfers. */
 const TRANSFER_SEEDS = 12;
 
 describe("consensus", () => {
-  it("elects one leader and commits while nothing fails", () => {
+  it("elects one leader and commits entries while nothing fails", () => {
     const result = new simulations.Simulation({
       ...schedules.FAULT_FREE,
       seed: 1,
@@ -20,7 +20,7 @@
     chai.expect(result.committed).to.be.greaterThan(50);
   });
 
-  it(`keeps every invariant over ${schedules.SCHEDULE_COUNT} schedules of 3 and 5 replicas`, () => {
+  it(`keeps every invariant in ${schedules.SCHEDULE_COUNT} fault schedules with 3 and 5 replicas`, () => {
     let committed = 0;
     for (let seed = 1; seed <= schedules.SCHEDULE_COUNT; seed += 1) {
       const replicas = seed % 2 === 0 ? 3 : 5;
@@ -32,7 +32,7 @@
     chai.expect(committed).to.be.greaterThan(schedules.SCHEDULE_COUNT * 10);
   });
 
-  it("does not vote for one election timeout after a restart", () => {
+  it("does not vote within one election timeout after a restart", () => {
     const state = stepReplica.createReplica(
       leaderFixtures.CONFIG,
       stepReplica.EMPTY_REPLICA,
@@ -53,7 +53,7 @@
       .equal("b");
   });
 
-  describe("a replica that was restarted", () => {
+  describe("restarted replica", () => {
     const IDENTITY = { incarnation: 0, isAdmitted: true };
     const termStart = { kind: "noOperation", leader: "b" };
     const saved = {
@@ -69,6 +69,7 @@
       },
     };
 
+    /** Whether the replica grants a pre-vote to a candidate. */
     function requestPreVote(
       from: string,
       state: replicaStates.ReplicaState,
@@ -93,7 +94,7 @@
       );
     }
 
-    it("votes at once for the leader it followed, and for no other", () => {
+    it("grants a pre-vote at once only to the leader that it followed", () => {
       const state = stepReplica.createReplica(
         leaderFixtures.CONFIG,
         saved,
@@ -103,7 +104,7 @@
       chai.expect(requestPreVote("c", state, 1_010)).to.equal(false);
     });
 
-    it("votes for none at once where a later term may have had a leader", () => {
+    it("grants no pre-vote at once if a later term may have had a leader", () => {
       const later = { ...saved, term: 5, votedFor: "b" };
       const state = stepReplica.createReplica(
         leaderFixtures.CONFIG,
@@ -113,7 +114,7 @@
       chai.expect(requestPreVote("b", state, 1_010)).to.equal(false);
     });
 
-    it("hurries to lead where it led, for one election timeout", () => {
+    it("starts early elections for one election timeout if it was the leader", () => {
       const formerLeader = stepReplica.createReplica(
         { ...leaderFixtures.CONFIG, id: "b" },
         saved,
@@ -142,7 +143,7 @@
     });
   });
 
-  it("keeps confirmed entries after a snapshot that comes late", () => {
+  it("keeps acknowledged entries when a stale snapshot arrives", () => {
     const entries = [1, 2, 3].map((index) => ({
       index,
       term: 1,
@@ -217,7 +218,7 @@
     chai.expect(transition.state.commitIndex).to.equal(0);
   });
 
-  it("hands leadership over without a pause and without two leaders", () => {
+  it("transfers leadership without an outage and without two leaders", () => {
     let leaders = 0;
     for (let seed = 1; seed <= TRANSFER_SEEDS; seed += 1) {
       const schedule = { ...schedules.FAULT_FREE, transferChance: 20, seed };
@@ -228,7 +229,7 @@
     chai.expect(leaders).to.be.greaterThan(4 * TRANSFER_SEEDS);
   });
 
-  it("hands leadership to the named follower only", () => {
+  it("transfers leadership only to the requested follower", () => {
     const saved = { ...stepReplica.EMPTY_REPLICA, term: 4 };
     const leader = leaderFixtures.createLeader(saved);
     const unknownTarget = stepReplica.stepReplica(
@@ -248,7 +249,7 @@
       .deep.equal(["c"]);
   });
 
-  it("ignores a handover of an earlier term, when another may lead", () => {
+  it("ignores a transfer request of an earlier term", () => {
     const saved = { ...stepReplica.EMPTY_REPLICA, term: 4 };
     const state = stepReplica.createReplica(leaderFixtures.CONFIG, saved, 0);
     const message = { kind: "transferRequest", term: 3 } as const;
@@ -261,7 +262,7 @@
       .equal("candidate");
   });
 
-  it("loses nothing when disks come back empty, one after another", () => {
+  it("keeps every invariant while disks are wiped one after another", () => {
     let committed = 0;
     for (let seed = 1; seed <= schedules.SCHEDULE_COUNT; seed += 1) {
       const replicas = seed % 2 === 0 ? 3 : 5;
@@ -271,7 +272,7 @@
     chai.expect(committed).to.be.greaterThan(schedules.SCHEDULE_COUNT * 10);
   });
 
-  it("loses nothing when clocks are stepped back before disks come back empty", () => {
+  it("keeps every invariant while clocks step back before disks are wiped", () => {
     let committed = 0;
     for (let seed = 1; seed <= schedules.SCHEDULE_COUNT; seed += 1) {
       const replicas = seed % 2 === 0 ? 3 : 5;
--- a/src/consensus/durable_writer_test.ts
+++ b/src/consensus/durable_writer_test.ts
@@ -5,7 +5,7 @@
 import * as durableWriters from "./_durable_writer.ts";
 
 describe("durable writer", () => {
-  it("tells how long the write under way has lasted", async () => {
+  it("returns the duration of the write in progress", async () => {
     let finish: () => void = () => {};
     const log = {
       append: () => new Promise<void>((resolve) => (finish = resolve)),
--- a/src/consensus/election_delay_test.ts
+++ b/src/consensus/election_delay_test.ts
@@ -4,19 +4,15 @@
 import * as stepReplica from "./step_replica.ts";
 
 /*
- * Two voters that were left without a leader asked to lead at the same
- * millisecond, each voted for itself, and both waited for the same time before
- * they asked again: 356 candidacies in 120 s and no leader (simulated clock,
- * equal starts). The delays are drawn from a generator that is made anew from
- * the seed and a count, and whose first number is the seed's complement: each
- * delay is the one before less 1 ms, and replicas whose seeds leave the same
- * rest (one pair of 451) draw the same ones for ever.
+ * Election delays were a fixed sequence: each was 1 ms shorter than the one before,
+ * and some pairs of seeds gave equal sequences. Two candidates then split the vote
+ * at every attempt.
  */
 
 const TIMEOUT_MS = 450;
 const DRAWS = 60;
 
-/** Draws election delays of a replica, one for each heartbeat. */
+/** Draws the election delays of a replica, in ms, one for each heartbeat. */
 function drawDelays(seed: number): readonly number[] {
   const config: replicaStates.ReplicaConfig = {
     id: "a",
@@ -56,18 +52,21 @@
 }
 
 describe("election delays", () => {
-  it("do not follow from the one before", () => {
+  it("do not change by a constant step", () => {
     const delays = drawDelays(1);
     const steps = delays.slice(1).map((delay, at) => delay - (delays[at] ?? 0));
     chai.expect(countDistinct(steps), steps.slice(0, 8).join(" ")).to.be
       .greaterThan(DRAWS / 2);
   });
 
-  it("of two replicas keep no distance", () => {
+  it("of two replicas do not differ by a constant", () => {
     for (let other = 2; other < 1_000; other += 1) {
       const delays = drawDelays(other);
       const gaps = drawDelays(1).map((delay, at) => delay - (delays[at] ?? 0));
-      chai.expect(countDistinct(gaps), `seeds 1 and ${other}: gap ${gaps[0]}`)
+      chai.expect(
+        countDistinct(gaps),
+        `seeds 1 and ${other}: first difference ${gaps[0]} ms`,
+      )
         .to.be.greaterThan(DRAWS / 2);
     }
   });
--- a/src/consensus/fake_network_test.ts
+++ b/src/consensus/fake_network_test.ts
@@ -1,12 +1,12 @@
 import type * as messages from "./message.ts";
 
-/** What a fake network does to messages; chances out of 1,000. */
+/** Faults of a fake network, as probabilities per message out of 1,000. */
 export interface NetworkOptions {
   readonly lossChance: number;
   readonly repeatChance: number;
 }
 
-/** A message between two replicas. */
+/** A message with its sender and receiver. */
 export interface Envelope {
   readonly from: string;
   readonly to: string;
@@ -19,23 +19,27 @@
 
 const MAX_SHORT_DELAY_MS = 8;
 const MAX_LONG_DELAY_MS = 200;
+/** Probability of a long delay, out of 1,000. */
 const LONG_DELAY_CHANCE = 100;
 const PER_MILLE = 1_000;
 
-/** A network that loses, repeats, delays and reorders messages. */
+/** A network that loses, duplicates, delays and reorders messages. */
 export class FakeNetwork {
   readonly #options: NetworkOptions;
   readonly #draw: (max: number) => number;
   #inFlight: readonly InFlightMessage[] = [];
   #cutLinks: ReadonlySet<string> = new Set();
 
-  /** @param draw Gives a whole number from 0 to its argument. */
+  /** @param draw Returns a random integer from 0 to its argument, inclusive. */
   constructor(options: NetworkOptions, draw: (max: number) => number) {
     this.#options = options;
     this.#draw = draw;
   }
 
-  /** Cuts the links between one replica and others; heals all if any are cut. */
+  /**
+   * Cuts the links between one replica and its peers in both directions. If any
+   * links are cut already, restores all instead.
+   */
   changePartition(
     victim: string | undefined,
     peers: readonly (string | undefined)[],
@@ -62,7 +66,7 @@
     }
   }
 
-  /** Takes the messages that arrive by now. */
+  /** Removes and returns the messages that are due. */
   takeDue(nowMs: number): readonly Envelope[] {
     const due = this.#inFlight.filter((message) => message.dueMs <= nowMs);
     this.#inFlight = this.#inFlight.filter((message) => message.dueMs > nowMs);
--- a/src/consensus/handover_test.ts
+++ b/src/consensus/handover_test.ts
@@ -5,17 +5,17 @@
 import * as stepReplica from "./step_replica.ts";
 
 /*
- * A leader that is to be emptied asks to hand over at each look, and holds back
- * commands for up to half a second so that a successor gets every entry. Where none
- * gets them in that time, holding back again at once would serve nobody for as
- * long as the successor is slow.
+ * A leader that is asked to hand over pauses proposals for a short time so that a
+ * successor can catch up. If none does, pausing again at once would reject commands
+ * for as long as the successor is slow.
  */
 
+/** Interval between requests to hand over, in ms. */
 const REQUEST_INTERVAL_MS = 100;
 const DURATION_MS = 10_000;
 
-describe("a leader whose successor does not catch up", () => {
-  it("holds back commands for a third of the time at most", () => {
+describe("leader whose successor does not catch up", () => {
+  it("pauses proposals for at most a third of the time", () => {
     const leader = leaderFixtures.createLeader({
       ...stepReplica.EMPTY_REPLICA,
       term: 1,
--- a/src/consensus/large_log_test.ts
+++ b/src/consensus/large_log_test.ts
@@ -7,30 +7,29 @@
 import * as replicaDrivers from "./replica_driver.ts";
 
 /*
- * A log was cut after so many entries, whatever their size. With entries of 98 KB
- * it held 70 MB before the first cut; the leader, with 140 MB of heap, ran out of
- * memory while it fed a replica that had lost its disk ("JavaScript heap out of
- * memory"), and two of three voters were left, one of them not admitted.
+ * Compacting the log by its number of entries alone let large entries use up the
+ * heap of a leader before the first compaction.
  */
 
 const COMMANDS = 80;
 const COMMAND_BYTES = 1024 * 1024;
-/** Largest log with the snapshot beside it, in bytes. */
+/** Largest allowed size of the log and the snapshot together, in bytes. */
 const MAX_FOLDER_BYTES = 48 * 1024 * 1024;
 const RETRY_INTERVAL_MS = 10;
 const PROPOSAL_TIMEOUT_MS = 5_000;
 
+/** Sums the sizes of the files in a folder. */
 function measureFolderBytes(folder: string): number {
   return fs.readdirSync(folder)
     .reduce((sum, name) => sum + fs.statSync(path.join(folder, name)).size, 0);
 }
 
-describe("a log of large entries", () => {
+describe("log of large entries", () => {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), "hoistscale-large-"));
 
   after(() => fs.rmSync(folder, { recursive: true, force: true }));
 
-  it("is cut by its bytes, long before it holds as many entries", async () => {
+  it("is compacted by its size in bytes before it reaches the entry limit", async () => {
     await initializeDataFolder.makeDataFolder({
       folder,
       owner: "a",
--- a/src/consensus/leader_fixture_test.ts
+++ b/src/consensus/leader_fixture_test.ts
@@ -2,7 +2,7 @@
 import type * as replicaStates from "./replica_state.ts";
 import * as stepReplica from "./step_replica.ts";
 
-/** Three voters, of which this one is a. */
+/** Configuration of replica a in a group of three voters. */
 export const CONFIG: replicaStates.ReplicaConfig = {
   id: "a",
   voters: ["a", "b", "c"],
@@ -12,7 +12,10 @@
   seed: 1,
 };
 
-/** Makes replica a lead over b and c, which hold all that it holds. */
+/**
+ * Creates replica a as the leader of b and c, whose logs match its own and who are
+ * admitted.
+ */
 export function createLeader(
   saved: Parameters<typeof stepReplica.createReplica>[1],
 ): replicaStates.ReplicaState {
--- a/src/consensus/leader_monitor_test.ts
+++ b/src/consensus/leader_monitor_test.ts
@@ -4,8 +4,8 @@
 import type * as notices from "./replica_notice.ts";
 import type * as replicaStates from "./replica_state.ts";
 
-describe("watch for a leader", () => {
-  it("tells each 2 s that no leader is known, with the last answer of each voter", () => {
+describe("leader monitor", () => {
+  it("reports every 2 s that no leader is known, with the last vote replies", () => {
     const candidate: replicaStates.ReplicaState = {
       ...fixtures.createFollower(fixtures.ADMITTED),
       role: { kind: "preCandidate", votes: new Set(["a"]) },
@@ -59,7 +59,7 @@
     });
   });
 
-  it("tells anew from the time at which a leader was known last", () => {
+  it("measures from the last contact with a leader", () => {
     const follower = fixtures.createFollower(fixtures.ADMITTED);
     const recorder = new fixtures.NoticeRecorder(follower);
     recorder.clock.extendBy(1_900);
@@ -76,7 +76,7 @@
     chai.expect(recorder.listByKind("leaderless")).to.have.length(1);
   });
 
-  it("tells of a leader that gains no authority, but not of one that has it", () => {
+  it("reports a leader without authority, but not one that has it", () => {
     const leader = fixtures.createLeader();
     const recorder = new fixtures.NoticeRecorder(leader);
     recorder.clock.extendBy(5_000);
@@ -93,7 +93,7 @@
       ]);
   });
 
-  it("tells ever more seldom of a replica that votes nowhere", () => {
+  it("reports with growing intervals for a replica that is no voter", () => {
     const nonVoter: replicaStates.ReplicaState = {
       ...fixtures.createFollower(fixtures.UNADMITTED),
       config: { ...leaderFixtures.CONFIG, voters: [] },
--- a/src/consensus/list_state_machine_test.ts
+++ b/src/consensus/list_state_machine_test.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the commands that tests propose, which are texts; each is a part of its
- * state.
+ * A state machine that lists the string commands applied to it. Each command is one
+ * part of its snapshot.
  */
 export class ListStateMachine {
   values: readonly unknown[] = [];
--- a/src/consensus/non_voter_test.ts
+++ b/src/consensus/non_voter_test.ts
@@ -3,13 +3,12 @@
 import * as stepReplica from "./step_replica.ts";
 
 /*
- * A replica that does not vote, such as a spare that is no longer fed, named the
- * leader that it had heard last for ever, after ten minutes of silence too. It
- * steered callers to a box that did not lead, past the one that did.
+ * A replica that does not vote reported the last leader forever, also after long
+ * silence, and redirected callers to a box that no longer led.
  */
 
-describe("a replica that does not vote", () => {
-  it("names no leader any more, where it does not vote, once that one is silent", () => {
+describe("non-voting replica", () => {
+  it("forgets a leader that stays silent for an election timeout", () => {
     const config = { ...leaderFixtures.CONFIG, id: "d" };
     const follower = stepReplica.stepReplica(
       stepReplica.createReplica(config, stepReplica.EMPTY_REPLICA, 0),
--- a/src/consensus/notice_fixture_test.ts
+++ b/src/consensus/notice_fixture_test.ts
@@ -6,13 +6,13 @@
 import type * as replicaStates from "./replica_state.ts";
 import * as stepReplica from "./step_replica.ts";
 
-/** A replica whose disk was lost, before and after it is admitted. */
+/** Identities of a wiped replica before and after it is admitted. */
 export const UNADMITTED = { incarnation: 7, isAdmitted: false };
 export const ADMITTED = { incarnation: 7, isAdmitted: true };
-/** When tests begin, and when followers answered last, in monotonic ms. */
+/** Start of a test and time of the followers' last replies, in monotonic ms. */
 export const START_TIME_MS = 1_000;
 
-/** Gathers the notices of a replica, whose state the test gives. */
+/** Records the notices reported for the replica states that a test passes in. */
 export class NoticeRecorder {
   readonly clock = new clocks.FakeClock(START_TIME_MS);
   readonly #reporter: noticeReporters.NoticeTeller;
@@ -25,17 +25,17 @@
     );
   }
 
-  /** Looks at the replica after a round. */
+  /** Observes the replica as its driver does after a batch of events. */
   observe(state: replicaStates.ReplicaState, hasAuthority = false): void {
     this.#reporter.observe(state, hasAuthority);
   }
 
-  /** Looks at it as its timer does. */
+  /** Observes the replica as the leader check timer of its driver does. */
   observeLeader(state: replicaStates.ReplicaState, writingMs = 0): void {
     this.#reporter.observeLeader(state, false, writingMs);
   }
 
-  /** Has voter b answer a vote request of the replica. */
+  /** Delivers a vote reply of b to the replica. */
   receiveVoteReply(
     state: replicaStates.ReplicaState,
     reply: Omit<messages.VoteReply, "kind" | "term">,
@@ -44,7 +44,7 @@
     this.#reporter.noteEvent(state, { kind: "message", from: "b", message });
   }
 
-  /** Gives the notices of a kind, in order. */
+  /** Lists the recorded notices of one kind, oldest first. */
   listByKind<K extends notices.ReplicaNotice["kind"]>(
     kind: K,
   ): readonly Extract<notices.ReplicaNotice, { kind: K }>[] {
@@ -55,7 +55,7 @@
   }
 }
 
-/** Makes replica a, which follows nobody yet. */
+/** Creates replica a as a follower that knows no leader yet. */
 export function createFollower(
   identity: messages.ReplicaIdentity,
 ): replicaStates.ReplicaState {
@@ -63,13 +63,13 @@
   return stepReplica.createReplica(leaderFixtures.CONFIG, saved, START_TIME_MS);
 }
 
-/** Makes replica a lead over b and c. */
+/** Creates replica a as the leader of b and c. */
 export function createLeader(): replicaStates.ReplicaState {
   const saved = { ...stepReplica.EMPTY_REPLICA, term: 3 };
   return leaderFixtures.createLeader(saved);
 }
 
-/** Changes what a leader knows of b. */
+/** Changes the progress of follower b as the leader tracks it. */
 export function changeProgress(
   state: replicaStates.ReplicaState,
   change: Partial<replicaStates.Progress>,
--- a/src/consensus/notice_reporter_test.ts
+++ b/src/consensus/notice_reporter_test.ts
@@ -2,8 +2,8 @@
 import * as fixtures from "./notice_fixture_test.ts";
 import * as replicaLogs from "./replica_log.ts";
 
-describe("notice teller", () => {
-  it("tells once that the replica counts, with the time since it was opened", () => {
+describe("notice reporter", () => {
+  it("reports admission once, with the time since the replica was opened", () => {
     const unadmitted = fixtures.createFollower(fixtures.UNADMITTED);
     const recorder = new fixtures.NoticeRecorder(unadmitted);
     recorder.observe(unadmitted);
@@ -21,14 +21,14 @@
     ]);
   });
 
-  it("tells no admission of a replica that counted when it was opened", () => {
+  it("does not report admission of a replica that was opened as admitted", () => {
     const follower = fixtures.createFollower(fixtures.ADMITTED);
     const recorder = new fixtures.NoticeRecorder(follower);
     recorder.observe(follower);
     chai.expect(recorder.listByKind("admitted")).to.deep.equal([]);
   });
 
-  it("tells the set that holds, and again once it is known to be committed", () => {
+  it("reports a new voter set, and again once it is committed", () => {
     const follower = fixtures.createFollower(fixtures.ADMITTED);
     const log = replicaLogs.appendEntries(follower.log, [{
       index: 1,
--- a/src/consensus/replica_driver_test.ts
+++ b/src/consensus/replica_driver_test.ts
@@ -50,7 +50,7 @@
     }
   }
 
-  it("does not lead from a folder that was not made for a first start", async () => {
+  it("does not become leader with an uninitialized data folder", async () => {
     const emptyFolder = fs.mkdtempSync(
       path.join(os.tmpdir(), "hoistscale-empty-"),
     );
@@ -77,7 +77,7 @@
     fs.rmSync(emptyFolder, { recursive: true, force: true });
   });
 
-  it("tells at its opening what its disk held, with the bytes that were cut off", async () => {
+  it("reports the stored state and the torn bytes when it is opened", async () => {
     const testFolder = fs.mkdtempSync(
       path.join(os.tmpdir(), "hoistscale-opened-"),
     );
@@ -122,7 +122,7 @@
     fs.rmSync(testFolder, { recursive: true, force: true });
   });
 
-  it("tells that it knows no leader, without waiting for a round", async () => {
+  it("reports a missing leader without any event", async () => {
     const testFolder = fs.mkdtempSync(
       path.join(os.tmpdir(), "hoistscale-alone-"),
     );
@@ -166,7 +166,7 @@
     fs.rmSync(testFolder, { recursive: true, force: true });
   });
 
-  it("keeps every accepted command over stops under load, with snapshots in between", async () => {
+  it("keeps every accepted command across stops under load and snapshots", async () => {
     await initializeDataFolder.makeDataFolder({
       folder,
       owner: "a",
@@ -199,7 +199,7 @@
     chai.expect(fatalErrors).to.deep.equal([]);
   });
 
-  it("has no authority before its machine holds what was accepted before", async () => {
+  it("has no authority before its state machine has applied earlier commands", async () => {
     const testFolder = fs.mkdtempSync(
       path.join(os.tmpdir(), "hoistscale-authority-"),
     );
--- a/src/consensus/replica_status_test.ts
+++ b/src/consensus/replica_status_test.ts
@@ -9,20 +9,20 @@
   fedMs: 0,
 };
 
-describe("health of a leader", () => {
+describe("leader health", () => {
   const leader = fixtures.createLeader();
 
-  /** Voters that count at a time, of three. */
+  /** Returns the number of present voters out of three. */
   function countPresentVoters(state: typeof leader, nowMs: number): unknown {
     const health = replicaStatuses.describeHealth(state, TIMINGS, nowMs);
     return health.followers?.presentVoters;
   }
 
-  it("counts itself and the voters that answer", () => {
+  it("counts itself and the voters that reply", () => {
     chai.expect(countPresentVoters(leader, 999)).to.equal(3);
   });
 
-  it("counts no voter that lost its disk, nor one that is silent", () => {
+  it("does not count unadmitted or silent voters", () => {
     const unadmitted = fixtures.changeProgress(leader, {
       identity: fixtures.UNADMITTED,
     });
@@ -34,7 +34,7 @@
     chai.expect(countPresentVoters(lateReply, 1_500)).to.equal(1);
   });
 
-  it("tells the quorum, and nothing of followers without the lead", () => {
+  it("includes the quorum and followers only while it leads", () => {
     const health = replicaStatuses.describeHealth(leader, TIMINGS, 0);
     chai.expect(health.followers?.quorum).to.equal(2);
     const follower = fixtures.createFollower(fixtures.ADMITTED);
--- a/src/consensus/schedule_fixture_test.ts
+++ b/src/consensus/schedule_fixture_test.ts
@@ -1,9 +1,11 @@
 import type * as simulatedNodes from "./simulated_node_test.ts";
 
+/** Schedules that each randomized test runs. */
 export const SCHEDULE_COUNT = Number(
   process.env["HOISTSCALE_SCHEDULES"] ?? 400,
 );
 
+/** A schedule without faults. */
 export const FAULT_FREE: Omit<simulatedNodes.ScheduleOptions, "seed"> = {
   replicas: 5,
   rounds: 400,
@@ -20,6 +22,7 @@
   suspendChance: 0,
 };
 
+/** A schedule with crashes, partitions, lossy links and leadership transfers. */
 export const FAULTY: Omit<simulatedNodes.ScheduleOptions, "seed"> = {
   replicas: 5,
   rounds: 500,
--- a/src/consensus/simulated_node_test.ts
+++ b/src/consensus/simulated_node_test.ts
@@ -5,84 +5,86 @@
 import * as replicaSets from "./replica_set.ts";
 import type * as replicaStates from "./replica_state.ts";
 
-/** What a schedule may do to the replicas. */
+/** Options of a simulated schedule of events and faults. */
 export interface ScheduleOptions extends fakeNetworks.NetworkOptions {
   readonly seed: number;
   readonly replicas: number;
-  /** Rounds of 10 ms. */
+  /** Number of rounds, each 10 ms long. */
   readonly rounds: number;
-  /** Chances a round or a message, out of 1,000. */
+  /**
+   * This and the other chances are probabilities per round, or per message on the
+   * network, out of 1,000.
+   */
   readonly crashChance: number;
   readonly partitionChance: number;
   readonly compactChance: number;
   readonly transferChance: number;
-  /** Chance that a crashed replica comes back with an empty disk. */
+  /** Probability that a crashed replica restarts with an empty disk. */
   readonly wipeChance: number;
-  /** Chance that the clock was stepped back before a disk came back empty. */
+  /** Probability that the clock was stepped back when a disk is wiped. */
   readonly clockStepChance: number;
-  /** Replicas beside the founding ones, which begin with empty disks. */
+  /** Replicas beside the initial voters; they start with empty disks. */
   readonly extraReplicas: number;
-  /** Chance that a leader tries to add or remove a voter. */
+  /** Probability that a leader proposes to add or remove a voter. */
   readonly membershipChance: number;
-  /** Chance that a replica's machine is suspended; leaders' more often. */
+  /** Probability that the box of a replica is suspended, higher for leaders. */
   readonly suspendChance: number;
-  /** Whether leaders hold on to answers from before; a planted fault. */
+  /** Whether leaders count replies from before a suspension; an injected bug. */
   readonly ignoresSuspension?: boolean;
 }
 
-/** What a schedule brought about. */
+/** Totals of a simulated schedule. */
 export interface ScheduleResult {
+  /** Committed entries. */
   readonly committed: number;
+  /** Terms that had a leader. */
   readonly leaders: number;
-  /** Replica sets that were committed, the founding one among them. */
+  /** Committed replica sets, including the initial one. */
   readonly committedSets: number;
 }
 
-/** What a replica's disk holds. */
+/** Durable state of a replica. */
 export interface Disk {
   readonly snapshot: messages.Snapshot | undefined;
   readonly records: readonly savedRecords.SavedRecord[];
 }
 
-/** A replica with its disk and what it applied. */
+/** A simulated replica with its disk, clock and applied entries. */
 export interface SimulatedNode {
   readonly config: replicaStates.ReplicaConfig;
-  /** Ticks of its clock for each tick of true time. */
+  /** Speed of its clock relative to simulated time. */
   readonly clockRate: number;
   disk: Disk;
-  /** True time until which its machine is suspended, in ms. */
+  /** Simulated time until which its box is suspended, in ms. */
   suspendedUntilMs: number;
-  /** How long it was suspended so far; its clock lacks as much, in ms. */
+  /** Total time that it was suspended, in ms; its clock stood still meanwhile. */
   totalSuspendedMs: number;
-  /** When it woke last, by its clock. */
+  /** Time of its last resumption by its own clock, in ms. */
   resumedAtMs: number;
-  /** Highest committed index when its disk was emptied last. */
+  /** Last committed index of the group when its disk was last wiped. */
   wipedAtIndex: number;
+  /** Undefined while it is crashed. */
   state: replicaStates.ReplicaState | undefined;
   appliedIndex: number;
   appliedTerm: number;
+  /** Applied entries as `term:command`, with the command in JSON. */
   applied: readonly string[];
 }
 
-/** Makes the disk of a replica that must catch up before it counts. */
+/** Creates the disk of a replica that must catch up before it is admitted. */
 export function createEmptyDisk(incarnation: number): Disk {
   const identity = { incarnation, isAdmitted: false };
   return { snapshot: undefined, records: [{ kind: "identity", identity }] };
 }
 
-/** How a replica begins. */
+/** Options to create a simulated replica. */
 export interface NodeOptions {
   readonly config: replicaStates.ReplicaConfig;
   readonly clockRate: number;
   readonly initialVoters: readonly string[];
 }
 
-/**
- * Makes a replica with the disk of a founder, or with an empty one.
- *
- * @param options The replica.
- * @returns A replica that has not started.
- */
+/** Creates a stopped replica, with an empty disk unless it is an initial voter. */
 export function createNode(options: NodeOptions): SimulatedNode {
   const { config, clockRate, initialVoters } = options;
   return {
@@ -105,7 +107,7 @@
   };
 }
 
-/** Voters after the last entry that a running replica applied. */
+/** Finds the voters as of the last applied entry; undefined while crashed. */
 export function findVoters(
   node: SimulatedNode,
 ): readonly string[] | undefined {
@@ -113,12 +115,15 @@
   return replicaSets.findReplicaSet(node.state.log, node.appliedIndex)?.voters;
 }
 
-/** Time by the clock of a replica, which stands while it is suspended. */
+/** Converts simulated time to the clock of a replica, in ms. */
 export function getLocalMs(node: SimulatedNode, nowMs: number): number {
   return (nowMs - node.totalSuspendedMs) * node.clockRate;
 }
 
-/** Suspends the machine of a replica; it hears and does nothing meanwhile. */
+/**
+ * Suspends the box of a replica. Messages and ticks are dropped meanwhile. Has no
+ * effect if it is suspended already.
+ */
 export function suspend(
   node: SimulatedNode,
   nowMs: number,
@@ -135,7 +140,7 @@
   return node.suspendedUntilMs > nowMs;
 }
 
-/** Whether a replica has authority, or would have if it woke now. */
+/** Whether a replica has authority, or would have it if it resumed now. */
 export function hasAuthority(
   node: SimulatedNode,
   nowMs: number,
--- a/src/consensus/simulation_test.ts
+++ b/src/consensus/simulation_test.ts
@@ -10,7 +10,7 @@
 import * as stepReplica from "./step_replica.ts";
 
 const ROUND_MS = 10;
-/** Leaders are disturbed more often than others, by this factor. */
+/** Faults strike leaders more often than other replicas, by this factor. */
 const LEADER_FACTOR = 4;
 const MAX_DRIFT_PER_MILLE = 50;
 const ELECTION_TIMEOUT_MS = 150;
@@ -19,8 +19,8 @@
 const MIN_VOTERS = 3;
 
 /**
- * Replicas on a fake network, fake disks and clocks of different rates; every
- * round the invariants of the log, the leaders and their authority are checked.
+ * Runs replicas on a fake network, fake disks and drifting clocks, and checks the
+ * invariants of logs, terms and authority.
  */
 export class Simulation {
   readonly #options: simulatedNodes.ScheduleOptions;
@@ -52,7 +52,7 @@
   /**
    * Runs the schedule.
    *
-   * @throws Error naming the invariant that did not hold.
+   * @throws Error with the seed, the time and the violated invariant.
    */
   run(): simulatedNodes.ScheduleResult {
     for (let round = 0; round < this.#options.rounds; round += 1) {
@@ -119,7 +119,7 @@
     simulatedNodes.suspend(node, this.#nowMs, this.#draw(MAX_SUSPENSION_MS));
   }
 
-  /** Cuts one replica off, or one link, or heals all. */
+  /** Isolates one replica, cuts one link, or restores all links. */
   #changePartition(): void {
     const leader = this.#nodes.find((node) =>
       node.state?.role.kind === "leader"
@@ -137,7 +137,7 @@
     return this.#nodes[this.#draw(this.#nodes.length - 1)];
   }
 
-  /** Empties a disk; one at a time, until its replica has caught up. */
+  /** Wipes a disk, unless another wiped replica has not caught up yet. */
   #wipe(node: simulatedNodes.SimulatedNode): void {
     const lastCommittedIndex = Math.max(0, ...this.#committedValues.keys());
     const others = this.#nodes.filter((other) => other !== node);
@@ -178,7 +178,7 @@
     });
   }
 
-  /** Feeds every replica, and asks for one voter more or less. */
+  /** Makes all other replicas learners and adds or removes one voter. */
   #changeVoters(node: simulatedNodes.SimulatedNode): void {
     if (node.state === undefined) return;
     const others = this.#nodes.map((other) => other.config.id)
@@ -220,7 +220,7 @@
     this.#checkLeader(node);
   }
 
-  /** Saves all or a part, crashing in between; false after a crash. */
+  /** Persists the effects; a crash may keep only a part. False after a crash. */
   #persistEffects(
     node: simulatedNodes.SimulatedNode,
     effects: readonly replicaStates.Effect[],
@@ -289,13 +289,13 @@
     const isNext = entry.index === node.appliedIndex + 1;
     this.#assert(
       isNext,
-      `entry ${entry.index} follows ${node.appliedIndex}`,
+      `entry ${entry.index} applied after ${node.appliedIndex}`,
     );
     const value = `${entry.term}:${JSON.stringify(entry.command)}`;
     const known = this.#committedValues.get(entry.index);
     this.#assert(
       known === undefined || known === value,
-      `entry ${entry.index} was ${known} and is ${value}`,
+      `entry ${entry.index} is committed as ${known} and as ${value}`,
     );
     if (known === undefined && replicaSets.parseReplicaSet(entry)) {
       this.#committedSetCount += 1;
@@ -324,7 +324,7 @@
   #checkLeader({ state, config: { id } }: simulatedNodes.SimulatedNode): void {
     if (state?.role.kind !== "leader") return;
     const other = this.#leaderOfTerm.get(state.term) ?? id;
-    const violation = `term ${state.term} has the leaders ${other} and ${id}`;
+    const violation = `term ${state.term} has leaders ${other} and ${id}`;
     this.#assert(other === id, violation);
     this.#leaderOfTerm.set(state.term, id);
   }
--- a/src/consensus/slow_leader_test.ts
+++ b/src/consensus/slow_leader_test.ts
@@ -5,16 +5,14 @@
 import * as stepReplica from "./step_replica.ts";
 
 /*
- * On boxes that have a third of a core, what a leader sends and what its quorum
- * answers was 0.4 to 0.9 s under way. Followers asked to lead after 0.45 s, the leader
- * gave up after 0.81 s: terms 9 to 18 within 22 s, two whole voters taking turns. A
- * replica that had lost its disk was sent a new snapshot from its first part in
- * each reign ("snapshotSent" in seven terms) and held nothing after 20 s.
+ * On overloaded boxes heartbeats and replies can take longer than the election
+ * timeout. Followers then started elections and leaders stepped down repeatedly,
+ * and no leader lasted long enough to bring a wiped replica up to date.
  */
 
 const ELECTION_TIMEOUT_MS = 450;
 const HEARTBEAT_MS = 90;
-/** Time between what arrives of a slow leader, in ms. */
+/** Interval between arriving heartbeats of a slow leader, in ms. */
 const SLOW_INTERVAL_MS = 800;
 const TICK_MS = 10;
 const HEARTBEATS = 12;
@@ -38,7 +36,7 @@
   };
 }
 
-/** Times at which a follower asks for votes, in ms, with its last state. */
+/** Returns the times of a follower's vote requests, in ms, and its last state. */
 function simulateFollower(intervalMs: number, heartbeats: number) {
   let state = stepReplica.createReplica(
     CONFIG,
@@ -68,8 +66,8 @@
   return { state, voteRequestTimesMs };
 }
 
-describe("a leader on boxes that are slow", () => {
-  it("is left alone by followers that hear it late again and again", () => {
+describe("leader on slow boxes", () => {
+  it("meets no election once followers have adapted to late heartbeats", () => {
     const { voteRequestTimesMs } = simulateFollower(
       SLOW_INTERVAL_MS,
       HEARTBEATS,
@@ -80,7 +78,7 @@
     chai.expect(adaptedTimesMs).to.deep.equal([]);
   });
 
-  it("is followed by an election as soon as before where it was heard in time", () => {
+  it("is replaced after the usual delay if its heartbeats were on time", () => {
     const { state } = simulateFollower(HEARTBEAT_MS, 30);
     const electionDelayMs = state.electionAtMs - HEARTBEAT_MS * 30;
     chai.expect(electionDelayMs).to.be.within(
@@ -89,7 +87,7 @@
     );
   });
 
-  it("goes on to lead while its quorum answers, though late", () => {
+  it("stays leader while its quorum replies late", () => {
     const leader = leaderFixtures.createLeader({
       ...stepReplica.EMPTY_REPLICA,
       term: 1,
@@ -109,7 +107,7 @@
     );
     const after = stepReplica.stepReplica(state, { kind: "tick" }, 1_500);
     chai.expect(after.state.role.kind).to.equal("leader");
-    // Without any answer it gives up as soon as before.
+    // Steps down once the replies cease.
     const timedOut = stepReplica.stepReplica(state, { kind: "tick" }, 2_250);
     chai.expect(timedOut.state.role.kind).to.equal("follower");
   });
--- a/src/consensus/snapshot_admission_test.ts
+++ b/src/consensus/snapshot_admission_test.ts
@@ -10,19 +10,17 @@
 import * as replicaLogs from "./replica_log.ts";
 
 /*
- * An emptied replica that takes a snapshot and the entries after it in one round
- * writes the snapshot first, with the identity that it has at the end of the
- * round, and the entries by a second write. Where it loses power between the
- * two, its disk says that it counts while it lacks entries that its former self
- * vouched for. It then votes for a replica that lacks them as well, and what was
- * accepted with its former self's word is lost for good.
+ * A wiped replica that receives a snapshot and the entries after it in one batch
+ * writes them separately. If the first write marks it as admitted and power is lost
+ * before the second, it votes without entries that it had acknowledged before, and
+ * committed commands can be lost.
  */
 
 const TERM = 3;
 const SNAPSHOT_INDEX = 2;
 const COMMIT_INDEX = 5;
 
-describe("an emptied replica that loses power in the round of its admission", () => {
+describe("wiped replica that loses power while it is admitted", () => {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), "hoistscale-admit-"));
   const { append } = storage.DurableLog.prototype;
 
@@ -31,7 +29,7 @@
     fs.rmSync(folder, { recursive: true, force: true });
   });
 
-  it("does not count before it holds what was committed", async () => {
+  it("is not admitted on disk before it holds all committed entries", async () => {
     const driver = await replicaDrivers.ReplicaDriver.open({
       config: {
         id: "c",
@@ -48,7 +46,7 @@
       send: () => {},
       onFatal: () => {},
     });
-    // Power is lost before the next write to the log ends.
+    // Simulates a power loss before the next append to the log completes.
     storage.DurableLog.prototype.append = () => new Promise(() => {});
     driver.receive("a", {
       kind: "snapshotPart",
@@ -87,7 +85,8 @@
       loaded.records as readonly savedRecords.SavedRecord[],
     );
     const lastIndex = replicaLogs.getLastIndex(saved.log);
-    const outcome = `counts: ${saved.identity.isAdmitted}, holds ${lastIndex}`;
+    const outcome =
+      `admitted: ${saved.identity.isAdmitted}, last index: ${lastIndex}`;
     const isSafe = !saved.identity.isAdmitted || lastIndex >= COMMIT_INDEX;
     chai.expect(isSafe, outcome).to.equal(true);
   });
--- a/src/consensus/snapshot_leadership_test.ts
+++ b/src/consensus/snapshot_leadership_test.ts
@@ -4,24 +4,21 @@
 import * as transfers from "./_snapshot_transfer.ts";
 
 /*
- * A snapshot is sent anew, from its first part, by each leader, also by one that led
- * before: who loses the lead forgets its transfers, and the receiver forgets its parts
- * with the first of another transfer. On real processes with a third of a core two
- * leaders took turns, terms 9 to 18, each for 0.5 to 2 s; an emptied voter was sent
- * seven snapshots of 265 to 276 parts ("snapshotSent ... index=1756 parts=265", then
- * 1763, 1763, 1774, 1774, 1781) and held nothing after 20 s (lastIndex=0). The next
- * lost disk left one voter of three, and no store led again.
+ * When two leaders alternated, each restarted its snapshot transfer from the
+ * first part, and the receiver discarded the parts of the other: a wiped replica
+ * never got a complete snapshot.
  */
 
 const PARTS = 23;
-/** Parts that arrive in one reign. */
+/** Parts that arrive before leadership changes. */
 const PARTS_PER_LEADERSHIP = 15;
 const MAX_LEADERSHIPS = 10;
 const FIRST_TERM = 9;
 const HEARTBEAT_MS = 90;
+/** Heartbeats until leadership changes anyway. */
 const MAX_ROUNDS = 30;
 
-/** A leader whose state has not changed since it led last. */
+/** Creates the sender of a leader whose state stays at one index. */
 function createSender(
   clock: clocks.Clock,
   index: number,
@@ -39,8 +36,8 @@
   });
 }
 
-describe("a snapshot to a replica whose leaders take turns", () => {
-  it("goes on where it was left", () => {
+describe("snapshot transfer under alternating leaders", () => {
+  it("resumes where it was interrupted", () => {
     const clock = new clocks.FakeClock();
     const sent: messages.DriverMessage[] = [];
     const senders = [9, 10].map((index) =>
--- a/src/consensus/snapshot_order_test.ts
+++ b/src/consensus/snapshot_order_test.ts
@@ -5,13 +5,8 @@
 import * as stepReplica from "./step_replica.ts";
 
 /*
- * Replicas that lost their disks are fed one after the other, but only where the
- * log still holds what they lack: snapshots go to all of them at once, spares
- * among them. Of five voters one was emptied and another late after a restart of
- * all; snapshots of 400 parts to two spares and both voters were under way
- * together and took 2.5 s each, after which the log was cut beyond them, and 5.1 s
- * after its start the emptied voter lacked 816 entries (simulated clock, 40 ms a
- * sync, 200 commands a second).
+ * Snapshots sent to all unadmitted replicas at once took so long that the log was
+ * compacted past them meanwhile, and a wiped voter fell behind again.
  */
 
 const SNAPSHOT_INDEX = 1_000;
@@ -25,8 +20,8 @@
   identity: { incarnation: 1, isAdmitted: false },
 };
 
-describe("a leader with several replicas that need a snapshot", () => {
-  it("sends one to the emptied voter, and to the spares later", () => {
+describe("leader with several replicas that need a snapshot", () => {
+  it("sends one to the unadmitted voter before the learners", () => {
     const leader = leaderFixtures.createLeader({
       term: 1,
       votedFor: "a",
@@ -38,9 +33,13 @@
         voters: ["a", "b", "c"],
       }),
     });
-    if (leader.role.kind !== "leader") throw new Error("a does not lead");
+    if (leader.role.kind !== "leader") {
+      throw new Error("replica a is not the leader");
+    }
     const caughtUp = leader.role.progress.get("c");
-    if (caughtUp === undefined) throw new Error("c is not followed");
+    if (caughtUp === undefined) {
+      throw new Error("replica c is not among the followers");
+    }
     const progress = new Map([
       ["c", { ...caughtUp, answeredSentAtMs: NOW_MS }] as const,
       ["b", UNADMITTED] as const,
--- a/src/consensus/snapshot_restart_test.ts
+++ b/src/consensus/snapshot_restart_test.ts
@@ -4,16 +4,14 @@
 import * as transfers from "./_snapshot_transfer.ts";
 
 /*
- * A replica that is started again in the middle of a snapshot, with or without
- * its disk, holds none of the parts that its former process had confirmed. It
- * answers `received=0` to each part that follows them. The sender passes over
- * any answer that is not above what was confirmed, so the same four parts go
- * out every 600 ms without end, for as long as that leader leads.
+ * A replica that restarts during a snapshot transfer has lost the parts that it
+ * acknowledged. The sender ignored its lower count and resent the same later
+ * parts forever.
  */
 
 const PARTS = 23;
 const TERM = 3;
-/** Looks at the transfer, each a heartbeat after the one before. */
+/** Number of heartbeats. */
 const ROUNDS = 400;
 const HEARTBEAT_MS = 90;
 
@@ -24,7 +22,7 @@
   voters: ["a", "b", "c"],
 };
 
-/** Sends a snapshot to a replica whose process is started again once. */
+/** Sends a snapshot to a replica that restarts once, at a given part. */
 function sendWithRestart(restartAtPart: number) {
   const clock = new clocks.FakeClock();
   const sent: messages.DriverMessage[] = [];
@@ -55,13 +53,13 @@
   return { whole: complete, parts: sentParts };
 }
 
-describe("a snapshot to a replica that is started again meanwhile", () => {
-  it("arrives whole, at whichever part the replica was started again", () => {
+describe("snapshot transfer to a replica that restarts", () => {
+  it("completes after a restart at any part", () => {
     for (const restartAtPart of [1, 12, PARTS - 1]) {
       const { whole, parts } = sendWithRestart(restartAtPart);
       chai.expect(
         whole?.snapshot,
-        `started again at part ${restartAtPart}, ${parts} parts sent`,
+        `restarted at part ${restartAtPart}, ${parts} parts sent`,
       ).to.deep.equal(SNAPSHOT);
     }
   });
--- a/src/consensus/snapshot_transfer_test.ts
+++ b/src/consensus/snapshot_transfer_test.ts
@@ -16,7 +16,7 @@
   voters: ["a"],
 };
 
-/** Sends a snapshot over links that lose messages; gives what arrived. */
+/** Transfers a snapshot over a lossy link and returns the requests received. */
 function transferSnapshot(
   snapshot: messages.Snapshot,
   lossPattern: readonly boolean[],
@@ -54,7 +54,7 @@
   return { arrived, initialInFlight, maxInFlight };
 }
 
-/** Makes one of two parts of a snapshot. */
+/** Creates one of the two parts of a snapshot. */
 function createPart(transferId: string, part: number): messages.SnapshotPart {
   return {
     kind: "snapshotPart",
@@ -68,8 +68,8 @@
   };
 }
 
-describe("snapshots in parts", () => {
-  it("arrive whole, and few parts are under way at a time", () => {
+describe("snapshot transfer", () => {
+  it("delivers the complete snapshot with few parts in flight", () => {
     const { arrived, initialInFlight, maxInFlight } = transferSnapshot(
       SNAPSHOT,
       [false],
@@ -82,7 +82,7 @@
     chai.expect(maxInFlight).to.be.at.most(16);
   });
 
-  it("arrive whole though messages are lost", () => {
+  it("delivers the complete snapshot despite lost messages", () => {
     const { arrived } = transferSnapshot(SNAPSHOT, [
       true,
       false,
@@ -93,12 +93,12 @@
     chai.expect(arrived[0]?.snapshot).to.deep.equal(SNAPSHOT);
   });
 
-  it("arrive where the state has no parts", () => {
+  it("delivers a snapshot without parts", () => {
     const { arrived } = transferSnapshot({ ...SNAPSHOT, state: [] }, [false]);
     chai.expect(arrived[0]?.snapshot.state).to.deep.equal([]);
   });
 
-  it("leave parts of an earlier transfer out", () => {
+  it("ignores parts of an earlier transfer", () => {
     const receiver = new transfers.SnapshotReceiver();
     receiver.take(createPart("x", 0));
     chai.expect(receiver.take(createPart("y", 1)).reply.received).to.equal(0);
@@ -108,10 +108,10 @@
   });
 });
 
-describe("a replica that needs a snapshot", () => {
+describe("replica that needs a snapshot", () => {
   const TEXT = "x".repeat(20_000);
   const COMMANDS = 120;
-  /** A message holds a batch of entries, or some parts, never the state. */
+  /** Admits a batch of entries or a few parts, but not the whole state. */
   const MAX_MESSAGE_BYTES = 8 * TEXT.length * 1.1;
   const drivers = new Map<string, replicaDrivers.ReplicaDriver>();
   const folders: string[] = [];
@@ -163,7 +163,7 @@
     return machine;
   }
 
-  it("gets it in parts while commands go on", async () => {
+  it("receives it in parts while commands continue", async () => {
     const first = await openReplica("a", true);
     const leader = drivers.get("a");
     for (let committed = 0; committed < COMMANDS;) {
--- a/src/consensus/snapshot_window_test.ts
+++ b/src/consensus/snapshot_window_test.ts
@@ -4,17 +4,16 @@
 import * as transfers from "./_snapshot_transfer.ts";
 
 /*
- * A snapshot went four parts at a time, whatever came back. With 265 parts and 0.2
- * to 0.5 s from a part to its answer, as on boxes with a third of a core, it took
- * longer than any leader led there, and each began it anew.
+ * A fixed window of four parts made a large snapshot take longer over a slow link
+ * than any leader lasted there.
  */
 
 const PARTS = 265;
 const ROUND_TRIPS = 24;
 const ROUND_TRIP_MS = 200;
 
-describe("a snapshot over a slow link", () => {
-  it("takes few round trips, as more parts are under way once some came", () => {
+describe("snapshot transfer over a slow link", () => {
+  it("completes in few round trips by growing its window", () => {
     const clock = new clocks.FakeClock();
     const state = Array.from({ length: PARTS }, (_, part) => `part ${part}`);
     let sent: messages.DriverMessage[] = [];
--- a/src/consensus/stalled_catch_up_test.ts
+++ b/src/consensus/stalled_catch_up_test.ts
@@ -5,11 +5,8 @@
 import type * as replicaStates from "./replica_state.ts";
 
 /*
- * One replica is fed at a time, a voter before a spare; where the one that is fed
- * confirms nothing for a second, another one shall be fed instead. A replica that
- * waits for its turn confirms nothing either, so that it counts as standing still
- * as well, and the voter goes first again. An emptied voter that answers and
- * takes nothing in so keeps the spare, which is to take its place, empty for good.
+ * One replica at a time catches up, voters before learners. A voter that replies
+ * but makes no progress must not block the learner that is to replace it.
  */
 
 const ENTRIES = 2_000;
@@ -17,7 +14,7 @@
 const NOW_MS = 10_000;
 const LAST_PROGRESS_MS = 5_000;
 
-/** An emptied replica that answers, and was first heard or moved at a time. */
+/** Creates the progress of an unadmitted replica that still replies. */
 function createUnadmitted(
   matchIndex: number,
   movedAtMs: number,
@@ -31,8 +28,8 @@
   };
 }
 
-describe("feeding a spare beside a voter that takes nothing in", () => {
-  it("begins once the voter has stood still for long", () => {
+describe("learner beside a voter that makes no progress", () => {
+  it("starts to catch up once the voter has stalled", () => {
     const leader = leaderFixtures.createLeader({
       term: 1,
       votedFor: "a",
@@ -46,7 +43,9 @@
         })),
       ),
     });
-    if (leader.role.kind !== "leader") throw new Error("a does not lead");
+    if (leader.role.kind !== "leader") {
+      throw new Error("replica a is not the leader");
+    }
     const spare = createUnadmitted(0, LAST_PROGRESS_MS);
     const progress = new Map([
       ...leader.role.progress,
--- a/src/consensus/suspension_schedules_test.ts
+++ b/src/consensus/suspension_schedules_test.ts
@@ -2,13 +2,13 @@
 import * as schedules from "./schedule_fixture_test.ts";
 import * as simulations from "./simulation_test.ts";
 
-/** Schedules in which a leader that ignores suspensions is found out. */
+/** Highest seed by which a schedule must detect the injected bug. */
 const MAX_DETECTION_SEED = 10;
 
-describe("replicas whose machines are suspended", () => {
+describe("replicas on suspended boxes", () => {
   const SUSPENDED = { ...schedules.FAULTY, suspendChance: 5 };
 
-  it("gives authority to one replica at a time while machines are suspended", () => {
+  it("give authority to at most one replica at a time", () => {
     let committed = 0;
     for (let seed = 1; seed <= schedules.SCHEDULE_COUNT; seed += 1) {
       const replicas = seed % 2 === 0 ? 3 : 5;
@@ -18,7 +18,7 @@
     chai.expect(committed).to.be.greaterThan(schedules.SCHEDULE_COUNT * 10);
   });
 
-  it("finds a second holder where a leader holds on to answers from before", () => {
+  it("fail a schedule whose leaders count replies from before a suspension", () => {
     const seeds = Array.from(
       { length: schedules.SCHEDULE_COUNT },
       (_, index) => index + 1,
