--- a/src/consensus/consensus_test.ts
+++ b/src/consensus/consensus_test.ts
@@ -295,8 +295,8 @@
       const schedule = {
         ...schedules.FAULTY,
         replicas: 3 + seed % 2,
-        spares: 2,
-        memberChance: 30,
+        extraReplicas: 2,
+        membershipChance: 30,
         wipeChance: seed % 3 === 0 ? 500 : 0,
         seed,
       };
--- a/src/consensus/simulation_test.ts
+++ b/src/consensus/simulation_test.ts
@@ -12,7 +12,7 @@
 const ROUND_MS = 10;
 /** Faults strike leaders more often than other replicas, by this factor. */
 const LEADER_FACTOR = 4;
-const MAX_DRIFT_PER_MILLE = 50;
+const MAX_DRIFT = 50; // deviation of a clock's rate, out of 1,000
 const ELECTION_TIMEOUT_MS = 150;
 const PER_MILLE = 1_000;
 const MAX_SUSPENSION_MS = 6 * ELECTION_TIMEOUT_MS;
@@ -74,9 +74,7 @@
     index: number,
     initialVoters: readonly string[],
   ): simulatedNodes.SimulatedNode {
-    const clockRate = 1 +
-      (this.#draw(2 * MAX_DRIFT_PER_MILLE) - MAX_DRIFT_PER_MILLE) /
-        PER_MILLE;
+    const clockRate = 1 + (this.#draw(2 * MAX_DRIFT) - MAX_DRIFT) / PER_MILLE;
     return simulatedNodes.createNode({
       config: {
         id,
@@ -172,10 +170,7 @@
     }
     if (!this.#happens(300)) return;
     this.#proposals += 1;
-    this.#step(node, {
-      kind: "propose",
-      commands: [`c${this.#proposals}`],
-    });
+    this.#step(node, { kind: "propose", commands: [`c${this.#proposals}`] });
   }
 
   /** Makes all other replicas learners and adds or removes one voter. */
@@ -287,10 +282,7 @@
   #apply(node: simulatedNodes.SimulatedNode, entry: replicaLogs.Entry): void {
     if (entry.index <= node.appliedIndex) return;
     const isNext = entry.index === node.appliedIndex + 1;
-    this.#assert(
-      isNext,
-      `entry ${entry.index} applied after ${node.appliedIndex}`,
-    );
+    this.#assert(isNext, `entry ${entry.index} follows ${node.appliedIndex}`);
     const value = `${entry.term}:${JSON.stringify(entry.command)}`;
     const known = this.#committedValues.get(entry.index);
     this.#assert(
@@ -335,10 +327,7 @@
       this.#nodes.filter((node) =>
         simulatedNodes.hasAuthority(node, this.#nowMs, ignoresSuspension)
       ).length;
-    this.#assert(
-      holders <= 1,
-      `${holders} replicas have authority at once`,
-    );
+    this.#assert(holders <= 1, `${holders} replicas have authority at once`);
   }
 
   #assert(isSatisfied: boolean, violation: string): void {
