--- a/src/consensus/clock_step_test.ts
+++ b/src/consensus/clock_step_test.ts
@@ -34,9 +34,7 @@
       })),
     ),
   });
-  if (leader.role.kind !== "leader") {
-    throw new Error("replica a is not the leader");
-  }
+  if (leader.role.kind !== "leader") throw new Error("a is not the leader");
   return {
     ...leader,
     commitIndex: ENTRIES,
@@ -102,9 +100,7 @@
     }
     chai.expect(replicaLogs.getLastIndex(follower.log)).to.equal(ENTRIES);
     chai.expect(follower.identity.isAdmitted).to.equal(true);
-    if (leader.role.kind !== "leader") {
-      throw new Error("replica a is no longer the leader");
-    }
+    if (leader.role.kind !== "leader") throw new Error("a lost leadership");
     const progress = leader.role.progress.get("b");
     chai.expect(progress?.matchIndex).to.equal(ENTRIES);
     chai.expect(progress?.identity).to.deep.equal(follower.identity);
--- a/src/consensus/consensus_test.ts
+++ b/src/consensus/consensus_test.ts
@@ -105,10 +105,10 @@
     });
 
     it("grants no pre-vote at once if a later term may have had a leader", () => {
-      const later = { ...saved, term: 5, votedFor: "b" };
+      const laterTerm = { ...saved, term: 5, votedFor: "b" };
       const state = stepReplica.createReplica(
         leaderFixtures.CONFIG,
-        later,
+        laterTerm,
         1_000,
       );
       chai.expect(requestPreVote("b", state, 1_010)).to.equal(false);
--- a/src/consensus/handover_test.ts
+++ b/src/consensus/handover_test.ts
@@ -11,7 +11,7 @@
  */
 
 /** Interval between requests to hand over, in ms. */
-const REQUEST_INTERVAL_MS = 100;
+const INTERVAL_MS = 100;
 const DURATION_MS = 10_000;
 
 describe("leader whose successor does not catch up", () => {
@@ -26,11 +26,9 @@
       log: replicaLogs.appendEntries(leader.log, [entry]),
     };
     let pausedMs = 0;
-    for (let nowMs = 0; nowMs < DURATION_MS; nowMs += REQUEST_INTERVAL_MS) {
+    for (let nowMs = 0; nowMs < DURATION_MS; nowMs += INTERVAL_MS) {
       state = stepReplica.stepReplica(state, { kind: "transfer" }, nowMs).state;
-      if (replicaStates.isHandingOver(state, nowMs)) {
-        pausedMs += REQUEST_INTERVAL_MS;
-      }
+      if (replicaStates.isHandingOver(state, nowMs)) pausedMs += INTERVAL_MS;
     }
     chai.expect(pausedMs).to.be.greaterThan(0);
     chai.expect(pausedMs).to.be.at.most(DURATION_MS / 3);
--- a/src/consensus/snapshot_order_test.ts
+++ b/src/consensus/snapshot_order_test.ts
@@ -33,13 +33,9 @@
         voters: ["a", "b", "c"],
       }),
     });
-    if (leader.role.kind !== "leader") {
-      throw new Error("replica a is not the leader");
-    }
+    if (leader.role.kind !== "leader") throw new Error("a is not the leader");
     const caughtUp = leader.role.progress.get("c");
-    if (caughtUp === undefined) {
-      throw new Error("replica c is not among the followers");
-    }
+    if (caughtUp === undefined) throw new Error("c is not a follower");
     const progress = new Map([
       ["c", { ...caughtUp, answeredSentAtMs: NOW_MS }] as const,
       ["b", UNADMITTED] as const,
--- a/src/consensus/snapshot_restart_test.ts
+++ b/src/consensus/snapshot_restart_test.ts
@@ -50,16 +50,16 @@
     }
     clock.extendBy(HEARTBEAT_MS);
   }
-  return { whole: complete, parts: sentParts };
+  return { complete, sentParts };
 }
 
 describe("snapshot transfer to a replica that restarts", () => {
   it("completes after a restart at any part", () => {
     for (const restartAtPart of [1, 12, PARTS - 1]) {
-      const { whole, parts } = sendWithRestart(restartAtPart);
+      const { complete, sentParts } = sendWithRestart(restartAtPart);
       chai.expect(
-        whole?.snapshot,
-        `restarted at part ${restartAtPart}, ${parts} parts sent`,
+        complete?.snapshot,
+        `restarted at part ${restartAtPart}, ${sentParts} parts sent`,
       ).to.deep.equal(SNAPSHOT);
     }
   });
--- a/src/consensus/stalled_catch_up_test.ts
+++ b/src/consensus/stalled_catch_up_test.ts
@@ -43,9 +43,7 @@
         })),
       ),
     });
-    if (leader.role.kind !== "leader") {
-      throw new Error("replica a is not the leader");
-    }
+    if (leader.role.kind !== "leader") throw new Error("a is not the leader");
     const spare = createUnadmitted(0, LAST_PROGRESS_MS);
     const progress = new Map([
       ...leader.role.progress,
