--- a/src/consensus/stalled_catch_up_test.ts
+++ b/src/consensus/stalled_catch_up_test.ts
@@ -17,13 +17,13 @@
 /** Creates the progress of an unadmitted replica that still replies. */
 function createUnadmitted(
   matchIndex: number,
-  movedAtMs: number,
+  lastProgressAtMs: number,
 ): replicaStates.Progress {
   return {
     nextIndex: matchIndex + 1,
     matchIndex,
     answeredSentAtMs: NOW_MS,
-    movedAtMs,
+    movedAtMs: lastProgressAtMs,
     identity: UNADMITTED,
   };
 }
