--- a/src/consensus/snapshot_transfer_test.ts
+++ b/src/consensus/snapshot_transfer_test.ts
@@ -124,11 +124,11 @@
 
   async function openReplica(
     id: string,
-    isFounder: boolean,
+    isInitialVoter: boolean,
   ): Promise<listStateMachines.ListStateMachine> {
     const folder = fs.mkdtempSync(path.join(os.tmpdir(), `hoistscale-${id}-`));
     folders.push(folder);
-    if (isFounder) {
+    if (isInitialVoter) {
       await initializeDataFolder.makeDataFolder({
         folder,
         owner: id,
--- a/src/consensus/stalled_catch_up_test.ts
+++ b/src/consensus/stalled_catch_up_test.ts
@@ -44,18 +44,18 @@
       ),
     });
     if (leader.role.kind !== "leader") throw new Error("a is not the leader");
-    const spare = createUnadmitted(0, LAST_PROGRESS_MS);
+    const learner = createUnadmitted(0, LAST_PROGRESS_MS);
     const progress = new Map([
       ...leader.role.progress,
       ["b", createUnadmitted(100, LAST_PROGRESS_MS)] as const,
-      ["d", spare] as const,
+      ["d", learner] as const,
     ]);
     const state = {
       ...leader,
       learners: ["d"],
       role: { ...leader.role, progress },
     };
-    const count = appendWindows.countSendable(state, "d", spare, NOW_MS);
+    const count = appendWindows.countSendable(state, "d", learner, NOW_MS);
     chai.expect(count).to.be.greaterThan(0);
   });
 });
