--- a/src/consensus/catch_up_monitor_test.ts
+++ b/src/consensus/catch_up_monitor_test.ts
@@ -62,7 +62,7 @@
     const leader = fixtures.createLeader();
     const recorder = new fixtures.NoticeRecorder(leader);
     const unanswered = fixtures.changeProgress(leader, {
-      answeredSentAtMs: Number.NEGATIVE_INFINITY,
+      lastAckedSentAtMs: Number.NEGATIVE_INFINITY,
       identity: { incarnation: 0, isAdmitted: false },
     });
     recorder.observe(unanswered);
@@ -125,7 +125,7 @@
   it("reports a voter that has never replied to this leader", () => {
     const leader = fixtures.createLeader();
     const unanswered = fixtures.changeProgress(leader, {
-      answeredSentAtMs: Number.NEGATIVE_INFINITY,
+      lastAckedSentAtMs: Number.NEGATIVE_INFINITY,
       identity: { incarnation: 0, isAdmitted: false },
     });
     const recorder = new fixtures.NoticeRecorder(leader);
--- a/src/consensus/clock_step_test.ts
+++ b/src/consensus/clock_step_test.ts
@@ -38,7 +38,7 @@
   return {
     ...leader,
     commitIndex: ENTRIES,
-    role: { ...leader.role, firstIndex: ENTRIES },
+    role: { ...leader.role, termStartIndex: ENTRIES },
     config: { ...leader.config, electionTimeoutMs: ELECTION_TIMEOUT_MS },
   };
 }
--- a/src/consensus/consensus_test.ts
+++ b/src/consensus/consensus_test.ts
@@ -189,7 +189,7 @@
     const progress = {
       nextIndex: 2,
       matchIndex: 0,
-      answeredSentAtMs: 0,
+      lastAckedSentAtMs: 0,
       identity,
     };
     const leader: replicaStates.ReplicaState = {
@@ -197,9 +197,9 @@
       role: {
         kind: "leader",
         progress: new Map([["b", progress], ["c", progress]]),
-        heartbeatAtMs: 0,
-        firstIndex: 2,
-        sinceMs: 0,
+        nextHeartbeatAtMs: 0,
+        termStartIndex: 2,
+        leaderSinceMs: 0,
       },
     };
     const message = {
--- a/src/consensus/large_log_test.ts
+++ b/src/consensus/large_log_test.ts
@@ -3,7 +3,7 @@
 import * as path from "node:path";
 import * as chai from "chai";
 import * as clocks from "../clock/mod.ts";
-import * as initializeDataFolder from "./make_data_folder.ts";
+import * as initializeDataFolder from "./initialize_data_folder.ts";
 import * as replicaDrivers from "./replica_driver.ts";
 
 /*
@@ -30,7 +30,7 @@
   after(() => fs.rmSync(folder, { recursive: true, force: true }));
 
   it("is compacted by its size in bytes before it reaches the entry limit", async () => {
-    await initializeDataFolder.makeDataFolder({
+    await initializeDataFolder.initializeDataFolder({
       folder,
       owner: "a",
       wallMs: 1,
@@ -48,7 +48,7 @@
       },
       clock,
       dataFolder: folder,
-      machine: { apply: () => 0, save: () => [], restore: () => {} },
+      stateMachine: { apply: () => 0, save: () => [], restore: () => {} },
       snapshotEntries: 4_096,
       send: () => {},
       onFatal: () => {},
--- a/src/consensus/leader_monitor_test.ts
+++ b/src/consensus/leader_monitor_test.ts
@@ -65,7 +65,7 @@
     recorder.clock.extendBy(1_900);
     const withContact = {
       ...follower,
-      heardAtMs: recorder.clock.getMonotonicMs(),
+      leaderContactAtMs: recorder.clock.getMonotonicMs(),
     };
     recorder.observeLeader(withContact);
     recorder.clock.extendBy(1_900);
--- a/src/consensus/notice_fixture_test.ts
+++ b/src/consensus/notice_fixture_test.ts
@@ -1,6 +1,6 @@
 import * as clocks from "../clock/mod.ts";
 import * as leaderFixtures from "./leader_fixture_test.ts";
-import * as noticeReporters from "./_notice_teller.ts";
+import * as noticeReporters from "./_notice_reporter.ts";
 import type * as messages from "./message.ts";
 import type * as notices from "./replica_notice.ts";
 import type * as replicaStates from "./replica_state.ts";
@@ -15,11 +15,11 @@
 /** Records the notices reported for the replica states that a test passes in. */
 export class NoticeRecorder {
   readonly clock = new clocks.FakeClock(START_TIME_MS);
-  readonly #reporter: noticeReporters.NoticeTeller;
+  readonly #reporter: noticeReporters.NoticeReporter;
   readonly #notices: notices.ReplicaNotice[] = [];
 
   constructor(opened: replicaStates.ReplicaState) {
-    this.#reporter = new noticeReporters.NoticeTeller(
+    this.#reporter = new noticeReporters.NoticeReporter(
       { clock: this.clock, onNotice: (notice) => this.#notices.push(notice) },
       opened,
     );
@@ -41,7 +41,7 @@
     reply: Omit<messages.VoteReply, "kind" | "term">,
   ): void {
     const message = { kind: "voteReply" as const, term: 3, ...reply };
-    this.#reporter.noteEvent(state, { kind: "message", from: "b", message });
+    this.#reporter.recordEvent(state, { kind: "message", from: "b", message });
   }
 
   /** Lists the recorded notices of one kind, oldest first. */
@@ -78,7 +78,7 @@
   if (role.kind !== "leader") return state;
   const known = role.progress.get("b");
   if (known === undefined) return state;
-  const changed = { ...known, answeredSentAtMs: START_TIME_MS, ...change };
+  const changed = { ...known, lastAckedSentAtMs: START_TIME_MS, ...change };
   const progress = new Map([...role.progress, ["b", changed] as const]);
   return { ...state, role: { ...role, progress } };
 }
--- a/src/consensus/replica_driver_test.ts
+++ b/src/consensus/replica_driver_test.ts
@@ -4,7 +4,7 @@
 import * as chai from "chai";
 import * as clocks from "../clock/mod.ts";
 import * as listStateMachines from "./list_state_machine_test.ts";
-import * as initializeDataFolder from "./make_data_folder.ts";
+import * as initializeDataFolder from "./initialize_data_folder.ts";
 import * as openReplicas from "./_open_replica.ts";
 import type * as notices from "./replica_notice.ts";
 import * as replicaDrivers from "./replica_driver.ts";
@@ -30,7 +30,7 @@
       },
       clock: new clocks.SystemClock(),
       dataFolder,
-      machine,
+      stateMachine: machine,
       snapshotEntries: 16,
       send: () => {},
       onFatal: (error) => {
@@ -66,7 +66,7 @@
       },
       clock: new clocks.SystemClock(),
       dataFolder: emptyFolder,
-      machine,
+      stateMachine: machine,
       snapshotEntries: 16,
       send: () => {},
       onFatal: () => {},
@@ -81,7 +81,7 @@
     const testFolder = fs.mkdtempSync(
       path.join(os.tmpdir(), "hoistscale-opened-"),
     );
-    await initializeDataFolder.makeDataFolder({
+    await initializeDataFolder.initializeDataFolder({
       folder: testFolder,
       owner: "a",
       wallMs: 5,
@@ -100,7 +100,7 @@
       },
       clock: new clocks.FakeClock(),
       dataFolder: testFolder,
-      machine: new listStateMachines.ListStateMachine(),
+      stateMachine: new listStateMachines.ListStateMachine(),
       snapshotEntries: 16,
       send: () => {},
       onNotice: (notice) => reported.push(notice),
@@ -139,7 +139,7 @@
       },
       clock,
       dataFolder: testFolder,
-      machine: new listStateMachines.ListStateMachine(),
+      stateMachine: new listStateMachines.ListStateMachine(),
       snapshotEntries: 16,
       send: () => {},
       onNotice: (notice) => reportedKinds.push(notice.kind),
@@ -167,7 +167,7 @@
   });
 
   it("keeps every accepted command across stops under load and snapshots", async () => {
-    await initializeDataFolder.makeDataFolder({
+    await initializeDataFolder.initializeDataFolder({
       folder,
       owner: "a",
       wallMs: 1,
@@ -203,7 +203,7 @@
     const testFolder = fs.mkdtempSync(
       path.join(os.tmpdir(), "hoistscale-authority-"),
     );
-    await initializeDataFolder.makeDataFolder({
+    await initializeDataFolder.initializeDataFolder({
       folder: testFolder,
       owner: "a",
       wallMs: 1,
--- a/src/consensus/replica_status_test.ts
+++ b/src/consensus/replica_status_test.ts
@@ -28,7 +28,7 @@
     });
     chai.expect(countPresentVoters(unadmitted, 999)).to.equal(2);
     const lateReply = fixtures.changeProgress(leader, {
-      answeredSentAtMs: 500,
+      lastAckedSentAtMs: 500,
     });
     chai.expect(countPresentVoters(lateReply, 1_400)).to.equal(2);
     chai.expect(countPresentVoters(lateReply, 1_500)).to.equal(1);
--- a/src/consensus/simulated_node_test.ts
+++ b/src/consensus/simulated_node_test.ts
@@ -1,5 +1,5 @@
 import type * as fakeNetworks from "./fake_network_test.ts";
-import * as leaderLeases from "./authority.ts";
+import * as leaderLeases from "./leader_lease.ts";
 import * as savedRecords from "./_saved_record.ts";
 import type * as messages from "./message.ts";
 import * as replicaSets from "./replica_set.ts";
@@ -93,7 +93,7 @@
     disk: initialVoters.includes(config.id)
       ? {
         snapshot: undefined,
-        records: savedRecords.createFounding(initialVoters, 0),
+        records: savedRecords.createBootstrapRecords(initialVoters, 0),
       }
       : createEmptyDisk(0),
     suspendedUntilMs: 0,
--- a/src/consensus/simulation_test.ts
+++ b/src/consensus/simulation_test.ts
@@ -224,7 +224,7 @@
     if (restore !== undefined && node.state !== undefined) {
       node.disk = {
         snapshot: restore.snapshot,
-        records: savedRecords.createHead(node.state),
+        records: savedRecords.createHeadRecords(node.state),
       };
     }
     const records = effects.flatMap(savedRecords.toRecords);
@@ -305,7 +305,7 @@
     ) return;
     node.disk = {
       snapshot: this.#createSnapshot(node),
-      records: savedRecords.createRest(node.state, node.appliedIndex),
+      records: savedRecords.createRecordsAfter(node.state, node.appliedIndex),
     };
     node.state = {
       ...node.state,
--- a/src/consensus/snapshot_admission_test.ts
+++ b/src/consensus/snapshot_admission_test.ts
@@ -41,7 +41,7 @@
       },
       clock: new clocks.FakeClock(),
       dataFolder: folder,
-      machine: new listStateMachines.ListStateMachine(),
+      stateMachine: new listStateMachines.ListStateMachine(),
       snapshotEntries: 16,
       send: () => {},
       onFatal: () => {},
--- a/src/consensus/snapshot_leadership_test.ts
+++ b/src/consensus/snapshot_leadership_test.ts
@@ -61,13 +61,13 @@
         for (const message of sent.splice(0)) {
           if (message.kind !== "snapshotPart" || remainingParts === 0) continue;
           remainingParts -= 1;
-          const result = receiver.take(message);
+          const result = receiver.addPart(message);
           complete ??= result.whole;
-          sender?.takeReply("b", result.reply, FIRST_TERM + leadership);
+          sender?.handleReply("b", result.reply, FIRST_TERM + leadership);
         }
         clock.extendBy(HEARTBEAT_MS);
       }
-      sender?.drop();
+      sender?.pause();
       sent.length = 0;
     }
     chai.expect(complete?.snapshot.state.length).to.equal(PARTS);
--- a/src/consensus/snapshot_order_test.ts
+++ b/src/consensus/snapshot_order_test.ts
@@ -15,8 +15,8 @@
 const UNADMITTED: replicaStates.Progress = {
   nextIndex: 1,
   matchIndex: 0,
-  answeredSentAtMs: NOW_MS,
-  movedAtMs: NOW_MS,
+  lastAckedSentAtMs: NOW_MS,
+  lastProgressAtMs: NOW_MS,
   identity: { incarnation: 1, isAdmitted: false },
 };
 
@@ -37,7 +37,7 @@
     const caughtUp = leader.role.progress.get("c");
     if (caughtUp === undefined) throw new Error("c is not a follower");
     const progress = new Map([
-      ["c", { ...caughtUp, answeredSentAtMs: NOW_MS }] as const,
+      ["c", { ...caughtUp, lastAckedSentAtMs: NOW_MS }] as const,
       ["b", UNADMITTED] as const,
       ["d", UNADMITTED] as const,
       ["e", UNADMITTED] as const,
--- a/src/consensus/snapshot_restart_test.ts
+++ b/src/consensus/snapshot_restart_test.ts
@@ -44,9 +44,9 @@
         hasRestarted = true;
         receiver = new transfers.SnapshotReceiver();
       }
-      const result = receiver.take(message);
+      const result = receiver.addPart(message);
       complete ??= result.whole;
-      sender.takeReply("b", result.reply, TERM);
+      sender.handleReply("b", result.reply, TERM);
     }
     clock.extendBy(HEARTBEAT_MS);
   }
--- a/src/consensus/snapshot_transfer_test.ts
+++ b/src/consensus/snapshot_transfer_test.ts
@@ -4,7 +4,7 @@
 import * as chai from "chai";
 import * as clocks from "../clock/mod.ts";
 import * as listStateMachines from "./list_state_machine_test.ts";
-import * as initializeDataFolder from "./make_data_folder.ts";
+import * as initializeDataFolder from "./initialize_data_folder.ts";
 import type * as messages from "./message.ts";
 import * as replicaDrivers from "./replica_driver.ts";
 import * as transfers from "./_snapshot_transfer.ts";
@@ -43,10 +43,10 @@
       messageCount += 1;
       if (message.kind !== "snapshotPart") continue;
       if (lossPattern[messageCount % lossPattern.length] === true) continue;
-      const { reply, whole } = receiver.take(message);
+      const { reply, whole } = receiver.addPart(message);
       if (whole !== undefined) arrived.push(whole);
       if (lossPattern[(messageCount * 7) % lossPattern.length] !== true) {
-        sender.takeReply("b", reply, 3);
+        sender.handleReply("b", reply, 3);
       }
     }
     clock.extendBy(100);
@@ -100,10 +100,12 @@
 
   it("ignores parts of an earlier transfer", () => {
     const receiver = new transfers.SnapshotReceiver();
-    receiver.take(createPart("x", 0));
-    chai.expect(receiver.take(createPart("y", 1)).reply.received).to.equal(0);
-    receiver.take(createPart("y", 0));
-    const { whole } = receiver.take(createPart("y", 1));
+    receiver.addPart(createPart("x", 0));
+    chai.expect(receiver.addPart(createPart("y", 1)).reply.received).to.equal(
+      0,
+    );
+    receiver.addPart(createPart("y", 0));
+    const { whole } = receiver.addPart(createPart("y", 1));
     chai.expect(whole?.snapshot.state).to.deep.equal(["y0", "y1"]);
   });
 });
@@ -129,7 +131,7 @@
     const folder = fs.mkdtempSync(path.join(os.tmpdir(), `hoistscale-${id}-`));
     folders.push(folder);
     if (isInitialVoter) {
-      await initializeDataFolder.makeDataFolder({
+      await initializeDataFolder.initializeDataFolder({
         folder,
         owner: id,
         wallMs: 1,
@@ -148,7 +150,7 @@
       },
       clock: new clocks.SystemClock(),
       dataFolder: folder,
-      machine,
+      stateMachine: machine,
       snapshotEntries: 32,
       send: (to, message) => {
         const text = JSON.stringify(message);
--- a/src/consensus/snapshot_window_test.ts
+++ b/src/consensus/snapshot_window_test.ts
@@ -31,11 +31,11 @@
       sent = [];
       const replies = arrived.flatMap((message) => {
         if (message.kind !== "snapshotPart") return [];
-        const result = receiver.take(message);
+        const result = receiver.addPart(message);
         complete ??= result.whole;
         return [result.reply];
       });
-      for (const reply of replies) sender.takeReply("b", reply, 3);
+      for (const reply of replies) sender.handleReply("b", reply, 3);
     }
     chai.expect(complete?.snapshot.state.length).to.equal(PARTS);
   });
--- a/src/consensus/stalled_catch_up_test.ts
+++ b/src/consensus/stalled_catch_up_test.ts
@@ -1,5 +1,5 @@
 import * as chai from "chai";
-import * as appendWindows from "./_feeding.ts";
+import * as appendWindows from "./_append_window.ts";
 import * as leaderFixtures from "./leader_fixture_test.ts";
 import * as replicaLogs from "./replica_log.ts";
 import type * as replicaStates from "./replica_state.ts";
@@ -22,8 +22,8 @@
   return {
     nextIndex: matchIndex + 1,
     matchIndex,
-    answeredSentAtMs: NOW_MS,
-    movedAtMs: lastProgressAtMs,
+    lastAckedSentAtMs: NOW_MS,
+    lastProgressAtMs: lastProgressAtMs,
     identity: UNADMITTED,
   };
 }
