--- a/src/replica_group/bootstrap_service_test.ts
+++ b/src/replica_group/bootstrap_service_test.ts
@@ -7,12 +7,12 @@
   return { group: "g", id, failureDomain: id, wanted: 3, least: 3 };
 }
 
-describe("founding desk", () => {
+describe("bootstrap service", () => {
   const clock = new clocks.FakeClock();
   const log = new logs.Log("box", "error", () => {});
   const server = { add: () => {} };
 
-  it("waits for late applicants, chooses once and keeps to it", () => {
+  it("waits for late requests and chooses the initial voters once", () => {
     const service = new bootstrapServices.FoundingDesk({
       clock,
       log,
@@ -34,7 +34,7 @@
     chai.expect(sendRequest("b")).to.deep.equal(reply);
   });
 
-  it("never chooses in a process that is not the box's first", () => {
+  it("refuses requests if the process is not the first start of its box", () => {
     const service = new bootstrapServices.FoundingDesk({
       clock,
       log,
--- a/src/replica_group/describe_notice_test.ts
+++ b/src/replica_group/describe_notice_test.ts
@@ -9,8 +9,8 @@
   isCommitted: false,
 };
 
-describe("describing a notice", () => {
-  /** The log line of a notice, after its time. */
+describe("descriptions of notices", () => {
+  /** Returns the log line of a notice without its time. */
   function writeNotice(notice: consensus.ReplicaNotice): string {
     let line = "";
     const log = new logs.Log("box", "info", (text) => {
@@ -22,7 +22,7 @@
     return line.replace(/^time=\S+ /, "").trim();
   }
 
-  it("tells what a replica was opened with", () => {
+  it("show the state that a replica was opened with", () => {
     const line = writeNotice({
       kind: "opened",
       id: "a",
@@ -42,7 +42,7 @@
     );
   });
 
-  it("tells an admission, at the replica and at its leader", () => {
+  it("show an admission at the replica and at its leader", () => {
     chai.expect(writeNotice({
       kind: "admitted",
       incarnation: 5,
@@ -64,13 +64,13 @@
     );
   });
 
-  it("tells the set in force with its entry", () => {
+  it("show the voter set in force with its log index", () => {
     chai.expect(writeNotice({ kind: "voters", term: 3, set: SET })).to.equal(
       "level=info event=replica.voters box=box term=3 voters=a,b setIndex=12 isSetCommitted=false",
     );
   });
 
-  it("tells how followers are fed", () => {
+  it("show how far unadmitted followers have caught up", () => {
     chai.expect(writeNotice({
       kind: "feeding",
       term: 3,
@@ -94,7 +94,7 @@
     );
   });
 
-  it("tells why there may be no leader", () => {
+  it("show why there may be no leader", () => {
     chai.expect(writeNotice({
       kind: "leaderless",
       role: "preCandidate",
--- a/src/replica_group/disk_loss_recovery_test.ts
+++ b/src/replica_group/disk_loss_recovery_test.ts
@@ -4,21 +4,15 @@
 import type * as simulatedClusters from "./simulated_cluster_test.ts";
 
 /*
- * After a restart of all boxes, with one disk lost, four living stores answered
- * `notLeader` for a minute and longer, each at once. Two of the three voters
- * were not admitted: the disk of another voter had been lost before, and its
- * replica was still being fed. It is sent 8 entries a message, two of them at
- * a time, and each waits for a sync at both ends. With 1,650 entries, 20 ms a
- * sync and 50 commands a second this takes 6.1 s, with 40 ms 17.4 s, and with
- * 200 commands a second new entries come as fast as old ones are sent, so that
- * it never ends (simulated clock). The plan of voters replaces none that
- * answers, though a spare stands by.
+ * A voter that lost its disk counts in no quorum until it has caught up. It must
+ * do so in a bounded time under any load, or the next lost disk leaves the group
+ * without a leader.
  */
 
 const PROCESSOR_SHARE = 1 / 3;
 const START_DELAY_MS = 300;
 const TIMEOUT_MS = 60_000;
-/** Time after which a snapshot is under way, in ms. */
+/** Time after which a snapshot transfer is in progress, in ms. */
 const SNAPSHOT_DELAY_MS = 50;
 
 describe("stores of which one voter lost its disk", () => {
@@ -26,7 +20,7 @@
 
   afterEach(() => cluster.close());
 
-  /** Empties a voter that does not lead. */
+  /** Erases the disk of a follower, restarts it and returns its id. */
   async function wipeFollower(): Promise<string> {
     const wiped = simulatedCases.listRoles(cluster).followers[0] ?? "";
     cluster.cutPowerAndWipe(wiped);
@@ -35,7 +29,7 @@
     return wiped;
   }
 
-  /** Measures how long a single loss is fatal, in ms. */
+  /** Measures the time until the loss of any one disk is survivable, in ms. */
   async function measureRecovery(): Promise<number> {
     const startMs = cluster.getNowMs();
     await cluster.run(
@@ -45,7 +39,7 @@
     return cluster.getNowMs() - startMs;
   }
 
-  it("bear the loss of another disk 5.1 s later, with a restart of all boxes", async () => {
+  it("survive the loss of another disk and a restart of all boxes 5.1 s later", async () => {
     cluster = await simulatedCases.createCluster({
       syncMs: 20,
       entries: 1_650,
@@ -63,13 +57,9 @@
     chai.expect(cluster.findLeader(), summary).to.not.equal(undefined);
   });
 
-  /*
-   * A box that was started again while it took a snapshot got the parts that
-   * followed those of its former process, again and again, and counted in no
-   * quorum 60 s later. It does not matter when in the 200 ms of the snapshot of
-   * 211 parts the box was started again.
-   */
-  it("are whole though the box is started again in the middle of a snapshot", async () => {
+  // A restarted process must get the snapshot from its first part again, not
+  // the parts that follow those sent to the previous process.
+  it("recover although the box restarts during a snapshot transfer", async () => {
     cluster = await simulatedCases.createCluster({
       syncMs: 1,
       entries: 2_000,
@@ -86,11 +76,7 @@
     chai.expect(fatalLoss, summary).to.equal(undefined);
   });
 
-  /*
-   * With a third of a processor for each process, 67 of each 100 ms away, the
-   * same 1,650 entries took 10.1 s, though a sync took 1 ms and no command came.
-   */
-  it("are whole again after 5.1 s with a third of a processor", async () => {
+  it("recover within 5.1 s with a third of a processor", async () => {
     cluster = await simulatedCases.createCluster({
       syncMs: 1,
       entries: 1_650,
@@ -103,7 +89,7 @@
     chai.expect(durationMs).to.be.at.most(simulatedCases.CATCH_UP_MS);
   });
 
-  it("are whole again after 5.1 s, however busy they are", async () => {
+  it("recover within 5.1 s with slow disks under load", async () => {
     cluster = await simulatedCases.createCluster({
       syncMs: 40,
       entries: 1_650,
--- a/src/replica_group/election_check_test.ts
+++ b/src/replica_group/election_check_test.ts
@@ -1,6 +1,6 @@
 import type * as disks from "./simulated_disk_test.ts";
 
-/** Disks of stores by the ids of their boxes. */
+/** Summaries of disks by the ids of their boxes. */
 export type Disks = ReadonlyMap<string, disks.DiskSummary>;
 
 function isUpToDate(
@@ -25,16 +25,17 @@
   return votes.length > voters.length / 2;
 }
 
-/** Whether some replica gets the votes of a quorum from what disks hold. */
+/** Whether some replica can win an election with what is synced on the disks. */
 export function canElect(all: Disks): boolean {
   return [...all.keys()].some((id) => canWin(id, all));
 }
 
 /**
- * Finds a box without whose disk no leader is ever elected.
+ * Finds a box whose disk is a single point of failure: without it, no leader
+ * can be elected.
  *
- * @param all The disks of all boxes.
- * @returns The id of such a box, or undefined.
+ * @param all Summaries of the disks of all boxes.
+ * @returns The id of the first such box, or undefined.
  */
 export function findFatalLoss(all: Disks): string | undefined {
   return [...all.keys()].find((id) =>
@@ -42,7 +43,7 @@
   );
 }
 
-/** Describes disks in one line a box. */
+/** Describes the voters, admission and last log position of each disk. */
 export function describeDisks(all: Disks): string {
   return [...all].map(([id, disk]) =>
     `${id} of [${disk.voters.join(",")}] ` +
--- a/src/replica_group/fault_schedule_test.ts
+++ b/src/replica_group/fault_schedule_test.ts
@@ -1,67 +1,74 @@
 import * as uniform from "pure-rand/distribution/uniformInt";
 import * as generator from "pure-rand/generator/xoroshiro128plus";
 
-/** A box by the part that it plays when a fault comes. */
+/**
+ * The box that a fault hits, by its role at that time. A `spare` is not a voter;
+ * `lost` is a box that still counts as lost after an earlier fault.
+ */
 export type Target = "leader" | "follower" | "otherFollower" | "spare" | "lost";
 
-/** What happens to the boxes. */
+/**
+ * A fault. `startMs` is the delay until the process starts again, in ms;
+ * `keptWrites` is the number of unsynced writes that survive a power loss.
+ */
 export type Fault =
-  /** All lose power and keep their disks. */
+  /** All boxes lose power and keep their disks. */
   | {
     readonly kind: "powerOfAll";
     readonly startMs: readonly number[];
     readonly keptWrites: number;
   }
-  /** One loses power and keeps its disk. */
+  /** A box loses power and keeps its disk. */
   | {
     readonly kind: "powerOfOne";
     readonly target: Target;
     readonly startMs: number;
     readonly keptWrites: number;
   }
-  /** One loses its disk. */
+  /** A box loses power and its disk. */
   | {
     readonly kind: "disk";
     readonly target: Target;
     readonly startMs: number;
   }
-  /** All lose power, and one its disk. */
+  /** All boxes lose power, and one of them its disk. */
   | {
     readonly kind: "diskAndPowerOfAll";
     readonly target: Target;
     readonly startMs: readonly number[];
   }
-  /** One is gone for good; an empty one at another address comes for it. */
+  /** A box is removed, and an empty one with another id replaces it. */
   | {
     readonly kind: "gone";
     readonly target: Target;
     readonly startMs: number;
   }
-  /** One stands still for a while. */
+  /** The process of a box is paused. */
   | { readonly kind: "freeze"; readonly target: Target; readonly ms: number }
+  /** Messages from a box, to it, or both are dropped. */
   | {
     readonly kind: "cut";
     readonly target: Target;
     readonly direction: "out" | "in" | "both";
     readonly ms: number;
   }
-  /** A planned stop, announced before. */
+  /** A planned restart: the box announces it and hands leadership over. */
   | {
     readonly kind: "restart";
     readonly target: Target;
     readonly startMs: number;
   }
-  /** One is emptied, and goes for good once that is told. */
+  /** A box is retired, and removed once the leader reports that as completed. */
   | {
     readonly kind: "retire";
     readonly target: Target;
     readonly startMs: number;
-    /** Time from the answer until it is taken away, in ms. */
+    /** Time from the completion of the retirement to the removal, in ms. */
     readonly takenMs: number;
   }
-  /** One wall clock is set. */
+  /** The wall clock of a box is moved by some ms. */
   | { readonly kind: "clock"; readonly target: Target; readonly byMs: number }
-  /** One disk is slower for a while. */
+  /** The syncs of a disk take longer by a factor. */
   | {
     readonly kind: "slowDisk";
     readonly target: Target;
@@ -69,22 +76,22 @@
     readonly ms: number;
   };
 
-/** A fault and when it comes, in ms after the one before. */
+/** A fault and its time, in ms after the previous one. */
 export interface ScheduledFault {
   readonly afterMs: number;
   readonly fault: Fault;
 }
 
-/** Deployments that schedules are drawn for, from the easiest on. */
+/** Profiles of disk speed and command rate, from light to heavy. */
 export type Load = "quiet" | "busy" | "slow";
 
-/** A deployment and what happens to it. */
+/** The options of a cluster and the faults that hit it. */
 export interface Schedule {
   readonly load: Load;
   /**
-   * Whether the while after a return counts from the launch of the process,
-   * where it counts from the time that the process runs otherwise; a loss of
-   * power of all boxes does not count then.
+   * Whether the time to catch up begins when a start is scheduled instead of
+   * when the process runs. If set, a power loss of all boxes does not mark them
+   * as lost.
    */
   readonly isStrict?: boolean;
   readonly syncMs: number;
@@ -94,7 +101,7 @@
   readonly snapshotEntries: number;
   readonly leaseMs: number | undefined;
   readonly faults: readonly ScheduledFault[];
-  /** The last one, from which a leader must come. */
+  /** The last fault, after which a leader must be elected. */
   readonly last: Extract<Fault, { kind: "diskAndPowerOfAll" }>;
 }
 
@@ -127,7 +134,7 @@
 const MAX_DURATION_MS = 6_000;
 const MAX_CLOCK_STEP_MS = 20_000;
 
-/** Draws the parts of a schedule from a seed. */
+/** Draws the parts of a schedule from a seeded generator. */
 class ScheduleGenerator {
   readonly #random: ReturnType<typeof generator.xoroshiro128plus>;
 
@@ -239,11 +246,11 @@
 }
 
 /**
- * Draws a schedule.
+ * Draws a random schedule.
  *
  * @param seed The same seed gives the same schedule.
- * @param load The deployment.
- * @param count Number of faults.
+ * @param load The profile of the cluster.
+ * @param count Number of faults before the last one.
  */
 export function drawSchedule(
   seed: number,
--- a/src/replica_group/fault_search_test.ts
+++ b/src/replica_group/fault_search_test.ts
@@ -3,16 +3,16 @@
 import * as scheduleRunners from "./schedule_runner_test.ts";
 
 /*
- * Random faults on four stores, one loss to be borne at a time: once a lost box
- * has caught up, no single disk may be the only way to a leader. A longer search
- * is started by hand:
+ * Runs random faults against simulated stores, with at most one lost box at a
+ * time: once that box has caught up, no single disk may be needed to elect a
+ * leader. A longer search is started by hand:
  *
  *     HOISTSCALE_SCHEDULES=500 HOISTSCALE_FIRST_SEED=1000 HOISTSCALE_FAULTS=10 \
  *       node_modules/.bin/mocha --import=tsx --timeout=0 --exit \
  *       src/replica_group/fault_search_test.ts
  */
 
-/** Whether a search was started by hand; it shortens what it finds. */
+/** Whether the search was started by hand and trims failing schedules. */
 const IS_MANUAL_SEARCH = process.env["HOISTSCALE_SCHEDULES"] !== undefined;
 const SCHEDULE_COUNT = readNumber("HOISTSCALE_SCHEDULES", 3);
 const FIRST_SEED = readNumber("HOISTSCALE_FIRST_SEED", 1);
@@ -22,7 +22,7 @@
   return Number(process.env[name] ?? defaultValue);
 }
 
-/** Describes the first schedule that breaks something. */
+/** Describes the first schedule that violates an invariant, if there is one. */
 async function findViolation(
   load: faultSchedules.Load,
 ): Promise<string | undefined> {
@@ -45,7 +45,7 @@
 
 describe("stores under random faults", () => {
   for (const load of ["quiet", "busy", "slow"] as const) {
-    it(`bear the loss of any disk, ${load}`, async () => {
+    it(`survive the loss of any disk, load: ${load}`, async () => {
       const violation = await findViolation(load);
       chai.expect(violation, violation).to.equal(undefined);
     });
--- a/src/replica_group/group_state_machine_test.ts
+++ b/src/replica_group/group_state_machine_test.ts
@@ -1,23 +1,23 @@
 import type * as consensus from "../consensus/mod.ts";
 import type * as duties from "../duty/mod.ts";
 
-/** A command that the machine keeps. */
+/** A command that changes the state. */
 export type GroupCommand =
   | duties.NoteHolder
   | { readonly kind: "retireBox"; readonly box: string }
   | { readonly kind: "load" };
 
-/** The first part of a saved state. */
+/** The first part of a snapshot. */
 interface SnapshotHeader {
   readonly holder: string | undefined;
   readonly retiring: readonly string[];
   readonly loadCount: number;
 }
 
-/** Commands for each part of a saved state. */
+/** Load commands per further part of a snapshot. */
 const COMMANDS_PER_PART = 10;
 
-/** Knows who holds the duties and who is to be emptied; counts the rest. */
+/** Stores the duty holder and the retiring boxes, and counts load commands. */
 export class GroupStateMachine implements consensus.Machine {
   #holder: string | undefined;
   #retiring: readonly string[] = [];
--- a/src/replica_group/leader_caller_test.ts
+++ b/src/replica_group/leader_caller_test.ts
@@ -14,7 +14,7 @@
 }
 
 describe("leader caller", () => {
-  /** Spares and voters; spares do not know who leads. */
+  /** Ids of all stores. Non-voters do not know the leader. */
   const stores = Array.from({ length: 30 }, (_, index) => `s${index}`);
   let replicas = stores;
   let clock = new clocks.FakeClock(1_000);
@@ -22,7 +22,7 @@
   let leader = "s29";
   let reportedLeader: string | undefined;
   let unreachable: readonly string[] = [];
-  /** Leaders that replicas name, and why they don't lead. */
+  /** Leaders that replicas name, and the reasons why they do not lead. */
   let namedLeaders: Readonly<Record<string, string>> = {};
   let reasons: Readonly<Record<string, notLeaders.NotLeaderReason>> = {};
   let lines: string[] = [];
@@ -47,13 +47,11 @@
         if (unreachable.includes(id)) {
           return Promise.reject(new Error("the connection was not made"));
         }
-        const reply = id === leader
-          ? { kind: "done", by: id }
-          : {
-            kind: "notLeader",
-            leader: namedLeaders[id],
-            reason: reasons[id],
-          };
+        const reply = id === leader ? { kind: "done", by: id } : {
+          kind: "notLeader",
+          leader: namedLeaders[id],
+          reason: reasons[id],
+        };
         return Promise.resolve(reply as T);
       },
     };
@@ -83,13 +81,13 @@
     }
   }
 
-  it("asks the box that the news name first, before any spare", async () => {
+  it("calls the leader reported by the directory before any other store", async () => {
     reportedLeader = "s29";
     chai.expect(await callOnce(createCaller())).to.equal("s29");
     chai.expect(called).to.deep.equal(["s29"]);
   });
 
-  it("asks the others too where the news are old", async () => {
+  it("calls the others too if the reported leader is out of date", async () => {
     reportedLeader = "s3";
     leader = "s1";
     chai.expect(await callOnce(createCaller())).to.equal("s1");
@@ -97,7 +95,7 @@
     chai.expect(called.length).to.be.lessThan(6);
   });
 
-  it("asks a new leader as soon as the news name it", async () => {
+  it("calls a new leader as soon as it is reported", async () => {
     reportedLeader = "s3";
     unreachable = ["s3"];
     const caller = createCaller();
@@ -107,7 +105,7 @@
     chai.expect(called.length).to.be.lessThan(4);
   });
 
-  it("keeps to a leader that answered", async () => {
+  it("stays with a leader that answered", async () => {
     reportedLeader = "s29";
     const caller = createCaller();
     await callOnce(caller);
@@ -116,7 +114,7 @@
     chai.expect(called).to.deep.equal(["s29", "s29"]);
   });
 
-  it("keeps to the fixed round of the replicas while none names another", async () => {
+  it("calls the replicas in round-robin order while none names a leader", async () => {
     replicas = ["s0", "s1", "s2", "s3"];
     leader = "none";
     chai.expect(await callOnce(createCaller())).to.equal("noLeader");
@@ -126,7 +124,7 @@
     );
   });
 
-  it("shares the turn of that round between calls that run at once", async () => {
+  it("shares the round-robin position between concurrent calls", async () => {
     replicas = ["s0", "s1", "s2", "s3"];
     leader = "none";
     const caller = createCaller();
@@ -140,7 +138,7 @@
     ]);
   });
 
-  it("leaves the round for a replica that another one follows", async () => {
+  it("calls a replica out of order if another one follows it", async () => {
     replicas = ["s0", "s1", "s2", "s3"];
     leader = "none";
     namedLeaders = { s1: "s3", s3: "s3" };
@@ -151,7 +149,7 @@
     );
   });
 
-  it("leaves the round for a replica that the news name, again and again", async () => {
+  it("calls a reported leader out of order, repeatedly", async () => {
     replicas = ["s0", "s1", "s2", "s3"];
     leader = "none";
     reportedLeader = "s3";
@@ -159,10 +157,9 @@
     chai.expect(called.slice(0, 4)).to.deep.equal(["s3", "s0", "s3", "s1"]);
   });
 
-  // A replica that is no longer fed named the leader that it had followed, and each
-  // ask that it steered counted as a turn: of four replicas the one that led was
-  // passed over at each round, and a call failed though a leader was there.
-  it("asks each replica in turn though one names a leader that is gone", async () => {
+  // Calls to a stale leader must not advance the round-robin position, or the
+  // actual leader may be skipped in every round.
+  it("calls every replica although one names a stale leader", async () => {
     for (const [stale, former, real] of [[1, 3, 2], [0, 3, 1], [1, 0, 2]]) {
       replicas = ["s0", "s1", "s2", "s3"];
       namedLeaders = { [`s${stale}`]: `s${former}` };
@@ -173,7 +170,7 @@
     }
   });
 
-  it("tells of a call without a leader what each replica said last, once", async () => {
+  it("logs the last answer of each replica once if no leader is found", async () => {
     replicas = ["s0", "s1", "s2"];
     leader = "none";
     unreachable = ["s2"];
@@ -201,7 +198,7 @@
     ]);
   });
 
-  it("tells of at most twelve replicas, those asked last", async () => {
+  it("logs the answers of at most the last twelve replicas called", async () => {
     leader = "none";
     await callOnce(createCaller());
     const lastAnswers = /said=(\S+)/.exec(lines[0] ?? "")?.[1]?.split(",") ??
--- a/src/replica_group/loss_tracker_test.ts
+++ b/src/replica_group/loss_tracker_test.ts
@@ -1,17 +1,17 @@
 /**
- * Which boxes count as lost: those that are down, frozen or cut, and those that
- * came back less than a while ago. One box may be lost at a time.
+ * Tracks boxes that count as lost: those that are down, paused or partitioned,
+ * and those that are still catching up. At most one box may be lost at a time.
  */
 export class LossTracker {
   readonly #catchUpMs: number;
   readonly #lostUntilMs = new Map<string, number>();
 
-  /** @param catchUpMs Time for which a box that is back still counts, in ms. */
+  /** @param catchUpMs Time to catch up after a return, in ms. */
   constructor(catchUpMs: number) {
     this.#catchUpMs = catchUpMs;
   }
 
-  /** Counts a box as lost until some time after its return. */
+  /** Counts a box as lost until it has had time to catch up. */
   add(id: string, returnMs: number): void {
     const untilMs = returnMs + this.#catchUpMs;
     this.#lostUntilMs.set(
@@ -20,18 +20,18 @@
     );
   }
 
-  /** Forgets a box that was replaced; its successor counts instead. */
+  /** Removes a box that was replaced. */
   remove(id: string): void {
     this.#lostUntilMs.delete(id);
   }
 
-  /** Boxes that count as lost now. */
+  /** Lists the boxes that count as lost at a time. */
   listLost(nowMs: number): readonly string[] {
     return [...this.#lostUntilMs].filter(([, untilMs]) => untilMs > nowMs)
       .map(([id]) => id);
   }
 
-  /** Whether a box may be lost now: no other one is. */
+  /** Whether no other box counts as lost. */
   canLose(id: string, nowMs: number): boolean {
     return this.listLost(nowMs).every((other) => other === id);
   }
--- a/src/replica_group/not_leader_test.ts
+++ b/src/replica_group/not_leader_test.ts
@@ -16,7 +16,7 @@
   followers: undefined,
 };
 
-/** What the log shows of a replica that does not lead. */
+/** Describes the answer of a replica that does not lead, as it is logged. */
 function describeHealth(health: consensus.ReplicaHealth | undefined): string {
   return notLeaders.describeNotLeader({
     kind: "notLeader",
@@ -25,32 +25,32 @@
   });
 }
 
-describe("a replica that does not lead", () => {
-  it("tells that it has not started", () => {
+describe("the answer of a replica that does not lead", () => {
+  it("shows that the replica has not started", () => {
     chai.expect(describeHealth(undefined)).to.equal("notStarted");
   });
 
-  it("tells whom it follows, and when it heard that one", () => {
+  it("shows the leader that it follows and the time since its last message", () => {
     const follower = { ...HEALTH, role: "follower" as const, leader: "b" };
     chai.expect(describeHealth(follower)).to.equal(
       "follows:b:term5:heard2100ms",
     );
   });
 
-  it("tells its role, its log's end and how many vote without a leader", () => {
+  it("shows the role, the last log index and the number of voters without a leader", () => {
     chai.expect(describeHealth(HEALTH)).to.equal(
       "preCandidate:term5:since2100ms:last90:voters3",
     );
   });
 
-  it("tells that it does not count, does not vote, or waits for its disk", () => {
-    const emptied = { ...HEALTH, isAdmitted: false, isInSet: false };
-    chai.expect(describeHealth({ ...emptied, writingMs: 700 })).to.equal(
+  it("shows that the replica is unadmitted, is no voter, or waits for its disk", () => {
+    const unadmitted = { ...HEALTH, isAdmitted: false, isInSet: false };
+    chai.expect(describeHealth({ ...unadmitted, writingMs: 700 })).to.equal(
       "preCandidate:term5:since2100ms:last90:voters3:notInSet:notAdmitted:writing700ms",
     );
   });
 
-  it("tells that it leads by role alone", () => {
+  it("shows a leader that has lost contact with its quorum", () => {
     const leader = {
       ...HEALTH,
       role: "leader" as const,
@@ -62,7 +62,7 @@
     );
   });
 
-  it("is described where a box of an earlier version gives no reason", () => {
+  it("is described if a box of an earlier version gives no reason", () => {
     chai.expect(
       notLeaders.describeNotLeader({ kind: "notLeader", leader: undefined }),
     ).to.equal("notLeader");
--- a/src/replica_group/plan_unadmitted_voter_test.ts
+++ b/src/replica_group/plan_unadmitted_voter_test.ts
@@ -3,12 +3,8 @@
 import * as planVoters from "./plan_voters.ts";
 
 /*
- * A voter that lost its disk answers heartbeats while it is fed, but counts in
- * no quorum until it is admitted. The plan of voters looks at silence alone: of
- * four voters, three wanted, it drops the one that was silent for some ms
- * longer, though that one is whole, and keeps the emptied one; and it neither
- * feeds nor adds a spare for a voter that answers but is never admitted. With
- * either of them the loss of one disk more leaves one admitted voter of three.
+ * A voter that lost its disk answers heartbeats, but counts in no quorum until
+ * it is admitted again. The plan must prefer admitted voters to it.
  */
 
 const COMMIT_INDEX = 2_000;
@@ -41,8 +37,8 @@
   deadMs: 3_000,
 };
 
-describe("plan of voters with an emptied one that answers", () => {
-  it("drops the emptied one of four, not a whole one that was quiet 20 ms longer", () => {
+describe("voter plan with a responsive but unadmitted voter", () => {
+  it("removes the unadmitted one of four, not an admitted one that was silent longer", () => {
     const plannedVoters = planVoters.planVoters({
       ...INPUT,
       voters: ["a", "b", "c", "d"],
@@ -55,13 +51,13 @@
     chai.expect(plannedVoters).to.deep.equal(["a", "c", "d"]);
   });
 
-  it("feeds and adds a spare for a voter that answers but is not admitted", () => {
+  it("chooses and adds a learner to replace the unadmitted voter", () => {
     const learners = planVoters.chooseLearners({
       ...INPUT,
       followers: [UNADMITTED, createFollower("c")],
     });
-    chai.expect(learners, "fed").to.deep.equal(["d"]);
+    chai.expect(learners, "learners").to.deep.equal(["d"]);
     const plannedVoters = planVoters.planVoters(INPUT);
-    chai.expect(plannedVoters, "planned").to.deep.equal(["a", "b", "c", "d"]);
+    chai.expect(plannedVoters, "voters").to.deep.equal(["a", "b", "c", "d"]);
   });
 });
--- a/src/replica_group/plan_voters_test.ts
+++ b/src/replica_group/plan_voters_test.ts
@@ -26,13 +26,13 @@
   return planVoters.planVoters({ ...INPUT, ...changes });
 }
 
-describe("plan of voters", () => {
-  it("changes nothing while all is well, and feeds no spare", () => {
+describe("voter plan", () => {
+  it("changes nothing and chooses no learner while all voters respond", () => {
     chai.expect(plan({})).to.equal(undefined);
     chai.expect(planVoters.chooseLearners(INPUT)).to.deep.equal([]);
   });
 
-  it("adds a spare for a silent voter first, and removes that one then", () => {
+  it("adds a learner for a silent voter before it removes that voter", () => {
     const followers = [
       createFollower("b", 4_000),
       createFollower("c"),
@@ -51,7 +51,7 @@
       .equal(["d"]);
   });
 
-  it("feeds one spare for each doubtful voter, the one that holds most", () => {
+  it("chooses one learner per replaceable voter, the most up-to-date first", () => {
     const followers = [
       createFollower("b", 4_000),
       createFollower("c"),
@@ -67,7 +67,7 @@
       "e",
       "d",
     ]);
-    // A spare that does not answer is fed only where no other is left.
+    // An unresponsive non-voter is chosen only if no other is left.
     const fiveVoters = { ...input, wanted: 5 };
     chai.expect(planVoters.chooseLearners(fiveVoters)).to.deep.equal([
       "e",
@@ -76,7 +76,7 @@
     ]);
   });
 
-  it("feeds a spare in the failure domain with the fewest sound voters", () => {
+  it("chooses a learner in the failure domain with the fewest retained voters", () => {
     const followers = [
       createFollower("b", 4_000),
       createFollower("c"),
@@ -99,7 +99,7 @@
     })).to.deep.equal(["e"]);
   });
 
-  it("adds a spare that lacks only what is under way, and none that lacks more or is not admitted", () => {
+  it("promotes a learner that is caught up, and none that lags or is unadmitted", () => {
     const failedVoter = createFollower("b", 4_000);
     const commitIndex = 1_000;
     function planWith(candidate: consensus.FollowerStatus) {
@@ -123,24 +123,24 @@
     chai.expect(planWith(unadmitted)).to.equal(undefined);
   });
 
-  it("replaces a box that is to be emptied, and never changes sets in turn", () => {
+  it("replaces a retiring voter and does not alternate between voter sets", () => {
     const retiring = ["b"];
     chai.expect(plan({ retiring })).to.deep.equal(["a", "b", "c", "d"]);
     const voters = ["a", "b", "c", "d"];
     chai.expect(plan({ retiring, voters })).to.deep.equal(["a", "c", "d"]);
-    // The leader itself is to be emptied: it hands over and plans nothing.
+    // A retiring leader transfers leadership instead of changing the voters.
     chai.expect(plan({ retiring: ["a"] })).to.equal(undefined);
     chai.expect(plan({ retiring: ["a"], voters })).to.equal(undefined);
   });
 
-  it("wants an odd number, and never fewer than losses need", () => {
+  it("targets an odd number of voters, at least the minimum", () => {
     chai.expect(planVoters.countWanted(3, 9, 2)).to.equal(3);
     chai.expect(planVoters.countWanted(3, 9, 4)).to.equal(3);
     chai.expect(planVoters.countWanted(3, 9, 8)).to.equal(7);
     chai.expect(planVoters.countWanted(3, 9, 20)).to.equal(9);
   });
 
-  it("founds over as many failure domains as there are, with an odd number", () => {
+  it("spreads an odd number of initial voters over the failure domains", () => {
     const requests = ["n1", "n2", "n3", "s1", "e1"].map((id) => ({
       group: "g",
       id,
--- a/src/replica_group/quorum_loss_log_test.ts
+++ b/src/replica_group/quorum_loss_log_test.ts
@@ -18,7 +18,7 @@
 
 type Handler = Parameters<rpc.MethodTable["add"]>[1];
 
-/** A box with a replica, which keeps its log lines over restarts. */
+/** A box with a replica, which collects its log lines across restarts. */
 class StoreBox {
   readonly lines: string[] = [];
   readonly folder: string;
@@ -29,13 +29,13 @@
     this.folder = path.join(root, id);
   }
 
-  /** Lines of an event, in order. */
+  /** Lists the log lines of an event, oldest first. */
   listLines(event: string): readonly string[] {
     return this.lines.filter((line) => line.includes(` event=${event} `));
   }
 }
 
-describe("a group that loses its voters", () => {
+describe("a group that loses its quorum", () => {
   const root = fs.mkdtempSync(path.join(os.tmpdir(), "hoistscale-group-"));
   const clock = new clocks.SystemClock();
   const boxes = new Map(IDS.map((id) => [id, new StoreBox(id, root)]));
@@ -47,7 +47,7 @@
 
   function getBox(id: string): StoreBox {
     const box = boxes.get(id);
-    if (box === undefined) throw new Error(`no box ${id}`);
+    if (box === undefined) throw new Error(`box "${id}" does not exist`);
     return box;
   }
 
@@ -57,7 +57,7 @@
         const handle = getBox(id).handlers.get(method);
         setImmediate(() => handle?.(params as never));
       },
-      call: () => Promise.reject(new Error("no calls here")),
+      call: () => Promise.reject(new Error("this peer supports no calls")),
     };
   }
 
@@ -115,8 +115,8 @@
   }
 
   /**
-   * Takes a follower its disk, until one leader has fed it without losing the
-   * lead meanwhile, and both have told it.
+   * Erases the data of a follower and waits until it is admitted again. Retries
+   * unless the leader of the same term has logged the admission.
    */
   async function wipeFollower(): Promise<StoreBox> {
     for (;;) {
@@ -144,7 +144,7 @@
     }
   }
 
-  it("tells of an emptied voter until it counts, and then why none leads", async () => {
+  it("logs the admission of a wiped voter and then why there is no leader", async () => {
     for (const id of IDS) {
       await consensus.makeDataFolder({
         folder: getBox(id).folder,
--- a/src/replica_group/read_barrier_test.ts
+++ b/src/replica_group/read_barrier_test.ts
@@ -8,7 +8,7 @@
 const LEADER = "leader";
 const FOLLOWER = "follower";
 
-/** A replica whose state moves as the test says. */
+/** A replica whose state the test sets. */
 class FakeReplica implements readBarriers.BarrierReplica {
   isLeading = false;
   leader: string | undefined = LEADER;
@@ -76,13 +76,13 @@
     await new Promise((resolve) => setImmediate(resolve));
   }
 
-  it("passes at once where the replica holds what its leader holds", async () => {
+  it("passes at once if the replica has applied what its leader has", async () => {
     leader.appliedIndex = 7;
     follower.appliedIndex = 7;
     chai.expect(await barrier.awaitLeaderState(TIMEOUT_MS)).to.equal(true);
   });
 
-  it("waits for what was acknowledged before the read, and for no more", async () => {
+  it("waits for entries acknowledged before the read, but not for later ones", async () => {
     leader.appliedIndex = 7;
     follower.appliedIndex = 5;
     let hasPassed: boolean | undefined;
@@ -101,7 +101,7 @@
     chai.expect(hasPassed).to.equal(true);
   });
 
-  it("does not pass where the replica does not catch up in time", async () => {
+  it("does not pass if the replica does not catch up in time", async () => {
     leader.appliedIndex = 7;
     const passing = barrier.awaitLeaderState(TIMEOUT_MS);
     await settle();
@@ -109,7 +109,7 @@
     chai.expect(await passing).to.equal(false);
   });
 
-  it("does not pass without a leader that is sure of its lead", async () => {
+  it("does not pass without a leader that has authority", async () => {
     follower.leader = undefined;
     chai.expect(await barrier.awaitLeaderState(TIMEOUT_MS)).to.equal(false);
     follower.leader = LEADER;
--- a/src/replica_group/regression_schedules_fixture_test.ts
+++ b/src/replica_group/regression_schedules_fixture_test.ts
@@ -1,19 +1,16 @@
 import type * as faultSchedules from "./fault_schedule_test.ts";
 
-/** A schedule that a random search found, as short as it could be made. */
+/** A schedule that a random search found, trimmed to the faults that matter. */
 export interface RegressionSchedule {
   readonly name: string;
   readonly schedule: faultSchedules.Schedule;
 }
 
-/**
- * Where the while after a return counts from the time that a process runs. The
- * first one never heals while its leader leads.
- */
+/** Schedules in which the time to catch up begins when a process runs. */
 export const SCHEDULES: readonly RegressionSchedule[] = [
   {
     name:
-      "a spare loses its disk while it takes a snapshot, then a voter is gone",
+      "a non-voter loses its disk during a snapshot, then a voter is removed",
     schedule: {
       load: "quiet",
       syncMs: 3,
@@ -40,7 +37,8 @@
     },
   },
   {
-    name: "the leader is gone, and the spare's disk is half as fast for 1.5 s",
+    name:
+      "the leader is removed, and the non-voter's disk is half as fast for 1.5 s",
     schedule: {
       load: "busy",
       syncMs: 10,
@@ -64,7 +62,8 @@
     },
   },
   {
-    name: "the leader is gone, and all lose power before its successor starts",
+    name:
+      "the leader is removed, and all lose power before its replacement starts",
     schedule: {
       load: "busy",
       syncMs: 5,
@@ -95,7 +94,7 @@
     },
   },
   {
-    name: "an emptied voter starts after 3.9 s under load",
+    name: "a voter loses its disk and starts after 3.9 s under load",
     schedule: {
       load: "slow",
       syncMs: 20,
@@ -116,7 +115,7 @@
     },
   },
   {
-    name: "all lose power and one its disk, 40 ms a sync",
+    name: "all lose power, and one its disk, with 40 ms per sync",
     schedule: {
       load: "slow",
       syncMs: 40,
@@ -141,7 +140,7 @@
     },
   },
   {
-    name: "the leader is cut off, then loses its disk",
+    name: "the leader is partitioned, then loses its disk",
     schedule: {
       load: "slow",
       syncMs: 20,
@@ -166,7 +165,7 @@
   },
   {
     name:
-      "a voter is gone after a restart, and all lose power 2.6 s later, quiet",
+      "a voter is removed after a restart, and all lose power 2.6 s later, quiet",
     schedule: {
       load: "quiet",
       leaseMs: 3_000,
--- a/src/replica_group/regression_schedules_test.ts
+++ b/src/replica_group/regression_schedules_test.ts
@@ -4,13 +4,8 @@
 import * as scheduleRunners from "./schedule_runner_test.ts";
 
 /*
- * Schedules that left the stores with a disk whose loss no leader would have
- * come after, though no second box counted as lost any more. Most of them end
- * with an emptied voter that is still fed, with a spare that is not fed in the
- * first 3 s of a reign, or with a set of four of which one is gone. In one, a
- * spare lost its disk 8 ms after its snapshot had begun; it answered heartbeats,
- * so it was the spare that was fed, with the parts that followed, and a voter
- * that was gone for good was never replaced (3 ms a sync, 10 commands a second).
+ * Schedules found by random search in which a single disk stayed necessary to
+ * elect a leader after every lost box had had time to catch up.
  */
 
 async function listViolations(
@@ -24,13 +19,13 @@
   return violations;
 }
 
-describe("schedules that left stores one disk from the end", () => {
-  it("are borne once each box has run for 5.1 s", async () => {
+describe("stores under fault schedules that once failed", () => {
+  it("survive the loss of any disk 5.1 s after each process runs", async () => {
     const violations = await listViolations(fixtures.SCHEDULES);
     chai.expect(violations, violations.join("\n")).to.deep.equal([]);
   });
 
-  it("are borne 5.1 s after the launch of each process", async () => {
+  it("survive the loss of any disk 5.1 s after each start is scheduled", async () => {
     const violations = await listViolations(strictFixtures.STRICT_SCHEDULES);
     chai.expect(violations, violations.join("\n")).to.deep.equal([]);
   });
--- a/src/replica_group/replica_group_test.ts
+++ b/src/replica_group/replica_group_test.ts
@@ -3,7 +3,7 @@
 import * as replicaGroups from "./replica_group.ts";
 
 describe("replica group", () => {
-  it("tells callers that its replica has not started", () => {
+  it("answers callers that its replica has not started", () => {
     const options = {
       name: "stores",
       clock: new clocks.FakeClock(),
--- a/src/replica_group/retire_answer_test.ts
+++ b/src/replica_group/retire_answer_test.ts
@@ -4,22 +4,20 @@
 import type * as simulatedClusters from "./simulated_cluster_test.ts";
 
 /*
- * A box is told as emptied by the newest set in the leader's log, as soon as the
- * entry stands there: before it is synced anywhere, and before it is agreed on.
- * Whoever takes the box away on that answer takes a voter of the four that all
- * disks still name. If power is lost then, and one disk with it, two of four are
- * left, and no store leads again.
+ * A box may be reported as retired only once the voter set without it is
+ * committed. Otherwise its removal and the loss of one more disk leave two of
+ * four voters, and no leader can be elected.
  */
 
 const START_DELAY_MS = 300;
 const TIMEOUT_MS = 60_000;
 
-describe("the answer that a box is emptied", () => {
+describe("the answer that a retirement is completed", () => {
   let cluster: simulatedClusters.SimulatedCluster;
 
   afterEach(() => cluster.close());
 
-  it("comes once the box is needed no more, whatever is lost next", async () => {
+  it("comes only once the group can lose the box and another disk", async () => {
     cluster = await simulatedCases.createCluster({
       syncMs: 10,
       entries: 100,
@@ -38,7 +36,7 @@
       TIMEOUT_MS,
       () => simulatedCases.isRetired(cluster, retiring),
     );
-    chai.expect(isRetired, "told as emptied").to.equal(true);
+    chai.expect(isRetired, "retirement completed").to.equal(true);
     cluster.cutPower(cluster.listIds());
     cluster.removeBox(retiring);
     cluster.get(wiped).disk.wipe();
--- a/src/replica_group/retire_leader_test.ts
+++ b/src/replica_group/retire_leader_test.ts
@@ -4,22 +4,19 @@
 import type * as simulatedClusters from "./simulated_cluster_test.ts";
 
 /*
- * A leader that is to be emptied plans no voters and hands its lead over to a
- * follower that holds all entries at the moment of a look, each 100 ms. While
- * commands come faster than a follower's disk syncs there is no such moment, so
- * that it leads on: it is never told as emptied, and a voter that is lost
- * meanwhile stays in the set, though a spare stands by.
+ * Under load no follower may ever hold all entries of the leader. A retiring
+ * leader must still transfer leadership, and lost voters must be replaced.
  */
 
 const RETIRE_TIMEOUT_MS = 20_000;
 
-describe("stores whose leader is to be emptied under load", () => {
+describe("stores whose leader retires under load", () => {
   let cluster: simulatedClusters.SimulatedCluster;
 
   afterEach(() => cluster.close());
 
   for (const syncMs of [1, 10, 40]) {
-    it(`tell it as emptied within 20 s, ${syncMs} ms a sync`, async () => {
+    it(`retire it within 20 s, ${syncMs} ms per sync`, async () => {
       cluster = await simulatedCases.createCluster({
         syncMs,
         entries: 200,
@@ -42,7 +39,7 @@
     });
   }
 
-  it("replace a voter that is gone meanwhile", async () => {
+  it("replace a voter that is removed meanwhile", async () => {
     cluster = await simulatedCases.createCluster({
       syncMs: 40,
       entries: 200,
--- a/src/replica_group/schedule_runner_test.ts
+++ b/src/replica_group/schedule_runner_test.ts
@@ -4,30 +4,29 @@
 import * as simulatedCases from "./simulated_cases_test.ts";
 import type * as simulatedClusters from "./simulated_cluster_test.ts";
 
-/** What a schedule brought about. */
+/** The result of running a schedule. */
 export interface ScheduleOutcome {
-  /** What did not hold; undefined where all did. */
+  /** The violated invariant; undefined if all held. */
   readonly violation: string | undefined;
-  /** Faults that the term let through, with their times. */
+  /** Faults that were applied, with their times in ms. */
   readonly events: readonly string[];
 }
 
-/** Between two looks at what the disks hold, in ms. */
+/** Interval between checks of the disks, in ms. */
 const CHECK_INTERVAL_MS = 5;
 /** Longest time from a restart of all boxes to a leader, in ms. */
 const ELECTION_TIMEOUT_MS = 12_000;
-/** Longest time in which a box is emptied, in ms. */
+/** Longest time for the retirement of a box, in ms. */
 const RETIRE_TIMEOUT_MS = 60_000;
 /** Time from the announcement of a planned stop to the stop, in ms. */
 const RESIGN_MS = 400;
 const DEFAULT_START_DELAY_MS = 300;
 
-/** Carries out the faults of a schedule that the term of losses lets through. */
+/** Applies a schedule, skipping faults that would lose a second box. */
 export class ScheduleRunner {
   readonly #schedule: faultSchedules.Schedule;
   readonly #cluster: simulatedClusters.SimulatedCluster;
   readonly #losses = new lossTrackers.LossTracker(simulatedCases.CATCH_UP_MS);
-  /** Disks of the boxes that are gone are no more; successors are numbered. */
   #replacementCount = 0;
   #events: readonly string[] = [];
   #violation: string | undefined;
@@ -41,7 +40,7 @@
     this.#cluster = cluster;
   }
 
-  /** Runs to the end, or to the first violation. */
+  /** Runs to the end or to the first violation. */
   async run(): Promise<ScheduleOutcome> {
     for (const { afterMs, fault } of this.#schedule.faults) {
       await this.#advanceTime(afterMs);
@@ -53,7 +52,7 @@
     return { violation: this.#violation, events: this.#events };
   }
 
-  /** Lets time pass, and looks at what the disks hold. */
+  /** Advances the time while checking the disks. */
   async #advanceTime(ms: number): Promise<void> {
     await this.#cluster.run(ms, () => {
       this.#checkDisks();
@@ -73,7 +72,7 @@
     this.#violation = `${nowMs} ms: no leader without ${fatalLoss}: ${summary}`;
   }
 
-  /** A leader comes though all lose power, and one its disk. */
+  /** Checks that a leader is elected after the last fault. */
   async #checkLeader(): Promise<void> {
     const cluster = this.#cluster;
     const { last } = this.#schedule;
@@ -105,7 +104,7 @@
   ): Promise<void> {
     const nowMs = this.#cluster.getNowMs();
     if (fault.kind === "clock") {
-      this.#recordEvent(`clock of ${id} by ${fault.byMs} ms`);
+      this.#recordEvent(`clock of ${id} moved by ${fault.byMs} ms`);
       this.#cluster.get(id).wallOffsetMs += fault.byMs;
       return;
     }
@@ -113,15 +112,17 @@
     if (!this.#losses.canLose(id, nowMs)) return;
     switch (fault.kind) {
       case "powerOfOne":
-        this.#recordEvent(`power of ${id} for ${fault.startMs} ms`);
+        this.#recordEvent(`${id} loses power for ${fault.startMs} ms`);
         this.#cluster.cutPower([id], fault.keptWrites);
         return this.#startLater(id, fault.startMs);
       case "disk":
-        this.#recordEvent(`disk of ${id}, back after ${fault.startMs} ms`);
+        this.#recordEvent(
+          `${id} loses its disk, starts after ${fault.startMs} ms`,
+        );
         this.#cluster.cutPowerAndWipe(id);
         return this.#startLater(id, fault.startMs);
       case "diskAndPowerOfAll":
-        this.#recordEvent(`disk of ${id}`);
+        this.#recordEvent(`${id} loses its disk`);
         this.#cluster.cutPowerAndWipe(id);
         this.#losses.add(id, nowMs);
         return this.#cutPowerOfAll(fault.startMs, 0);
@@ -167,7 +168,7 @@
 
   #cutPowerOfAll(startMs: readonly number[], keptWrites: number): void {
     const cluster = this.#cluster;
-    this.#recordEvent(`power of all, back after ${startMs.join(", ")} ms`);
+    this.#recordEvent(`all lose power, start after ${startMs.join(", ")} ms`);
     cluster.cutPower(cluster.listIds(), keptWrites);
     cluster.listIds().forEach((id, index) => {
       const delayMs = startMs[index % startMs.length] ?? DEFAULT_START_DELAY_MS;
@@ -176,7 +177,7 @@
     });
   }
 
-  /** Starts a box that is down; it counts as lost until it has caught up. */
+  /** Starts a box after a delay; it counts as lost until it has caught up. */
   #startLater(id: string, startMs: number): void {
     const downMs = this.#schedule.isStrict === true ? 0 : startMs;
     this.#losses.add(id, this.#cluster.getNowMs() + downMs);
@@ -185,7 +186,7 @@
 
   #swapBox(id: string, startMs: number): void {
     this.#recordEvent(
-      `${id} gone for good, successor after ${startMs} ms more`,
+      `${id} removed, replacement starts after ${startMs} ms more`,
     );
     this.#cluster.removeBox(id);
     this.#losses.remove(id);
@@ -206,7 +207,7 @@
   #pauseProcess(id: string, ms: number): void {
     const process = this.#cluster.get(id).getProcess();
     if (process === undefined || process.isPaused()) return;
-    this.#recordEvent(`${id} stands still for ${ms} ms`);
+    this.#recordEvent(`${id} paused for ${ms} ms`);
     this.#losses.add(id, this.#cluster.getNowMs() + ms);
     process.pause();
     this.#cluster.clock.startTimer(ms, () => process.resume());
@@ -217,7 +218,9 @@
     fault: Extract<faultSchedules.Fault, { kind: "cut" }>,
   ): void {
     if (this.#cluster.get(id).getProcess() === undefined) return;
-    this.#recordEvent(`${id} cut (${fault.direction}) for ${fault.ms} ms`);
+    this.#recordEvent(
+      `links of ${id} cut (${fault.direction}) for ${fault.ms} ms`,
+    );
     this.#losses.add(id, this.#cluster.getNowMs() + fault.ms);
     for (const other of this.#cluster.listIds()) {
       if (fault.direction !== "in") this.#cluster.cutLink(id, other);
@@ -233,7 +236,7 @@
     const store = this.#cluster.get(id);
     const process = store.getProcess();
     if (process === undefined || process.isPaused()) return;
-    this.#recordEvent(`planned restart of ${id}, back after ${startMs} ms`);
+    this.#recordEvent(`planned restart of ${id}, starts after ${startMs} ms`);
     this.#losses.add(id, this.#cluster.getNowMs() + RESIGN_MS + startMs);
     store.resign();
     await this.#advanceTime(RESIGN_MS);
@@ -241,7 +244,7 @@
     this.#startLater(id, startMs);
   }
 
-  /** Empties a box, which is taken away after the first answer that it may be. */
+  /** Retires a box and removes it once its retirement is completed. */
   async #retireBox(
     id: string,
     fault: Extract<faultSchedules.Fault, { kind: "retire" }>,
@@ -251,7 +254,7 @@
     const isHealthy = this.#losses.listLost(cluster.getNowMs()).length === 0;
     const hasNonVoter = cluster.listIds().length > simulatedCases.MAX_VOTERS;
     if (!isHealthy || !hasNonVoter || leader === undefined) return;
-    this.#recordEvent(`${id} is to be emptied`);
+    this.#recordEvent(`${id} is to be retired`);
     void cluster.get(leader).getGroup()?.propose(
       { kind: "retireBox", box: id },
       RETIRE_TIMEOUT_MS,
@@ -264,10 +267,10 @@
     });
     if (this.#violation !== undefined) return;
     if (!isRetired) {
-      this.#violation = `${id} is not emptied after ${RETIRE_TIMEOUT_MS} ms`;
+      this.#violation = `${id} is not retired after ${RETIRE_TIMEOUT_MS} ms`;
       return;
     }
-    this.#recordEvent(`${id} is told as emptied, taken in ${fault.takenMs} ms`);
+    this.#recordEvent(`${id} is retired, removed after ${fault.takenMs} ms`);
     await this.#advanceTime(fault.takenMs);
     if (this.#violation !== undefined) return;
     cluster.removeBox(id);
@@ -291,7 +294,7 @@
   }
 }
 
-/** Runs a schedule from its beginning. */
+/** Runs a schedule on a new cluster. */
 export async function runSchedule(
   schedule: faultSchedules.Schedule,
 ): Promise<ScheduleOutcome> {
@@ -304,9 +307,9 @@
 }
 
 /**
- * Leaves out faults, one at a time, for as long as something does not hold.
+ * Removes faults from a schedule, one at a time, while a violation remains.
  *
- * @returns The shortest schedule that was found, and what it brought about.
+ * @returns The shortest schedule found that still violates an invariant.
  */
 export async function trimSchedule(
   schedule: faultSchedules.Schedule,
--- a/src/replica_group/simulated_cases_test.ts
+++ b/src/replica_group/simulated_cases_test.ts
@@ -5,17 +5,17 @@
 import * as simulatedClusters from "./simulated_cluster_test.ts";
 
 /**
- * Time after which a box that lost its disk, or the successor of one that is
- * gone, counts as whole, in ms: from then on the next disk may be lost.
+ * Time within which a box that lost its disk, or the replacement of a removed
+ * box, must have caught up, in ms. After it, another disk may be lost.
  */
 export const CATCH_UP_MS = 5_100;
-/** Time after which the successor of a box that is gone starts, in ms. */
+/** Time from the removal of a box to the start of its replacement, in ms. */
 export const REPLACEMENT_DELAY_MS = 2_000;
 
-/** What a case begins with. */
+/** Speed and load of the cluster that `createCluster` starts. */
 export interface CaseOptions {
   readonly syncMs: number;
-  /** Entries in the log before the first fault. */
+  /** Committed entries before the cluster is returned. */
   readonly entries: number;
   readonly commandsPerS: number;
   readonly entryMs?: number;
@@ -23,16 +23,18 @@
   readonly leaseMs?: number | undefined;
 }
 
-/** Voters that there should be. */
+/** Number of voters that the group maintains. */
 export const MAX_VOTERS = 3;
 
+/** Longest time to elect a leader and commit the initial entries, in ms. */
 const STARTUP_TIMEOUT_MS = 60_000;
-/** Time under the load of the case before the first fault, in ms. */
+/** Time under the requested load before the cluster is returned, in ms. */
 const WARM_UP_MS = 4_000;
+/** Rate at which the initial entries are proposed. */
 const FILL_COMMANDS_PER_S = 1_000;
 const START_DELAY_MS = 300;
 
-/** Makes four stores, three voters wanted, that have run for a while. */
+/** Starts four stores, of which three vote, and runs them under load. */
 export async function createCluster(
   options: CaseOptions,
 ): Promise<simulatedClusters.SimulatedCluster> {
@@ -57,18 +59,22 @@
   return cluster;
 }
 
-/** Ids of the leader and of the other voters. */
+/**
+ * Returns the ids of the leader and of the other voters.
+ *
+ * @throws {Error} If no store leads.
+ */
 export function listRoles(cluster: simulatedClusters.SimulatedCluster): {
   readonly leader: string;
   readonly followers: readonly string[];
 } {
   const leader = cluster.findLeader();
-  if (leader === undefined) throw new Error("no store leads");
+  if (leader === undefined) throw new Error("the cluster has no leader");
   const voters = cluster.get(leader).getGroup()?.listVoters() ?? [];
   return { leader, followers: voters.filter((id) => id !== leader) };
 }
 
-/** Whether the leader, if there is one, tells that a box is emptied. */
+/** Whether a leader reports the retirement of a box as completed. */
 export function isRetired(
   cluster: simulatedClusters.SimulatedCluster,
   box: string,
@@ -79,7 +85,7 @@
   const group = store.getGroup();
   if (group === undefined) return false;
   const methods = new Map<string, rpc.RpcHandler>();
-  const machine = store.getMachine();
+  const stateMachine = store.getStateMachine();
   new submissions.SubmissionService({
     clock: cluster.clock,
     log: { write: () => {} } as never,
@@ -88,7 +94,7 @@
     barrier: {} as readBarriers.ReadBarrier,
     getFailureDomain: () => undefined,
     id: leader,
-    machine: machine as unknown as submissions.SubmissionMachine,
+    machine: stateMachine as unknown as submissions.SubmissionMachine,
     changed: new csp.Signal(),
     wantedVoters: MAX_VOTERS,
     listStores: () => cluster.listIds(),
--- a/src/replica_group/simulated_cluster_test.ts
+++ b/src/replica_group/simulated_cluster_test.ts
@@ -12,22 +12,22 @@
 import type * as electionChecks from "./election_check_test.ts";
 import * as simulatedStores from "./simulated_store_test.ts";
 
-/** What a deployment of stores is like. */
+/** Size, speed and load of a simulated cluster. */
 export interface ClusterOptions {
-  /** Ids of the boxes; the first ones, as many as are wanted, found the set. */
+  /** Ids of the boxes; the first `maxVoters` of them are the initial voters. */
   readonly ids: readonly string[];
   readonly maxVoters: number;
   readonly syncMs: number;
-  /** Processor time for an entry that is sent or taken, in ms. */
+  /** Processor time to send or receive one log entry, in ms. */
   readonly entryMs: number;
   readonly snapshotEntries: number;
-  /** Commands proposed in a second, 1,000 at most. */
+  /** Mean rate of proposed commands, at most 1,000 per second. */
   readonly commandsPerS: number;
-  /** Lease of the duties, in ms; none are held unless given. */
+  /** Duration of the duty lease, in ms; undefined disables duties. */
   readonly leaseMs: number | undefined;
 }
 
-/** A line of the log of a store. */
+/** A record that a store logged. */
 export interface LogRecord {
   readonly atMs: number;
   readonly id: string;
@@ -35,25 +35,25 @@
   readonly fields: logs.LogFields;
 }
 
-/** Way of a message, in ms, unless a test has it longer. */
+/** Default one-way network latency, in ms. */
 const LATENCY_MS = 1;
-/** Way of what boxes tell of themselves, through a relay, in ms. */
+/** Latency of gossip through a relay, in ms. */
 const GOSSIP_LATENCY_MS = 200;
-/** Processor time for a message, in ms. */
+/** Processor time to send or receive a message, in ms. */
 const MESSAGE_COST_MS = 0.05;
 const COMMIT_TIMEOUT_MS = 900;
 const MS_PER_SECOND = 1_000;
-/** Time in which each process has its share of a processor once, in ms. */
+/** Scheduling period of a throttled processor, in ms. */
 const TIME_SLICE_MS = 100;
-/** Time by which the turns of two processes lie apart, in ms. */
+/** Offset between the scheduling periods of two processes, in ms. */
 const SLICE_OFFSET_MS = 31;
 const LOAD_SEED = 7;
-/** Turns of the event loop until all promises that can settle have settled. */
+/** Event loop turns per simulated ms, enough to run all pending microtasks. */
 const EVENT_LOOP_TURNS = 4;
 
 /**
- * Stores with real replica groups on a fake clock, fake disks and a fake
- * network. Nothing but what a test does to it changes its course.
+ * Stores that run real replica groups on a fake clock, fake disks and a fake
+ * network. Runs are deterministic: the same calls give the same result.
  */
 export class SimulatedCluster {
   readonly clock = new clocks.FakeClock(1_000_000);
@@ -61,7 +61,7 @@
   commandsPerS: number;
   entryMs: number;
   latencyMs = LATENCY_MS;
-  /** Share of a processor that each process gets, in turns. */
+  /** Fraction of a processor that each process gets, from 0 to 1. */
   processorShare = 1;
   readonly #options: ClusterOptions;
   readonly #stores = new Map<string, simulatedStores.SimulatedStore>();
@@ -84,30 +84,30 @@
     for (const id of initialVoters) this.get(id).disk.initialize(initialVoters);
   }
 
-  /** Puts the real disks back. */
+  /** Stops all stores and restores the real `DurableLog.open`. */
   close(): void {
     storage.DurableLog.open = this.#openRealLog;
     for (const store of this.#stores.values()) store.end();
     fs.rmSync(this.#folder, { recursive: true, force: true });
   }
 
-  /** Time since the beginning, in ms. */
+  /** Time since the start of the simulation, in ms. */
   getNowMs(): number {
     return this.clock.getMonotonicMs() - 1_000_000;
   }
 
-  /** Ids of the boxes that are not gone for good. */
+  /** Ids of the boxes, without those that were removed. */
   listIds(): readonly string[] {
     return [...this.#stores.keys()];
   }
 
   get(id: string): simulatedStores.SimulatedStore {
     const store = this.#stores.get(id);
-    if (store === undefined) throw new Error(`no box ${id}`);
+    if (store === undefined) throw new Error(`box "${id}" does not exist`);
     return store;
   }
 
-  /** Adds a box with an empty disk, which does not run yet. */
+  /** Adds a box with an empty disk, without starting its process. */
   addBox(id: string): void {
     const store = new simulatedStores.SimulatedStore(id, {
       ...this.#options,
@@ -127,13 +127,13 @@
     this.#stores.set(id, store);
   }
 
-  /** Takes a box away for good, with its disk. */
+  /** Removes a box and its disk permanently. */
   removeBox(id: string): void {
     this.get(id).end();
     this.#stores.delete(id);
   }
 
-  /** Starts boxes that run no process, all after the same time. */
+  /** Starts the given boxes after a delay; running ones are left alone. */
   start(ids: readonly string[], afterMs = 0): void {
     for (const id of ids) {
       this.clock.startTimer(afterMs, () => {
@@ -143,7 +143,10 @@
     }
   }
 
-  /** Takes power from boxes; writes that were not synced are lost. */
+  /**
+   * Cuts the power of boxes. Unsynced writes are lost, except for the oldest
+   * `keptWrites` of each box.
+   */
   cutPower(ids: readonly string[], keptWrites = 0): void {
     for (const id of ids) {
       const store = this.get(id);
@@ -152,24 +155,24 @@
     }
   }
 
-  /** Takes power and disk from a box. */
+  /** Cuts the power of a box and erases its disk. */
   cutPowerAndWipe(id: string): void {
     this.cutPower([id]);
     this.get(id).disk.wipe();
   }
 
-  /** Has a sync take so long on all disks, in ms. */
+  /** Sets the duration of a sync on all disks, in ms. */
   setSyncMs(syncMs: number): void {
     this.#syncMs = syncMs;
     for (const store of this.#stores.values()) store.disk.syncMs = syncMs;
   }
 
-  /** Cuts the way from one box to another. */
+  /** Drops messages from one box to another. */
   cutLink(from: string, to: string): void {
     this.#cutLinks.add(`${from}>${to}`);
   }
 
-  /** Cuts a box from all others, both ways. */
+  /** Drops all messages between a box and the others. */
   cutOff(id: string): void {
     for (const other of this.listIds()) {
       this.cutLink(id, other);
@@ -177,12 +180,12 @@
     }
   }
 
-  /** Ends all cuts. */
+  /** Delivers messages on all links again. */
   restoreLinks(): void {
     this.#cutLinks.clear();
   }
 
-  /** Id of the box that leads with authority, if one does. */
+  /** Id of the active leader with a valid lease, if there is one. */
   findLeader(): string | undefined {
     return this.listIds().find((id) => {
       const store = this.get(id);
@@ -190,19 +193,24 @@
     });
   }
 
-  /** Commands that were committed. */
   countCommitted(): number {
     return this.#committed;
   }
 
-  /** What the disks hold. */
+  /** Summaries of what is synced on each disk. */
   getDisks(): electionChecks.Disks {
     return new Map(
       this.listIds().map((id) => [id, this.get(id).disk.getSummary()]),
     );
   }
 
-  /** Lets time pass, until something holds where it is given. */
+  /**
+   * Advances the clock by 1 ms at a time.
+   *
+   * @param ms Longest time to run, in ms.
+   * @param isDone Ends the run early once it returns true.
+   * @returns Whether `isDone` returned true.
+   */
   async run(ms: number, isDone: () => boolean = () => false): Promise<boolean> {
     for (let remainingMs = ms; remainingMs > 0; remainingMs -= 1) {
       if (isDone()) return true;
@@ -216,7 +224,7 @@
     return isDone();
   }
 
-  /** Takes the processor from each process for a part of each turn. */
+  /** Keeps each process off the processor for a part of each period. */
   #throttleProcesses(): void {
     if (this.processorShare >= 1) return;
     [...this.#stores.keys()].forEach((id, index) => {
@@ -228,7 +236,7 @@
     });
   }
 
-  /** Proposes at random times, as a steady beat may keep step with others. */
+  /** Proposes at random times, so that load does not align with other timers. */
   #proposeLoad(): void {
     const draw = uniform.uniformInt(this.#random, 0, MS_PER_SECOND - 1);
     if (draw >= this.commandsPerS) return;
@@ -269,7 +277,8 @@
   #createPeer(from: string, to: string): rpc.Peer {
     return {
       tell: (method, params) => this.#sendMessage(from, to, method, params),
-      call: () => Promise.reject(new Error("no calls here")),
+      call: () =>
+        Promise.reject(new Error("the simulated network supports no calls")),
     };
   }
 
@@ -278,7 +287,7 @@
     this.#stores.get(from)?.getProcess()?.useProcessor(costMs);
     const target = this.#stores.get(to)?.getProcess();
     this.clock.startTimer(this.latencyMs, () => {
-      // A connection ends with the process that it was made to.
+      // A message is lost if the receiving process has ended or restarted.
       if (this.#stores.get(to)?.getProcess() !== target) return;
       this.#deliverMessage(from, to, { method, params, costMs });
     });
--- a/src/replica_group/simulated_disk_test.ts
+++ b/src/replica_group/simulated_disk_test.ts
@@ -4,12 +4,12 @@
 import type * as storage from "../storage/mod.ts";
 import type * as processes from "./simulated_process_test.ts";
 
-/** What the disk of a store would bring into an election. */
+/** The part of a disk's state that decides elections. */
 export interface DiskSummary {
   readonly isAdmitted: boolean;
   readonly lastIndex: number;
   readonly lastTerm: number;
-  /** Voters by the newest set in the log, agreed on or not. */
+  /** Voters of the newest voter set in the log, committed or not. */
   readonly voters: readonly string[];
 }
 
@@ -18,20 +18,20 @@
   readonly records: readonly savedRecords.SavedRecord[];
 }
 
-/** A log as the driver of a replica uses it; its real one writes files. */
+/** The methods of `DurableLog` that a replica driver calls. */
 type LogMethods = Pick<
   storage.DurableLog,
   "append" | "compact" | "writeDraft" | "takeDraft" | "close"
 >;
 
-/** Syncs that replacing a log by a snapshot takes, during which a process waits. */
+/** Syncs to replace the log by a snapshot, during which the process blocks. */
 const REPLACE_SYNCS = 3;
-/** Parts of a snapshot that are written in a ms. */
+/** Snapshot parts written per ms. */
 const PARTS_PER_MS = 20;
 
 /**
- * A disk on a fake clock. A write lasts once its sync has ended; what power
- * loss leaves of writes under way is up to the test.
+ * A disk on a fake clock. A write is durable once its sync has completed; the
+ * test decides how many pending writes survive a power loss.
  */
 export class SimulatedDisk {
   syncMs: number;
@@ -40,7 +40,7 @@
   #records: savedRecords.SavedRecord[] = [];
   #pending: readonly PendingWrite[] = [];
   #busyUntilMs = 0;
-  /** Rises with each power loss, after which earlier logs write nothing. */
+  /** Number of power losses; each drops the operations in progress. */
   #powerLosses = 0;
   #summary: DiskSummary | undefined;
 
@@ -49,13 +49,13 @@
     this.syncMs = syncMs;
   }
 
-  /** Writes what a founding voter begins with. */
+  /** Writes the initial records of an initial voter. */
   initialize(voters: readonly string[]): void {
     this.#records = [...savedRecords.createFounding(voters, 0)];
     this.#summary = undefined;
   }
 
-  /** Loses what was not synced, but for so many of the writes under way. */
+  /** Drops unsynced writes, except for the oldest `keptWrites`. */
   cutPower(keptWrites = 0): void {
     for (const write of this.#pending.slice(0, keptWrites)) {
       this.#addRecords(write.records);
@@ -65,25 +65,25 @@
     this.#busyUntilMs = 0;
   }
 
-  /** Loses everything. */
+  /** Erases the disk. */
   wipe(): void {
     this.#snapshot = undefined;
     this.#records = [];
     this.#summary = undefined;
   }
 
-  /** Writes under way, oldest first. */
+  /** Number of writes that are not synced yet. */
   countPending(): number {
     return this.#pending.length;
   }
 
-  /** What is synced, as an election sees it. */
+  /** Summary of the synced records. */
   getSummary(): DiskSummary {
     this.#summary ??= this.#collectSummary();
     return this.#summary;
   }
 
-  /** Opens the disk for a new process. */
+  /** Opens the log for a new process. */
   open(process: processes.SimulatedProcess): storage.OpenedLog {
     const loaded: storage.LoadedLog = {
       snapshot: this.#snapshot,
@@ -99,7 +99,9 @@
         draft = snapshot;
       },
       takeDraft: (records) => {
-        if (draft === undefined) throw new Error("no draft was written");
+        if (draft === undefined) {
+          throw new Error("takeDraft was called before writeDraft");
+        }
         return this.#installSnapshot(process, draft, toSaved(records));
       },
       compact: (snapshot, records) =>
@@ -138,7 +140,7 @@
     });
   }
 
-  /** Carries out a write unless power is lost before, then tells the process. */
+  /** Applies a write after a delay, unless power is lost first. */
   #completeLater(
     process: processes.SimulatedProcess,
     ms: number,
@@ -159,7 +161,7 @@
     for (const record of records) this.#updateSummary(record);
   }
 
-  /** Keeps the summary up to date, as reading all records anew is slow. */
+  /** Updates the summary incrementally, as rebuilding it is slow. */
   #updateSummary(record: savedRecords.SavedRecord): void {
     const summary = this.#summary;
     if (summary === undefined || record.kind === "vote") return;
@@ -170,7 +172,7 @@
     }
     const { entry } = record;
     const set = consensus.parseReplicaSet(entry);
-    // What stood at the index and after it may have named other voters.
+    // The entry replaces others, which may hold a different voter set.
     if (entry.index <= summary.lastIndex) this.#summary = undefined;
     else {
       this.#summary = {
--- a/src/replica_group/simulated_process_test.ts
+++ b/src/replica_group/simulated_process_test.ts
@@ -1,6 +1,6 @@
 import type * as clocks from "../clock/mod.ts";
 
-/** Work that a process does in one go. */
+/** Work that a process runs without interruption. */
 interface Task {
   /** Processor time, in ms. */
   readonly costMs: number;
@@ -8,8 +8,8 @@
 }
 
 /**
- * The process of a box on a fake clock: one thread, which does one thing after
- * the other, can be frozen, and ends without a word.
+ * A single-threaded process on a fake clock. It can be paused, be suspended
+ * with its box, and end without a clean shutdown.
  */
 export class SimulatedProcess implements clocks.Clock {
   readonly #clock: clocks.Clock;
@@ -18,12 +18,13 @@
   #busyUntilMs = 0;
   #isWakeScheduled = false;
   #isPaused = false;
-  /** Since when its machine is suspended, and how long it was before, in ms. */
+  /** Start of the current suspension, by the clock of the simulation. */
   #suspendedAtMs: number | undefined;
+  /** Total time of earlier suspensions, in ms. */
   #suspendedMs = 0;
   #isEnded = false;
 
-  /** @param getWallOffsetMs How far the wall clock of the box is ahead, in ms. */
+  /** @param getWallOffsetMs Returns the offset of the wall clock, in ms. */
   constructor(clock: clocks.Clock, getWallOffsetMs: () => number) {
     this.#clock = clock;
     this.#wallOffsetMs = getWallOffsetMs;
@@ -33,7 +34,7 @@
     return Math.round(this.#clock.getWallMs() + this.#wallOffsetMs());
   }
 
-  /** Stands while the machine is suspended, unlike the wall clock. */
+  /** Stops while the box is suspended, unlike the wall clock. */
   getMonotonicMs(): number {
     const trueMs = this.#clock.getMonotonicMs();
     return Math.min(trueMs, this.#suspendedAtMs ?? trueMs) - this.#suspendedMs;
@@ -44,7 +45,7 @@
     return this.#startTimerUntil(dueMs, action);
   }
 
-  /** Rings at a time of its own clock, which may stand meanwhile. */
+  /** Fires at a time of its own monotonic clock, which may stop meanwhile. */
   #startTimerUntil(dueMs: number, action: () => void): clocks.CancelTimer {
     let isCancelled = false;
     let cancel: clocks.CancelTimer = () => {};
@@ -65,20 +66,20 @@
     };
   }
 
-  /** Has something done once the processor is free. */
+  /** Runs a task once the processor is free. */
   addTask(costMs: number, run: () => void): void {
     if (this.#isEnded) return;
     this.#tasks.push({ costMs, run });
     this.#runTasks();
   }
 
-  /** Uses processor time, in ms, before the next task. */
+  /** Occupies the processor for a time, in ms, before the next task. */
   useProcessor(ms: number): void {
     const nowMs = this.#clock.getMonotonicMs();
     this.#busyUntilMs = Math.max(nowMs, this.#busyUntilMs) + ms;
   }
 
-  /** Stands still until it is resumed, as after SIGSTOP. */
+  /** Stops running tasks until `resume`, as after SIGSTOP. */
   pause(): void {
     this.#isPaused = true;
   }
@@ -88,7 +89,7 @@
     this.#runTasks();
   }
 
-  /** Suspends its machine, until it is woken. */
+  /** Suspends the box until `wake`; its monotonic clock stops. */
   suspend(): void {
     this.pause();
     this.#suspendedAtMs = this.#clock.getMonotonicMs();
@@ -109,7 +110,7 @@
     return this.#isEnded;
   }
 
-  /** Ends at once, as by a loss of power. */
+  /** Ends without a clean shutdown, as after a power loss. */
   end(): void {
     this.#isEnded = true;
     this.#tasks = [];
--- a/src/replica_group/simulated_store_test.ts
+++ b/src/replica_group/simulated_store_test.ts
@@ -10,24 +10,24 @@
 import * as disks from "./simulated_disk_test.ts";
 import * as processes from "./simulated_process_test.ts";
 
-/** Between two refreshes of what a box tells of itself, in ms. */
+/** Interval at which a box publishes its record, in ms. */
 const PUBLISH_INTERVAL_MS = 500;
-/** Name of the call that carries what a box tells of itself. */
+/** Name of the call that carries the record of a box. */
 export const GOSSIP_METHOD = "simulated.news";
 
-/** What all stores have in common. */
+/** Options that all stores of a cluster share. */
 export interface StoreOptions {
   readonly clock: clocks.Clock;
   readonly maxVoters: number;
   readonly snapshotEntries: number;
   readonly syncMs: number;
-  /** Lease of the duties; none are held unless given. */
+  /** Duration of the duty lease, in ms; undefined disables duties. */
   readonly leaseMs: number | undefined;
-  /** Gives the other boxes by their ids. */
+  /** Returns the connection from one box to another. */
   readonly getPeer: (from: string, to: string) => rpc.Peer;
-  /** Tells all other boxes of a box. */
+  /** Sends the record of a box to all other boxes. */
   readonly publish: (record: fleet.BoxRecord) => void;
-  /** Folder that exists but stays empty; the disk is a fake one. */
+  /** Existing folder, which stays empty as the disk is simulated. */
   readonly dataFolder: string;
   readonly trace: (
     id: string,
@@ -36,12 +36,12 @@
   ) => void;
 }
 
-/** One run of a store's process. */
+/** The state of a store's process while it runs. */
 interface Run {
   readonly process: processes.SimulatedProcess;
   readonly group: replicaGroups.ReplicaGroup;
   readonly duty: duties.DutyLease | undefined;
-  readonly machine: groupStateMachines.GroupStateMachine;
+  readonly stateMachine: groupStateMachines.GroupStateMachine;
   readonly directory: fleet.BoxDirectory;
   readonly methods: ReadonlyMap<string, rpc.RpcHandler>;
   readonly startedAtMs: number;
@@ -49,11 +49,11 @@
   isLeaving: boolean;
 }
 
-/** A store box: its disk, and its process while it runs. */
+/** A store box with a simulated disk and, while it runs, a process. */
 export class SimulatedStore {
   readonly id: string;
   readonly disk: disks.SimulatedDisk;
-  /** How far its wall clock is ahead, in ms. */
+  /** Offset of its wall clock, in ms; positive is ahead. */
   wallOffsetMs = 0;
   readonly #options: StoreOptions;
   #run: Run | undefined;
@@ -72,16 +72,15 @@
     return this.#run?.group;
   }
 
-  getMachine(): groupStateMachines.GroupStateMachine | undefined {
-    return this.#run?.machine;
+  getStateMachine(): groupStateMachines.GroupStateMachine | undefined {
+    return this.#run?.stateMachine;
   }
 
-  /** Whether its process runs and is not frozen. */
+  /** Whether its process runs and is not paused. */
   isActive(): boolean {
     return this.#run?.process.isPaused() === false;
   }
 
-  /** Starts the process. */
   start(): void {
     const run = this.#createRun();
     this.#run = run;
@@ -89,18 +88,18 @@
     this.#runPublisher(run);
   }
 
-  /** Ends the process at once; what was not synced is lost with power only. */
+  /** Kills the process; unsynced writes still reach the disk. */
   end(): void {
     this.#run?.process.end();
     this.#run = undefined;
   }
 
-  /** Takes a call of another box. */
+  /** Handles a message from another box. */
   receive(method: string, params: object): void {
     this.#run?.methods.get(method)?.(params as never);
   }
 
-  /** Hands leadership over and says that it leaves, before a planned stop. */
+  /** Announces a planned stop and transfers leadership. */
   resign(): void {
     if (this.#run === undefined) return;
     this.#run.isLeaving = true;
@@ -114,7 +113,7 @@
       clock,
       () => this.wallOffsetMs,
     );
-    const machine = new groupStateMachines.GroupStateMachine();
+    const stateMachine = new groupStateMachines.GroupStateMachine();
     const directory = new fleet.BoxDirectory(process);
     const methods = new Map<string, rpc.RpcHandler>();
     methods.set(
@@ -122,13 +121,18 @@
       (record: fleet.BoxRecord) => void directory.merge(record),
     );
     const log = this.#createLog();
-    const group = this.#createGroup({ process, machine, directory, methods });
+    const group = this.#createGroup({
+      process,
+      machine: stateMachine,
+      directory,
+      methods,
+    });
     const duty = leaseMs === undefined ? undefined : new duties.DutyLease({
       clock: process,
       log,
       metrics: { countClaim: () => {} } as unknown as metrics.FleetMetrics,
       group,
-      machine,
+      machine: stateMachine,
       directory,
       box: this.id,
       id: this.id,
@@ -139,7 +143,7 @@
       process,
       group,
       duty,
-      machine,
+      stateMachine,
       directory,
       methods,
       startedAtMs,
--- a/src/replica_group/snapshot_catch_up_test.ts
+++ b/src/replica_group/snapshot_catch_up_test.ts
@@ -3,11 +3,8 @@
 import * as scheduleRunners from "./schedule_runner_test.ts";
 
 /*
- * A replica that lost its disk was sent a snapshot; while it was under way the
- * leader took the next one and cut the entries that follow the first out of its
- * log. Having taken the one, the replica needed the other, and so on: with 200
- * commands a second and a snapshot each 200 the box counted again only after more
- * than 5.1 s ("no leader without b: a NOT ADMITTED 4.7560, b 4.8170, c 4.8174").
+ * Guards against a replica that needs one snapshot after another: while the
+ * leader sends it a snapshot, the entries that follow must stay in the log.
  */
 
 const START_MS = [1_266, 1_266, 1_266, 1_266, 1_266];
@@ -64,8 +61,8 @@
   },
 };
 
-describe("a replica that is fed by a snapshot", () => {
-  it("finds the entries that follow it, however fast the log is cut", async () => {
+describe("a replica that catches up by a snapshot", () => {
+  it("receives the entries after it although the log is compacted often", async () => {
     const { violation, events: story } = await scheduleRunners.runSchedule(
       SCHEDULE,
     );
--- a/src/replica_group/split_vote_test.ts
+++ b/src/replica_group/split_vote_test.ts
@@ -2,16 +2,11 @@
 import * as simulatedClusters from "./simulated_cluster_test.ts";
 
 /*
- * All boxes lost power, one of them its disk, and the two voters left asked to
- * lead at the same millisecond, again and again: each delay is the one before
- * less 1 ms, and these two addresses draw equal ones. The lines of both repeat
- * `role=preCandidate`, `role=candidate`, `voteRefused reason=votedOther` about
- * every 0.7 s, and all four stores answer `notLeader` without naming one.
- * Whoever starts 1 ms later still finds no leader for 28.6 s; 2 ms later, one
- * after 1.0 s (simulated clock, 1 ms a message).
+ * Guards against repeated split votes: two voters whose ids gave equal election
+ * delays became candidates at the same time in every term.
  */
 
-/** Founders; the last two draw the same delays. */
+/** Ids for which the last two once gave the same election delays. */
 const INITIAL_VOTERS = ["10.2.0.5", "10.1.0.6", "10.3.0.30"];
 const NON_VOTER = "10.4.0.9";
 const START_DELAY_MS = 100;
@@ -19,8 +14,8 @@
 /** Longest time from a restart of all boxes to a leader, in ms. */
 const ELECTION_TIMEOUT_MS = 12_000;
 
-describe("voters that ask to lead at the same time", () => {
-  it("come to a leader, whatever their addresses", async () => {
+describe("voters that become candidates at the same time", () => {
+  it("elect a leader within 12 s", async () => {
     const cluster = new simulatedClusters.SimulatedCluster({
       ids: [...INITIAL_VOTERS, NON_VOTER],
       maxVoters: INITIAL_VOTERS.length,
@@ -37,7 +32,8 @@
       const leader = cluster.findLeader() ?? "";
       if (leader !== lost) cluster.get(leader).getGroup()?.transferTo(lost);
       await cluster.run(WARM_UP_MS);
-      chai.expect(cluster.findLeader(), "leads before").to.equal(lost);
+      chai.expect(cluster.findLeader(), "leader before the power loss").to
+        .equal(lost);
       cluster.cutPower(cluster.listIds());
       cluster.get(lost).disk.wipe();
       cluster.start(cluster.listIds(), START_DELAY_MS);
--- a/src/replica_group/strict_regression_schedules_fixture_test.ts
+++ b/src/replica_group/strict_regression_schedules_fixture_test.ts
@@ -1,12 +1,12 @@
 import type * as fixtures from "./regression_schedules_fixture_test.ts";
 
 /**
- * Where it counts from the launch of a process, and a loss of power of all boxes
- * does not count.
+ * Schedules in which the time to catch up begins when a start is scheduled, and
+ * a power loss of all boxes does not mark them as lost.
  */
 export const STRICT_SCHEDULES: readonly fixtures.RegressionSchedule[] = [
   {
-    name: "a voter is gone, and all lose power 3 s later",
+    name: "a voter is removed, and all lose power 3 s later",
     schedule: {
       load: "quiet",
       isStrict: true,
@@ -100,7 +100,7 @@
     },
   },
   {
-    name: "a box is emptied, another one gone, and all lose power meanwhile",
+    name: "a box is retired, another one removed, and all lose power meanwhile",
     schedule: {
       load: "busy",
       isStrict: true,
--- a/src/replica_group/suspended_leader_test.ts
+++ b/src/replica_group/suspended_leader_test.ts
@@ -4,14 +4,12 @@
 
 const SUSPENSION_MS = 3_000;
 const SETTLED_MS = 5_000;
-/** Longest time for which the lease of a leader lasts, in ms. */
+/** Longest duration of a leader lease, in ms. */
 const LEASE_MS = 1_000;
 
-// A machine that is suspended does not count that time: its monotonic clock
-// stands. A leader that woke after 3 s still held itself for the leader, for as
-// long as its last answers seemed fresh, while the others had elected another one.
-// The first code to run may answer a call that waited in a socket.
-describe("a store whose machine is suspended", () => {
+// The monotonic clock stops while a box is suspended. A leader that wakes must
+// not serve calls on a lease that expired meanwhile.
+describe("a store whose box is suspended", () => {
   let cluster: simulatedClusters.SimulatedCluster;
 
   beforeEach(async () => {
@@ -33,7 +31,7 @@
     cluster.get(id).getProcess()?.wake();
   }
 
-  it("has no authority when it wakes, before it has heard of anything", async () => {
+  it("has no authority when it wakes, before it receives any message", async () => {
     const { leader } = simulatedCases.listRoles(cluster);
     chai.expect(cluster.get(leader).getGroup()?.hasAuthority()).to.equal(true);
     suspend(leader);
@@ -47,7 +45,7 @@
     chai.expect(cluster.findLeader()).to.be.oneOf([next, leader]);
   });
 
-  it("leads on after a short suspension, once its voters have answered again", async () => {
+  it("keeps leadership after a short suspension once voters respond again", async () => {
     const { leader } = simulatedCases.listRoles(cluster);
     const term = cluster.get(leader).getGroup()?.getTerm();
     suspend(leader);
@@ -59,7 +57,7 @@
     chai.expect(cluster.get(leader).getGroup()?.getTerm()).to.equal(term);
   });
 
-  it("leads on when its time of day was set forward", async () => {
+  it("keeps leadership when its wall clock is moved forward", async () => {
     const { leader } = simulatedCases.listRoles(cluster);
     const term = cluster.get(leader).getGroup()?.getTerm();
     cluster.get(leader).wallOffsetMs += 60_000;
@@ -68,7 +66,7 @@
     chai.expect(cluster.get(leader).getGroup()?.getTerm()).to.equal(term);
   });
 
-  it("commits again after half of the stores were suspended at once", async () => {
+  it("commits again after half of the stores are suspended at once", async () => {
     const { leader, followers } = simulatedCases.listRoles(cluster);
     const suspended = [leader, followers[0] ?? ""];
     for (const id of suspended) suspend(id);
--- a/src/replica_group/two_losses_test.ts
+++ b/src/replica_group/two_losses_test.ts
@@ -4,11 +4,9 @@
 import * as simulatedClusters from "./simulated_cluster_test.ts";
 
 /*
- * Eight stores with five voters, two losses to be borne. One voter lost its disk
- * while all boxes lost power; it and another voter were back after 2.4 s. Both
- * and two spares were sent snapshots at the same time, and 5.1 s after its start
- * the emptied one lacked 816 entries: "e NOT ADMITTED 3.4254" against "a admitted
- * 3.5070".
+ * With five voters, two losses must be survivable. Guards against a voter that
+ * lost its disk and catches up too slowly while other replicas are sent
+ * snapshots at the same time.
  */
 
 const IDS = ["a", "b", "c", "d", "e", "f", "g", "h"];
@@ -26,7 +24,7 @@
 
   afterEach(() => cluster.close());
 
-  it("are whole 5.1 s after its start, though it comes late after a restart of all", async () => {
+  it("have five admitted replicas 5.1 s after its late start", async () => {
     cluster = new simulatedClusters.SimulatedCluster({
       ids: IDS,
       maxVoters: MAX_VOTERS,
--- a/src/replica_group/voter_catch_up_test.ts
+++ b/src/replica_group/voter_catch_up_test.ts
@@ -3,27 +3,22 @@
 import type * as simulatedClusters from "./simulated_cluster_test.ts";
 
 /*
- * A voter that kept its disk and was away for 1.7 s needs a snapshot, as the
- * log was cut meanwhile. What follows a snapshot under way stays in the log for
- * replicas that do not count; this one counts, so that it finds the log cut beyond
- * each snapshot that it took and is sent the next one, each 1.5 to 2 s and without
- * end ("snapshotSent index=9640 ... snapshotTaken index=9100 ... snapshotSent
- * index=9983"). It answers and counts, so nobody replaces it; two of three voters
- * hold what is committed, and a box to be emptied is never told as emptied.
+ * Guards against endless snapshots: a voter that restarts with its disk must be
+ * able to catch up although the leader compacts its log all the time.
  */
 
 const START_DELAY_MS = 300;
 const DOWNTIME_MS = 1_700;
 const CATCH_UP_TIMEOUT_MS = 20_000;
-/** Entries that may be under way to a replica that is not behind. */
+/** Largest lag of a replica that has caught up, in entries. */
 const MAX_LAG_ENTRIES = 96;
 
-describe("stores of which one voter was away and kept its disk", () => {
+describe("stores of which one voter restarts with its disk", () => {
   let cluster: simulatedClusters.SimulatedCluster;
 
   afterEach(() => cluster.close());
 
-  it("bring it up to date within 20 s, however fast the log is cut", async () => {
+  it("bring it up to date within 20 s although the log is compacted often", async () => {
     cluster = await simulatedCases.createCluster({
       syncMs: 10,
       entries: 6_500,
@@ -47,7 +42,7 @@
     const sent = cluster.logRecords.filter((line) =>
       line.event === "replica.snapshotSent" && line.fields["to"] === restarted
     );
-    chai.expect(getLag(), `entries that it lacks, ${sent.length} snapshots`)
+    chai.expect(getLag(), `lag in entries after ${sent.length} snapshots`)
       .to.be.at.most(MAX_LAG_ENTRIES);
   });
 });
