--- a/src/replica_group/voter_replacement_test.ts
+++ b/src/replica_group/voter_replacement_test.ts
@@ -23,7 +23,8 @@
 
   afterEach(() => cluster.close());
 
-  // A new leader must not restart the whole wait before it replaces a voter.
+  // After the power loss, the new leader must not wait its full initial delay
+  // again before it replaces the voter.
   it("recover 5.1 s after the replacement starts although all lose power meanwhile", async () => {
     cluster = await simulatedCases.createCluster({
       syncMs: 1,
