--- a/src/crash_guard/crash_guard.ts
+++ b/src/crash_guard/crash_guard.ts
@@ -7,15 +7,15 @@
 import type * as protocol from "./protocol.ts";
 
 /** Characters of a path that a record shows to operators. */
-const SHOWN_CHARACTERS = 120;
+const MAX_TARGET_LENGTH = 120;
 /** Between two looks for records that are too old, in ms. */
-const FORGET_MS = 10_000;
+const CLEANUP_INTERVAL_MS = 10_000;
 
 /** A piece of work, and what operators are told of it. */
-export interface WorkName {
+export interface WorkDescription {
   readonly digest: crashRecords.WorkDigest;
   /** Request or item that carried it. */
-  readonly carrier: string;
+  readonly requestId: string;
   /** Client account; empty where none sent it. */
   readonly account: string;
   readonly service: string;
@@ -24,7 +24,7 @@
 }
 
 /** What became of a question for a grant. */
-export type GrantAnswer =
+export type GrantResult =
   | Exclude<protocol.GrantReply, { readonly kind: "notLeader" }>
   /** No leader answered in time. */
   | { readonly kind: "unanswered" };
@@ -35,7 +35,7 @@
   readonly log: logs.Log;
   readonly metrics: Pick<metrics.FleetMetrics, "countCrash">;
   readonly table: crashRecords.CrashTable;
-  readonly servers: Pick<registry.ServerRegistry, "markAbsent">;
+  readonly servers: Pick<registry.ServerRegistry, "markUnavailable">;
   /** Tells whether something listens at an address. */
   readonly findPortState: typeof httpClient.findPortState;
   /** Tells the other boxes. */
@@ -51,7 +51,7 @@
 /** What a box knows of work under which servers end. */
 export class CrashGuard {
   readonly #options: CrashGuardOptions;
-  #forgotAtMs = Number.NEGATIVE_INFINITY;
+  #lastCleanupMs = Number.NEGATIVE_INFINITY;
 
   constructor(options: CrashGuardOptions) {
     this.#options = options;
@@ -60,69 +60,71 @@
   /**
    * Judges a piece of work.
    *
-   * @param getDigest Computes its digest; not called while nothing is known
+   * @param computeDigest Computes its digest; not called while nothing is known
    * against any work, so that this costs nothing then.
    */
-  judge(
-    getDigest: () => crashRecords.WorkDigest,
-  ): crashRecords.WorkVerdict {
+  decideRun(
+    computeDigest: () => crashRecords.WorkDigest,
+  ): crashRecords.RunDecision {
     const { clock, table } = this.#options;
     const nowMs = clock.getWallMs();
-    this.#forget();
-    const record = table.isEmpty() ? undefined : table.get(getDigest());
+    this.#removeExpired();
+    const record = table.isEmpty() ? undefined : table.get(computeDigest());
     const sinceMs = Math.max(0, nowMs - (record?.notedAtMs ?? nowMs));
-    return crashRecords.judgeWork(record, sinceMs);
+    return crashRecords.decideRun(record, sinceMs);
   }
 
   /**
    * Notes that a server closed the connection in the midst of a run. A process
    * that ended listens no more; one that only closed or reset a connection does.
    */
-  async noteClosed(
+  async recordConnectionLoss(
     server: registry.RegisteredServer,
-    name: WorkName,
+    name: WorkDescription,
   ): Promise<void> {
     const { findPortState } = this.#options;
     const state = await findPortState(server.address, server.port);
-    if (state === "refused") this.noteEnded(server, name);
+    if (state === "refused") this.recordCrash(server, name);
   }
 
   /** Notes that a server ended while it ran a piece of work. */
-  noteEnded(server: registry.RegisteredServer, name: WorkName): void {
+  recordCrash(server: registry.RegisteredServer, name: WorkDescription): void {
     const { clock, log, metrics, table, publish } = this.#options;
     const nowMs = clock.getWallMs();
-    const isNews = table.merge({
+    const isNew = table.merge({
       digest: name.digest,
       account: name.account,
       service: name.service,
-      target: name.target.slice(0, SHOWN_CHARACTERS),
+      target: name.target.slice(0, MAX_TARGET_LENGTH),
       ended: [server.lifetime],
       cleared: [],
       notedAtMs: nowMs,
     }, nowMs);
-    this.#options.servers.markAbsent(server);
+    this.#options.servers.markUnavailable(server);
     const record = table.get(name.digest);
-    if (!isNews || record === undefined) return;
+    if (!isNew || record === undefined) return;
     metrics.countCrash("noted");
     log.write("warn", "crash.noted", {
-      ...describeName(name),
+      ...createLogFields(name),
       server: server.id,
-      ended: crashRecords.countEnded(record),
+      ended: crashRecords.countConsecutiveCrashes(record),
     });
     publish(record);
   }
 
   /** Notes that a run of a piece of work ended and its server went on. */
-  noteServed(name: WorkName): void {
+  recordSuccess(name: WorkDescription): void {
     const { clock, log, metrics, table, publish } = this.#options;
-    const known = table.get(name.digest);
-    if (known === undefined || crashRecords.countEnded(known) === 0) return;
-    const cleared = { ...known, cleared: known.ended };
+    const record = table.get(name.digest);
+    if (
+      record === undefined || crashRecords.countConsecutiveCrashes(record) === 0
+    ) return;
+    const cleared = { ...record, cleared: record.ended };
     table.merge(cleared, clock.getWallMs());
     metrics.countCrash("cleared");
     log.write("info", "crash.cleared", {
-      ...describeName(name),
-      ended: crashRecords.countEnded(known),
+      ...createLogFields(name),
+      ended: crashRecords.countConsecutiveCrashes(record),
     });
     publish(table.get(name.digest) ?? cleared);
   }
@@ -132,31 +134,31 @@
    *
    * @returns Whether this box did not know it.
    */
-  learn(record: crashRecords.CrashRecord): boolean {
+  mergeRemoteRecord(record: crashRecords.CrashRecord): boolean {
     const { clock, log, metrics, table } = this.#options;
     const before = table.get(record.digest);
     if (!table.merge(record, clock.getWallMs())) return false;
-    this.#markAbsent(record, before);
+    this.#markUnavailable(record, before);
     const after = table.get(record.digest);
     metrics.countCrash("learned");
     log.write("info", "crash.learned", {
       work: record.digest,
-      ended: crashRecords.countEnded(after),
-      before: crashRecords.countEnded(before),
+      ended: crashRecords.countConsecutiveCrashes(after),
+      before: crashRecords.countConsecutiveCrashes(before),
       ageMs: clock.getWallMs() - record.notedAtMs,
     });
     return true;
   }
 
   /** Servers that ended elsewhere are passed over here too. */
-  #markAbsent(
+  #markUnavailable(
     record: crashRecords.CrashRecord,
     before: crashRecords.CrashRecord | undefined,
   ): void {
     for (const lifetime of record.ended) {
       if (before?.ended.includes(lifetime)) continue;
       const id = registry.getServerId(lifetime);
-      this.#options.servers.markAbsent({ id, lifetime });
+      this.#options.servers.markUnavailable({ id, lifetime });
     }
   }
 
@@ -169,7 +171,7 @@
   async askGrant(
     digest: crashRecords.WorkDigest,
     question: Omit<protocol.GrantRequest, "record">,
-  ): Promise<GrantAnswer> {
+  ): Promise<GrantResult> {
     const { table, askGrant, metrics } = this.#options;
     const record = table.get(digest);
     const reply = record === undefined
@@ -178,7 +180,7 @@
     if (reply === undefined || reply.kind === "notLeader") {
       return { kind: "unanswered" };
     }
-    if (reply.kind === "barred") this.learn(reply.record);
+    if (reply.kind === "barred") this.mergeRemoteRecord(reply.record);
     metrics.countCrash(reply.kind);
     return reply;
   }
@@ -190,31 +192,33 @@
   }
 
   /** Counts and logs a request that is answered without being sent. */
-  noteHeldBack(name: WorkName, ended: number, returnMs: number): void {
+  recordHeldBack(name: WorkDescription, ended: number, returnMs: number): void {
     this.#options.metrics.countCrash("heldBack");
     this.#options.log.write("info", "crash.heldBack", {
-      ...describeName(name),
+      ...createLogFields(name),
       ended,
       returnMs: Math.round(returnMs),
     });
   }
 
-  #forget(): void {
+  #removeExpired(): void {
     const { clock, table } = this.#options;
     const nowMs = clock.getMonotonicMs();
-    if (nowMs - this.#forgotAtMs < FORGET_MS) return;
-    this.#forgotAtMs = nowMs;
-    table.forget(clock.getWallMs());
+    if (nowMs - this.#lastCleanupMs < CLEANUP_INTERVAL_MS) return;
+    this.#lastCleanupMs = nowMs;
+    table.removeExpired(clock.getWallMs());
   }
 }
 
-function describeName(name: WorkName): Readonly<Record<string, string>> {
-  const { digest, carrier, account, service, target } = name;
+function createLogFields(
+  name: WorkDescription,
+): Readonly<Record<string, string>> {
+  const { digest, requestId: carrier, account, service, target } = name;
   return {
     work: digest,
     request: carrier,
     account,
     service,
-    target: target.slice(0, SHOWN_CHARACTERS),
+    target: target.slice(0, MAX_TARGET_LENGTH),
   };
 }
--- a/src/crash_guard/crash_guard_test.ts
+++ b/src/crash_guard/crash_guard_test.ts
@@ -7,9 +7,9 @@
 import * as registry from "../registry/mod.ts";
 import type * as crashGuards from "./crash_guard.ts";
 
-const NAME: crashGuards.WorkName = {
+const WORK: crashGuards.WorkDescription = {
   digest: "d",
-  carrier: "request-1",
+  requestId: "request-1",
   account: "north",
   service: "app",
   target: "/x",
@@ -23,7 +23,7 @@
   let portState: httpClient.PortState = "refused";
   let guard = guardFixtures.createCrashGuard(clock);
   const [first, second] = ["i-1", "i-2"].map((id) =>
-    registry.registerServer(
+    registry.createRegisteredServer(
       serverFixtures.createServer(id, { service: "app" }),
     )
   );
@@ -42,13 +42,13 @@
     for (const server of [first, second]) servers.merge(server!);
   });
 
-  function judge(): crashRecords.WorkVerdict["kind"] {
-    return guard.judge(() => "d").kind;
+  function decideRun(): crashRecords.RunDecision["kind"] {
+    return guard.decideRun(() => "d").kind;
   }
 
   it("tells the fleet of a server that ended, and passes it over", async () => {
-    await guard.noteClosed(first!, NAME);
-    chai.expect(judge()).to.equal("suspect");
+    await guard.recordConnectionLoss(first!, WORK);
+    chai.expect(decideRun()).to.equal("suspect");
     chai.expect(published.map(({ ended }) => ended)).to.deep.equal([["i-1"]]);
     chai.expect(servers.listReady("app").map(({ id }) => id)).to.deep.equal([
       "i-2",
@@ -58,33 +58,38 @@
   for (const state of ["open", "silent"] as const) {
     it(`holds nothing against work whose server's port is ${state}`, async () => {
       portState = state;
-      await guard.noteClosed(first!, NAME);
-      chai.expect(judge()).to.equal("free");
+      await guard.recordConnectionLoss(first!, WORK);
+      chai.expect(decideRun()).to.equal("free");
       chai.expect(published).to.deep.equal([]);
       chai.expect(servers.listReady("app").length).to.equal(2);
     });
   }
 
   it("counts a server once, however many runs it had of the work", async () => {
-    await guard.noteClosed(first!, NAME);
-    await guard.noteClosed(first!, { ...NAME, carrier: "request-2" });
-    chai.expect(crashRecords.countEnded(table.get("d"))).to.equal(1);
+    await guard.recordConnectionLoss(first!, WORK);
+    await guard.recordConnectionLoss(first!, {
+      ...WORK,
+      requestId: "request-2",
+    });
+    chai.expect(crashRecords.countConsecutiveCrashes(table.get("d"))).to.equal(
+      1,
+    );
     chai.expect(published.length).to.equal(1);
   });
 
   it("clears work whose run ended well, and tells the fleet", () => {
-    guard.noteEnded(first!, NAME);
-    guard.noteServed(NAME);
-    chai.expect(judge()).to.equal("free");
+    guard.recordCrash(first!, WORK);
+    guard.recordSuccess(WORK);
+    chai.expect(decideRun()).to.equal("free");
     chai.expect(published.at(-1)?.cleared).to.deep.equal(["i-1"]);
-    guard.noteEnded(second!, NAME);
-    chai.expect(judge()).to.equal("suspect");
+    guard.recordCrash(second!, WORK);
+    chai.expect(decideRun()).to.equal("suspect");
   });
 
   it("passes over a server that ended at another box", () => {
-    const { digest, account, service, target } = NAME;
+    const { digest, account, service, target } = WORK;
     const record = { digest, account, service, target };
-    chai.expect(guard.learn({
+    chai.expect(guard.mergeRemoteRecord({
       ...record,
       ended: ["i-1"],
       cleared: [],
@@ -96,12 +101,12 @@
   });
 
   it("computes no digest while nothing is known against any work", () => {
-    guard.judge(() => {
+    guard.decideRun(() => {
       throw new Error("a digest was computed");
     });
-    guard.noteEnded(first!, NAME);
+    guard.recordCrash(first!, WORK);
     chai.expect(() =>
-      guard.judge(() => {
+      guard.decideRun(() => {
         throw new Error("a digest was computed");
       })
     ).to.throw();
--- a/src/crash_guard/create_grant_calls.ts
+++ b/src/crash_guard/create_grant_client.ts
@@ -6,34 +6,34 @@
  * Longest wait for a grant, in ms: a leader answers within some milliseconds, and
  * the caller of the request waits meanwhile.
  */
-const ASK_TIMES: replicaGroups.CallTimes = { totalMs: 200, tryMs: 100 };
+const ASK_CALL_TIMES: replicaGroups.CallTimes = { totalMs: 200, tryMs: 100 };
 /** The same for the end of a run; without it the grant lasts its whole time. */
-const END_TIMES: replicaGroups.CallTimes = { totalMs: 2_000, tryMs: 500 };
+const END_CALL_TIMES: replicaGroups.CallTimes = { totalMs: 2_000, tryMs: 500 };
 
 /**
  * Makes the calls about grants to the leader of the stores.
  *
- * @param stores Calls the leader.
+ * @param leaderCaller Calls the leader.
  * @returns What a crash guard needs of them.
  */
-export function createGrantCalls(
-  stores: Pick<replicaGroups.LeaderCaller, "call">,
+export function createGrantClient(
+  leaderCaller: Pick<replicaGroups.LeaderCaller, "call">,
 ): Pick<crashGuards.CrashGuardOptions, "askGrant" | "endGrant"> {
   return {
     askGrant: async (request) => {
-      const reply = await stores.call<protocol.GrantReply>(
+      const reply = await leaderCaller.call<protocol.GrantReply>(
         protocol.METHODS.askGrant,
         request,
-        ASK_TIMES,
+        ASK_CALL_TIMES,
       );
       return reply.kind === "ok" ? reply.value : undefined;
     },
     endGrant: (end) => {
       // A leader that is not told counts the run until its time is over.
-      void stores.call<protocol.GrantEndReply>(
+      void leaderCaller.call<protocol.GrantEndReply>(
         protocol.METHODS.endGrant,
         end,
-        END_TIMES,
+        END_CALL_TIMES,
       );
     },
   };
--- a/src/crash_guard/grant_desk.ts
+++ b/src/crash_guard/grant_service.ts
@@ -7,15 +7,15 @@
 import * as protocol from "./protocol.ts";
 
 /** How long a run is waited for whose box does not say that it ended, in ms. */
-const GRANT_MS = 10_000;
+const GRANT_TIMEOUT_MS = 10_000;
 /**
  * Time of a reign in which a last run is not granted, in ms: the leader before
  * may have granted it, and such runs last a few seconds.
  */
-const UNSURE_MS = 2_500;
+const NEW_LEADER_DELAY_MS = 2_500;
 
 /** What the grant desk needs. */
-export interface GrantDeskOptions {
+export interface GrantServiceOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly server: rpc.MethodTable;
@@ -31,7 +31,7 @@
   readonly digest: crashRecords.WorkDigest;
   readonly server: registry.LifetimeKey;
   /** Until when it counts, in monotonic ms. */
-  readonly untilMs: number;
+  readonly expiresAtMs: number;
 }
 
 /**
@@ -41,44 +41,48 @@
  * A server has one such run at a time: work that ran beside what ended its server
  * would lose the next one to it as well, and could not be told from it.
  */
-export class GrantDesk {
-  readonly #options: GrantDeskOptions;
+export class GrantService {
+  readonly #options: GrantServiceOptions;
   /** Runs under way by their names, oldest first. */
   readonly #grants = new Map<string, GrantedRun>();
   #term = 0;
-  #termSinceMs = 0;
+  #termStartMs = 0;
 
-  constructor(options: GrantDeskOptions) {
+  constructor(options: GrantServiceOptions) {
     this.#options = options;
     const { server } = options;
     server.add(
       protocol.METHODS.askGrant,
-      (request: protocol.GrantRequest) => this.#answer(request),
+      (request: protocol.GrantRequest) => this.#handleAsk(request),
     );
     server.add(
       protocol.METHODS.endGrant,
-      (end: protocol.GrantEnd) => this.#end(end),
+      (end: protocol.GrantEnd) => this.#handleEnd(end),
     );
   }
 
-  #answer(request: protocol.GrantRequest): protocol.GrantReply {
+  #handleAsk(request: protocol.GrantRequest): protocol.GrantReply {
     const { group, table, clock } = this.#options;
     if (!group.hasAuthority()) return group.createNotLeader();
-    this.followTerm();
+    this.updateTerm();
     const { digest } = request.record;
     table.merge(request.record, clock.getWallMs());
     const record = table.get(digest) ?? request.record;
     const reply = this.#decide(record, request);
     if (reply.kind === "granted") {
-      const untilMs = clock.getMonotonicMs() + GRANT_MS;
-      this.#grants.set(request.run, { digest, server: reply.server, untilMs });
+      const expiresAtMs = clock.getMonotonicMs() + GRANT_TIMEOUT_MS;
+      this.#grants.set(request.run, {
+        digest,
+        server: reply.server,
+        expiresAtMs: expiresAtMs,
+      });
     }
     const level = reply.kind === "busy" ? "debug" : "info";
     this.#options.log.write(level, "crash.grant", {
       work: digest,
       run: request.run,
-      ended: crashRecords.countEnded(record),
-      underWay: this.#listRuns().length,
+      ended: crashRecords.countConsecutiveCrashes(record),
+      underWay: this.#listActiveRuns().length,
       outcome: reply.kind,
       server: reply.kind === "granted" ? reply.server : undefined,
     });
@@ -89,35 +93,38 @@
     record: crashRecords.CrashRecord,
     { run, servers, mayShare }: protocol.GrantRequest,
   ): protocol.GrantReply {
-    const left = crashRecords.MAX_ENDED - crashRecords.countEnded(record);
-    if (left <= 0) return { kind: "barred", record };
-    const runs = this.#listRuns();
+    const remaining = crashRecords.MAX_CONSECUTIVE_CRASHES -
+      crashRecords.countConsecutiveCrashes(record);
+    if (remaining <= 0) return { kind: "barred", record };
+    const runs = this.#listActiveRuns();
     // The question is repeated where its answer was lost on the way.
     const known = this.#grants.get(run);
     if (known !== undefined) return { kind: "granted", server: known.server };
     // One after the other: runs that began before the first server had ended are
     // not known here, and end further ones.
-    const isUnderWay = runs.some(({ digest }) => digest === record.digest);
-    if (isUnderWay) return { kind: "busy" };
-    const reignMs = this.#options.clock.getMonotonicMs() - this.#termSinceMs;
-    if (left === 1 && reignMs < UNSURE_MS) return { kind: "busy" };
-    const taken = new Set(runs.map(({ server }) => server));
-    const server = servers.find((candidate) => !taken.has(candidate)) ??
+    const isActive = runs.some(({ digest }) => digest === record.digest);
+    if (isActive) return { kind: "busy" };
+    const termAgeMs = this.#options.clock.getMonotonicMs() - this.#termStartMs;
+    if (remaining === 1 && termAgeMs < NEW_LEADER_DELAY_MS) {
+      return { kind: "busy" };
+    }
+    const busyServers = new Set(runs.map(({ server }) => server));
+    const server = servers.find((candidate) => !busyServers.has(candidate)) ??
       (mayShare ? servers[0] : undefined);
     return server === undefined
       ? { kind: "busy" }
       : { kind: "granted", server };
   }
 
-  #listRuns(): readonly GrantedRun[] {
+  #listActiveRuns(): readonly GrantedRun[] {
     const nowMs = this.#options.clock.getMonotonicMs();
-    for (const [run, { untilMs }] of this.#grants) {
+    for (const [run, { expiresAtMs: untilMs }] of this.#grants) {
       if (untilMs <= nowMs) this.#grants.delete(run);
     }
     return [...this.#grants.values()];
   }
 
-  #end({ run, record }: protocol.GrantEnd): protocol.GrantEndReply {
+  #handleEnd({ run, record }: protocol.GrantEnd): protocol.GrantEndReply {
     const { group, table, clock } = this.#options;
     if (!group.hasAuthority()) return group.createNotLeader();
     if (record !== undefined) table.merge(record, clock.getWallMs());
@@ -126,12 +133,12 @@
   }
 
   /** What another leader granted meanwhile is not known here. */
-  followTerm(): void {
+  updateTerm(): void {
     const { group, clock } = this.#options;
     const term = group.getTerm();
     if (term === this.#term || !group.hasAuthority()) return;
     this.#term = term;
-    this.#termSinceMs = clock.getMonotonicMs();
+    this.#termStartMs = clock.getMonotonicMs();
     this.#grants.clear();
   }
 }
--- a/src/crash_guard/grant_desk_test.ts
+++ b/src/crash_guard/grant_service_test.ts
@@ -2,7 +2,7 @@
 import * as clocks from "../clock/mod.ts";
 import * as crashRecords from "../crash_record/mod.ts";
 import * as logs from "../log/mod.ts";
-import * as grantDesks from "./grant_desk.ts";
+import * as grantServices from "./grant_service.ts";
 import * as protocol from "./protocol.ts";
 
 const SERVERS = ["s-1", "s-2", "s-3", "s-4"];
@@ -32,7 +32,7 @@
   let table = new crashRecords.CrashTable();
   let term = 1;
   let hasAuthority = true;
-  let desk: grantDesks.GrantDesk;
+  let service: grantServices.GrantService;
 
   beforeEach(() => {
     clock = new clocks.FakeClock(1_000);
@@ -40,7 +40,7 @@
     table = new crashRecords.CrashTable();
     term = 1;
     hasAuthority = true;
-    desk = new grantDesks.GrantDesk({
+    service = new grantServices.GrantService({
       clock,
       log: new logs.Log("box", "error", () => {}),
       server: {
@@ -53,11 +53,11 @@
         createNotLeader: () => ({ kind: "notLeader", leader: undefined }),
       },
     });
-    desk.followTerm();
+    service.updateTerm();
     clock.extendBy(10_000);
   });
 
-  function askFor(
+  function askGrant(
     record: crashRecords.CrashRecord,
     run: string,
     servers: readonly string[],
@@ -68,82 +68,82 @@
     return reply as protocol.GrantReply;
   }
 
-  function ask(run: string, ended: readonly string[]): string {
-    return askFor(createRecord(ended), run, SERVERS).kind;
+  function getReplyKind(run: string, ended: readonly string[]): string {
+    return askGrant(createRecord(ended), run, SERVERS).kind;
   }
 
-  function end(run: string, record: crashRecords.CrashRecord): void {
+  function endGrant(run: string, record: crashRecords.CrashRecord): void {
     const request: protocol.GrantEnd = { run, record };
     methods.get(protocol.METHODS.endGrant)?.(request);
   }
 
   it("grants one run at a time", () => {
-    chai.expect(ask("r1", ["i-1"])).to.equal("granted");
-    chai.expect(ask("r2", ["i-1"])).to.equal("busy");
-    end("r1", createRecord(["i-1"]));
-    chai.expect(ask("r2", ["i-1"])).to.equal("granted");
+    chai.expect(getReplyKind("r1", ["i-1"])).to.equal("granted");
+    chai.expect(getReplyKind("r2", ["i-1"])).to.equal("busy");
+    endGrant("r1", createRecord(["i-1"]));
+    chai.expect(getReplyKind("r2", ["i-1"])).to.equal("granted");
   });
 
   it("grants a run again whose first answer was lost", () => {
-    chai.expect(ask("r1", ["i-1"])).to.equal("granted");
-    chai.expect(ask("r1", ["i-1"])).to.equal("granted");
-    chai.expect(ask("r2", ["i-1"])).to.equal("busy");
+    chai.expect(getReplyKind("r1", ["i-1"])).to.equal("granted");
+    chai.expect(getReplyKind("r1", ["i-1"])).to.equal("granted");
+    chai.expect(getReplyKind("r2", ["i-1"])).to.equal("busy");
   });
 
   it("counts what ended meanwhile, whoever asks and whatever it knows", () => {
-    chai.expect(ask("r1", ["i-1"])).to.equal("granted");
-    end("r1", createRecord(["i-1", "i-2"]));
-    chai.expect(ask("r2", ["i-1"])).to.equal("granted");
-    chai.expect(ask("r3", ["i-1"])).to.equal("busy");
-    end("r2", createRecord(["i-1", "i-2", "i-3"]));
-    chai.expect(ask("r4", ["i-1"])).to.equal("barred");
+    chai.expect(getReplyKind("r1", ["i-1"])).to.equal("granted");
+    endGrant("r1", createRecord(["i-1", "i-2"]));
+    chai.expect(getReplyKind("r2", ["i-1"])).to.equal("granted");
+    chai.expect(getReplyKind("r3", ["i-1"])).to.equal("busy");
+    endGrant("r2", createRecord(["i-1", "i-2", "i-3"]));
+    chai.expect(getReplyKind("r4", ["i-1"])).to.equal("barred");
   });
 
   it("frees work again that ended well", () => {
-    chai.expect(ask("r1", ["i-1", "i-2"])).to.equal("granted");
-    end("r1", createRecord(["i-1", "i-2"], ["i-1", "i-2"]));
+    chai.expect(getReplyKind("r1", ["i-1", "i-2"])).to.equal("granted");
+    endGrant("r1", createRecord(["i-1", "i-2"], ["i-1", "i-2"]));
     for (const run of ["r2", "r3", "r4"]) {
-      chai.expect(ask(run, ["i-1"])).to.equal("granted");
-      end(run, createRecord(["i-1"]));
+      chai.expect(getReplyKind(run, ["i-1"])).to.equal("granted");
+      endGrant(run, createRecord(["i-1"]));
     }
   });
 
   it("waits no longer than its time for a run whose box is gone", () => {
-    chai.expect(ask("r1", ["i-1", "i-2"])).to.equal("granted");
-    chai.expect(ask("r2", ["i-1", "i-2"])).to.equal("busy");
+    chai.expect(getReplyKind("r1", ["i-1", "i-2"])).to.equal("granted");
+    chai.expect(getReplyKind("r2", ["i-1", "i-2"])).to.equal("busy");
     clock.extendBy(10_001);
-    chai.expect(ask("r2", ["i-1", "i-2"])).to.equal("granted");
+    chai.expect(getReplyKind("r2", ["i-1", "i-2"])).to.equal("granted");
   });
 
   it("grants no last run early in a reign, as the leader before may have", () => {
-    chai.expect(ask("r1", ["i-1", "i-2"])).to.equal("granted");
+    chai.expect(getReplyKind("r1", ["i-1", "i-2"])).to.equal("granted");
     term = 2;
-    desk.followTerm();
-    chai.expect(ask("r2", ["i-1", "i-2"])).to.equal("busy");
+    service.updateTerm();
+    chai.expect(getReplyKind("r2", ["i-1", "i-2"])).to.equal("busy");
     clock.extendBy(2_501);
-    chai.expect(ask("r2", ["i-1", "i-2"])).to.equal("granted");
+    chai.expect(getReplyKind("r2", ["i-1", "i-2"])).to.equal("granted");
   });
 
   it("gives each run a server of its own, as one may end what runs beside it", () => {
     const other = { ...createRecord(["i-1"]), digest: "e" };
     const third = { ...createRecord(["i-1"]), digest: "f" };
-    chai.expect(askFor(createRecord(["i-1"]), "r1", ["s-1", "s-2"])).to.deep
+    chai.expect(askGrant(createRecord(["i-1"]), "r1", ["s-1", "s-2"])).to.deep
       .equal({ kind: "granted", server: "s-1" });
-    chai.expect(askFor(other, "r2", ["s-1", "s-2"])).to.deep.equal({
+    chai.expect(askGrant(other, "r2", ["s-1", "s-2"])).to.deep.equal({
       kind: "granted",
       server: "s-2",
     });
-    chai.expect(askFor(third, "r3", ["s-1", "s-2"]).kind).to.equal("busy");
-    chai.expect(askFor(third, "r4", ["s-1", "s-2"], true).kind).to.equal(
+    chai.expect(askGrant(third, "r3", ["s-1", "s-2"]).kind).to.equal("busy");
+    chai.expect(askGrant(third, "r4", ["s-1", "s-2"], true).kind).to.equal(
       "granted",
     );
-    end("r4", third);
-    end("r1", createRecord(["i-1", "i-2"]));
-    chai.expect(askFor(third, "r3", ["s-1", "s-2"]).kind).to.equal("granted");
+    endGrant("r4", third);
+    endGrant("r1", createRecord(["i-1", "i-2"]));
+    chai.expect(askGrant(third, "r3", ["s-1", "s-2"]).kind).to.equal("granted");
   });
 
   it("grants nothing while another store may lead", () => {
     hasAuthority = false;
-    chai.expect(ask("r1", ["i-1"])).to.equal("notLeader");
+    chai.expect(getReplyKind("r1", ["i-1"])).to.equal("notLeader");
   });
 });
--- a/src/crash_guard/mod.ts
+++ b/src/crash_guard/mod.ts
@@ -11,7 +11,7 @@
  * @module
  */
 export * from "./crash_guard.ts";
-export * from "./crash_keeper.ts";
-export * from "./create_grant_calls.ts";
-export * from "./grant_desk.ts";
+export * from "./crash_replicator.ts";
+export * from "./create_grant_client.ts";
+export * from "./grant_service.ts";
 export * from "./protocol.ts";
--- a/src/crash_record/crash_record.ts
+++ b/src/crash_record/crash_record.ts
@@ -31,7 +31,9 @@
  * @param record What is known; undefined for nothing.
  * @returns Their number.
  */
-export function countEnded(record: CrashRecord | undefined): number {
+export function countConsecutiveCrashes(
+  record: CrashRecord | undefined,
+): number {
   if (record === undefined) return 0;
   const { ended, cleared } = record;
   return ended.filter((lifetime) => !cleared.includes(lifetime)).length;
@@ -51,8 +53,8 @@
   // The last ones by name stay, cleared or not: a choice that is the same in any
   // order of merges. By what is cleared, a mark that was dropped would be lost,
   // and its server counted again.
-  const ended = joinSorted(left.ended, right.ended).slice(-MAX_LIFETIMES);
-  const cleared = joinSorted(left.cleared, right.cleared);
+  const ended = mergeSorted(left.ended, right.ended).slice(-MAX_LIFETIMES);
+  const cleared = mergeSorted(left.cleared, right.cleared);
   return {
     ...left,
     ended,
@@ -67,12 +69,12 @@
  * @param record The record.
  * @returns A line; two records with the same line say the same.
  */
-export function describeRecord(record: CrashRecord): string {
+export function createRecordKey(record: CrashRecord): string {
   const { digest, ended, cleared } = record;
   return `${digest} ${ended.join(",")} ${cleared.join(",")}`;
 }
 
-function joinSorted(
+function mergeSorted(
   left: readonly string[],
   right: readonly string[],
 ): readonly string[] {
--- a/src/crash_record/crash_record_test.ts
+++ b/src/crash_record/crash_record_test.ts
@@ -2,7 +2,7 @@
 import * as fastCheck from "fast-check";
 import * as crashRecords from "./crash_record.ts";
 import * as crashTables from "./crash_table.ts";
-import * as judgeWork from "./judge_work.ts";
+import * as decideRun from "./decide_run.ts";
 import * as workDigests from "./work_digest.ts";
 
 const RUNS = 200;
@@ -54,8 +54,8 @@
 
   it("count what ended since a run ended well", () => {
     const record = createRecord(["i-1", "i-2"], { cleared: ["i-1"] });
-    chai.expect(crashRecords.countEnded(record)).to.equal(1);
-    chai.expect(crashRecords.countEnded(undefined)).to.equal(0);
+    chai.expect(crashRecords.countConsecutiveCrashes(record)).to.equal(1);
+    chai.expect(crashRecords.countConsecutiveCrashes(undefined)).to.equal(0);
   });
 });
 
@@ -93,23 +93,23 @@
 describe("judging work by what ended under it", () => {
   it("lets it go on after one server, after a pause after two, never after three", () => {
     const two = createRecord(["i-1", "i-2"]);
-    chai.expect(judgeWork.judgeWork(undefined, 0).kind).to.equal("free");
-    chai.expect(judgeWork.judgeWork(createRecord(["i-1"]), 0).kind).to.equal(
+    chai.expect(decideRun.decideRun(undefined, 0).kind).to.equal("free");
+    chai.expect(decideRun.decideRun(createRecord(["i-1"]), 0).kind).to.equal(
       "suspect",
     );
-    chai.expect(judgeWork.judgeWork(two, 1_000)).to.deep.equal({
+    chai.expect(decideRun.decideRun(two, 1_000)).to.deep.equal({
       kind: "heldBack",
       ended: 2,
       returnMs: 4_000,
     });
-    chai.expect(judgeWork.judgeWork(two, 5_000).kind).to.equal("suspect");
+    chai.expect(decideRun.decideRun(two, 5_000).kind).to.equal("suspect");
     const three = createRecord(["i-1", "i-2", "i-3"]);
-    chai.expect(judgeWork.judgeWork(three, DAY_MS).kind).to.equal("heldBack");
+    chai.expect(decideRun.decideRun(three, DAY_MS).kind).to.equal("heldBack");
   });
 
   it("frees work that ended well once", () => {
     const record = createRecord(["i-1", "i-2"], { cleared: ["i-1", "i-2"] });
-    chai.expect(judgeWork.judgeWork(record, 0).kind).to.equal("free");
+    chai.expect(decideRun.decideRun(record, 0).kind).to.equal("free");
   });
 });
 
@@ -131,9 +131,9 @@
     left.merge(createRecord(["i-2"], { digest: "e" }), 0);
     right.merge(createRecord(["i-2"], { digest: "e" }), 0);
     right.merge(createRecord(["i-1"]), 0);
-    chai.expect(left.describeContent()).to.equal(right.describeContent());
+    chai.expect(left.getContentHash()).to.equal(right.getContentHash());
     right.merge(createRecord(["i-9"]), 0);
-    chai.expect(left.describeContent()).not.to.equal(right.describeContent());
+    chai.expect(left.getContentHash()).not.to.equal(right.getContentHash());
   });
 
   it("keeps work for a day, cleared work for a minute", () => {
@@ -141,9 +141,9 @@
     table.merge(createRecord(["i-1"]), 0);
     const cleared = { digest: "e", cleared: ["i-1"] };
     table.merge(createRecord(["i-1"], cleared), 0);
-    table.forget(60_001);
+    table.removeExpired(60_001);
     chai.expect(table.list().map(({ digest }) => digest)).to.deep.equal(["d"]);
-    table.forget(DAY_MS + 1);
+    table.removeExpired(DAY_MS + 1);
     chai.expect(table.isEmpty()).to.equal(true);
     chai.expect(table.merge(createRecord(["i-1"]), DAY_MS + 1)).to.equal(false);
   });
@@ -151,7 +151,7 @@
   it("does not believe a clock that is far ahead", () => {
     const table = new crashTables.CrashTable();
     table.merge(createRecord(["i-1"], { notedAtMs: 10 * DAY_MS }), 0);
-    table.forget(DAY_MS + 60_001);
+    table.removeExpired(DAY_MS + 60_001);
     chai.expect(table.isEmpty()).to.equal(true);
   });
 
@@ -173,6 +173,7 @@
     for (let index = 0; index < 600; index += 1) {
       table.merge(createRecord(["i-1"], { digest: `d-${index}` }), 0);
     }
-    chai.expect(crashRecords.countEnded(table.get("bad"))).to.equal(3);
+    chai.expect(crashRecords.countConsecutiveCrashes(table.get("bad"))).to
+      .equal(3);
   });
 });
--- a/src/crash_record/crash_table.ts
+++ b/src/crash_record/crash_table.ts
@@ -7,11 +7,11 @@
  * ms: a day, so that one piece of work ends three servers a day at most, and one
  * whose fault was mended meanwhile is served again.
  */
-const KEEP_MS = 24 * 60 * 60 * 1_000;
+const RETENTION_MS = 24 * 60 * 60 * 1_000;
 /** The same for work that ran to its end since; news of it may come late. */
-const KEEP_CLEARED_MS = 60_000;
+const CLEARED_RETENTION_MS = 60_000;
 /** How far ahead the clock of another box may be, in ms; more is not believed. */
-const MAX_AHEAD_MS = 60_000;
+const MAX_CLOCK_SKEW_MS = 60_000;
 /** Records of one account at most, so that none pushes out those of others. */
 const MAX_ACCOUNT_RECORDS = 512;
 /** Records at most: some 250 bytes each, 1 MB in all. */
@@ -23,7 +23,7 @@
     workDigests.WorkDigest,
     crashRecords.CrashRecord
   >();
-  #content: string | undefined;
+  #contentHash: string | undefined;
 
   isEmpty(): boolean {
     return this.#records.size === 0;
@@ -41,13 +41,13 @@
   }
 
   /** Tells whether a record says something that is not known here. */
-  hasNews(record: crashRecords.CrashRecord, nowMs: number): boolean {
+  hasChanges(record: crashRecords.CrashRecord, nowMs: number): boolean {
     if (isExpired(record, nowMs)) return false;
     const known = this.#records.get(record.digest);
     if (known === undefined) return true;
     const merged = crashRecords.mergeRecords(known, record);
-    return crashRecords.describeRecord(known) !==
-      crashRecords.describeRecord(merged);
+    return crashRecords.createRecordKey(known) !==
+      crashRecords.createRecordKey(merged);
   }
 
   /**
@@ -58,19 +58,19 @@
    * @returns Whether something was not known before.
    */
   merge(record: crashRecords.CrashRecord, nowMs: number): boolean {
-    if (!this.hasNews(record, nowMs)) return false;
+    if (!this.hasChanges(record, nowMs)) return false;
     const known = this.#records.get(record.digest);
-    const notedAtMs = Math.min(record.notedAtMs, nowMs + MAX_AHEAD_MS);
-    const told = { ...record, notedAtMs };
-    const merged = crashRecords.mergeRecords(known ?? told, told);
+    const notedAtMs = Math.min(record.notedAtMs, nowMs + MAX_CLOCK_SKEW_MS);
+    const bounded = { ...record, notedAtMs };
+    const merged = crashRecords.mergeRecords(known ?? bounded, bounded);
     this.#records.set(record.digest, merged);
-    this.#content = undefined;
-    if (known === undefined) this.#limit(record.account);
+    this.#contentHash = undefined;
+    if (known === undefined) this.#enforceLimits(record.account);
     return this.#records.has(record.digest);
   }
 
   /** Forgets what is too old. */
-  forget(nowMs: number): void {
+  removeExpired(nowMs: number): void {
     for (const [digest, record] of this.#records) {
       if (isExpired(record, nowMs)) this.#remove(digest);
     }
@@ -80,39 +80,44 @@
   restore(records: readonly crashRecords.CrashRecord[]): void {
     this.#records.clear();
     for (const record of records) this.#records.set(record.digest, record);
-    this.#content = undefined;
+    this.#contentHash = undefined;
   }
 
   /** Describes all records; tables with the same description hold the same. */
-  describeContent(): string {
-    this.#content ??= this.#computeContent();
-    return this.#content;
+  getContentHash(): string {
+    this.#contentHash ??= this.#computeContentHash();
+    return this.#contentHash;
   }
 
-  #computeContent(): string {
+  #computeContentHash(): string {
     if (this.isEmpty()) return "";
-    const lines = this.list().map(crashRecords.describeRecord).toSorted();
+    const lines = this.list().map(crashRecords.createRecordKey).toSorted();
     return crypto.createHash("sha1").update(lines.join("\n")).digest("base64");
   }
 
-  #limit(account: string): void {
-    const own = this.list().filter((record) => record.account === account);
-    if (own.length > MAX_ACCOUNT_RECORDS) return this.#dropLeast(own);
-    if (this.#records.size > MAX_RECORDS) this.#dropLeast(this.list());
+  #enforceLimits(account: string): void {
+    const accountRecords = this.list().filter((record) =>
+      record.account === account
+    );
+    if (accountRecords.length > MAX_ACCOUNT_RECORDS) {
+      return this.#evictOne(accountRecords);
+    }
+    if (this.#records.size > MAX_RECORDS) this.#evictOne(this.list());
   }
 
   /** Drops the one with the fewest servers, the oldest among such. */
-  #dropLeast(records: readonly crashRecords.CrashRecord[]): void {
-    const [least] = records.toSorted((a, b) =>
-      crashRecords.countEnded(a) - crashRecords.countEnded(b) ||
+  #evictOne(records: readonly crashRecords.CrashRecord[]): void {
+    const [evicted] = records.toSorted((a, b) =>
+      crashRecords.countConsecutiveCrashes(a) -
+        crashRecords.countConsecutiveCrashes(b) ||
       a.notedAtMs - b.notedAtMs || (a.digest < b.digest ? -1 : 1)
     );
-    if (least !== undefined) this.#remove(least.digest);
+    if (evicted !== undefined) this.#remove(evicted.digest);
   }
 
   #remove(digest: workDigests.WorkDigest): void {
     this.#records.delete(digest);
-    this.#content = undefined;
+    this.#contentHash = undefined;
   }
 }
 
@@ -120,8 +125,8 @@
   record: crashRecords.CrashRecord,
   nowMs: number,
 ): boolean {
-  const keepMs = crashRecords.countEnded(record) === 0
-    ? KEEP_CLEARED_MS
-    : KEEP_MS;
-  return nowMs - record.notedAtMs > keepMs;
+  const retentionMs = crashRecords.countConsecutiveCrashes(record) === 0
+    ? CLEARED_RETENTION_MS
+    : RETENTION_MS;
+  return nowMs - record.notedAtMs > retentionMs;
 }
--- a/src/crash_record/judge_work.ts
+++ b/src/crash_record/decide_run.ts
@@ -5,9 +5,9 @@
  * runs beside what ends a server loses its own server too, and its next one if
  * both go there again.
  */
-export const MAX_ENDED = 3;
+export const MAX_CONSECUTIVE_CRASHES = 3;
 /** Servers after which work waits before it may end another one. */
-const ENDED_TO_PAUSE = 2;
+const CRASHES_BEFORE_PAUSE = 2;
 /**
  * Pause before the last run that is allowed, in ms: longer than a server takes
  * to be back (3.2 s seen), so that work does not end all servers of a service
@@ -15,10 +15,10 @@
  */
 const PAUSE_MS = 5_000;
 /** When to come back with work that is held back, in ms. */
-const BARRED_RETURN_MS = 60_000;
+const BLOCKED_RETURN_MS = 60_000;
 
 /** What may become of a piece of work. */
-export type WorkVerdict =
+export type RunDecision =
   /** Nothing is known against it. */
   | { readonly kind: "free" }
   /** Servers ended under it: one run more, if the leader of the stores agrees. */
@@ -30,7 +30,7 @@
     readonly returnMs: number;
   };
 
-const FREE: WorkVerdict = { kind: "free" };
+const ALLOWED: RunDecision = { kind: "free" };
 
 /**
  * Judges work by what ended under it.
@@ -39,16 +39,18 @@
  * @param sinceMs Time since the last server was known to have ended, in ms.
  * @returns What may become of it.
  */
-export function judgeWork(
+export function decideRun(
   record: crashRecords.CrashRecord | undefined,
   sinceMs: number,
-): WorkVerdict {
-  const ended = crashRecords.countEnded(record);
-  if (ended === 0) return FREE;
-  if (ended >= MAX_ENDED) {
-    return { kind: "heldBack", ended, returnMs: BARRED_RETURN_MS };
+): RunDecision {
+  const ended = crashRecords.countConsecutiveCrashes(record);
+  if (ended === 0) return ALLOWED;
+  if (ended >= MAX_CONSECUTIVE_CRASHES) {
+    return { kind: "heldBack", ended, returnMs: BLOCKED_RETURN_MS };
   }
   const pauseMs = PAUSE_MS - sinceMs;
-  if (ended < ENDED_TO_PAUSE || pauseMs <= 0) return { kind: "suspect", ended };
+  if (ended < CRASHES_BEFORE_PAUSE || pauseMs <= 0) {
+    return { kind: "suspect", ended };
+  }
   return { kind: "heldBack", ended, returnMs: pauseMs };
 }
--- a/src/crash_record/mod.ts
+++ b/src/crash_record/mod.ts
@@ -11,5 +11,5 @@
  */
 export * from "./crash_record.ts";
 export * from "./crash_table.ts";
-export * from "./judge_work.ts";
+export * from "./decide_run.ts";
 export * from "./work_digest.ts";
--- a/src/dialect/dialect.ts
+++ b/src/dialect/dialect.ts
@@ -160,7 +160,7 @@
 export interface EngineReport {
   /** When it started, in wall ms; undefined where it does not tell. */
   readonly born: number | undefined;
-  readonly models: readonly registry.HeldModel[];
+  readonly models: readonly registry.LoadedModel[];
   /** Whether an order is being carried out. */
   readonly isBusy: boolean;
   /** Whether it is about to leave. */
@@ -193,7 +193,7 @@
   parseEngineReport(
     body: Buffer,
     server: string,
-  ): registry.ReportReading<EngineReport>;
+  ): registry.ParsedReport<EngineReport>;
   /** When the engine that answers an order started; undefined if unknown. */
   parseOrderAnswer(body: Buffer): number | undefined;
   /** Headers of a caller's request as a server gets them. */
--- a/src/dispatch/choose_engine.ts
+++ b/src/dispatch/choose_engine.ts
@@ -8,7 +8,7 @@
 const FAILURE_WEIGHT = 3;
 
 /** What an item asks of its engine. */
-export interface EngineNeed {
+export interface EngineRequirements {
   readonly model: string | undefined;
   readonly minimumVersion: number;
   /** Engines that this item should not go to again at once. */
@@ -19,9 +19,9 @@
 export interface EngineCandidate {
   readonly engine: registry.RegisteredServer;
   /** Expected time between its events without a run, failures weighed in, in ms. */
-  readonly idleMs: number;
+  readonly idleIntervalMs: number;
   /** Runs at it, those among them that were placed since. */
-  running: number;
+  runCount: number;
 }
 
 /** Describes an engine for a choice. */
@@ -29,11 +29,12 @@
   engine: registry.RegisteredServer,
   table: engineTables.EngineTable,
 ): EngineCandidate {
-  const failures = FAILURE_WEIGHT * table.getFailureShare(engine.lifetime);
+  const failurePenalty = FAILURE_WEIGHT * table.getFailureRate(engine.lifetime);
   return {
     engine,
-    idleMs: table.getGapMs(engine.lifetime) * (1 + failures),
-    running: table.getRunning(engine.lifetime),
+    idleIntervalMs: table.getIdleIntervalMs(engine.lifetime) *
+      (1 + failurePenalty),
+    runCount: table.getRunCount(engine.lifetime),
   };
 }
 
@@ -51,41 +52,43 @@
   avoided: ReadonlySet<registry.LifetimeKey>,
 ): EngineCandidate | undefined {
   let best: EngineCandidate | undefined;
-  let bestMs = Number.POSITIVE_INFINITY;
+  let bestIntervalMs = Number.POSITIVE_INFINITY;
   let isBestAvoided = true;
   for (const candidate of candidates) {
-    const { engine, idleMs, running } = candidate;
-    if (running >= engine.slots) continue;
+    const { engine, idleIntervalMs: idleIntervalMs, runCount: runCount } =
+      candidate;
+    if (runCount >= engine.slots) continue;
     const isAvoided = avoided.size > 0 && avoided.has(engine.lifetime);
     if (isAvoided && !isBestAvoided) continue;
-    const ms = idleMs * engineTables.getSlowdown(running + 1, engine.slots);
-    if (ms >= bestMs && isAvoided === isBestAvoided) continue;
+    const intervalMs = idleIntervalMs *
+      engineTables.computeSlowdown(runCount + 1, engine.slots);
+    if (intervalMs >= bestIntervalMs && isAvoided === isBestAvoided) continue;
     best = candidate;
-    bestMs = ms;
+    bestIntervalMs = intervalMs;
     isBestAvoided = isAvoided;
   }
   return best;
 }
 
 /** Tells whether an engine has a place for an item and may take it. */
-export function canTake(
+export function canAccept(
   engine: registry.RegisteredServer,
   table: engineTables.EngineTable,
-  need: Omit<EngineNeed, "avoided">,
+  requirements: Omit<EngineRequirements, "avoided">,
 ): boolean {
-  return table.getRunning(engine.lifetime) < engine.slots &&
-    canServe(engine, table, need);
+  return table.getRunCount(engine.lifetime) < engine.slots &&
+    isEligible(engine, table, requirements);
 }
 
 /** Tells whether an engine may take an item once it has a place. */
-export function canServe(
+export function isEligible(
   engine: registry.RegisteredServer,
   table: engineTables.EngineTable,
-  need: Omit<EngineNeed, "avoided">,
+  requirements: Omit<EngineRequirements, "avoided">,
 ): boolean {
-  const { model, minimumVersion } = need;
+  const { model, minimumVersion } = requirements;
   if (table.isAvoided(engine.lifetime)) return false;
   if (model === undefined) return true;
-  if (table.getLoading(engine.lifetime) === model) return false;
+  if (table.getLoadingModel(engine.lifetime) === model) return false;
   return table.getVersion(engine, model) >= minimumVersion;
 }
--- a/src/dispatch/dispatch_test.ts
+++ b/src/dispatch/dispatch_test.ts
@@ -6,7 +6,7 @@
 import * as chooseEngine from "./choose_engine.ts";
 import * as engineTables from "./engine_table.ts";
 import type * as itemTasks from "./item_task.ts";
-import * as lengthEstimates from "./length_estimates.ts";
+import * as lengthEstimators from "./length_estimator.ts";
 import * as orderTasks from "./order_tasks.ts";
 import * as placementRounds from "./placement_round.ts";
 import * as runMovers from "./run_mover.ts";
@@ -22,9 +22,13 @@
 
 describe("dispatch", () => {
   const clock = new clocks.FakeClock();
-  const lengths = new lengthEstimates.LengthEstimates();
+  const lengths = new lengthEstimators.LengthEstimator();
   let table = new engineTables.EngineTable(clock);
-  const need = { model: "m", minimumVersion: 2, avoided: new Set<string>() };
+  const requirements = {
+    model: "m",
+    minimumVersion: 2,
+    avoided: new Set<string>(),
+  };
 
   beforeEach(() => {
     table = new engineTables.EngineTable(clock);
@@ -34,17 +38,17 @@
     engines: readonly registry.RegisteredServer[],
     avoided: readonly string[] = [],
   ): string | undefined {
-    const able = engines.filter((engine) =>
-      chooseEngine.canTake(engine, table, need)
+    const candidates = engines.filter((engine) =>
+      chooseEngine.canAccept(engine, table, requirements)
     ).map((engine) => chooseEngine.createCandidate(engine, table));
-    return chooseEngine.pickEngine(able, new Set(avoided))?.engine.id;
+    return chooseEngine.pickEngine(candidates, new Set(avoided))?.engine.id;
   }
 
   function order(
     tasks: readonly itemTasks.ItemTask[],
-    gapMs: number,
+    intervalMs: number,
   ): readonly string[] {
-    return orderTasks.orderTasks(tasks, lengths, gapMs)
+    return orderTasks.orderTasks(tasks, lengths, intervalMs)
       .map((task) => task.item.id);
   }
 
@@ -52,24 +56,24 @@
     chai.expect(choose([createEngine("old", 1)])).to.equal(undefined);
     chai.expect(choose([createEngine("old", 1), createEngine("new", 2)])).to
       .equal("new");
-    table.prove("old", "m", 2);
+    table.advanceVersion("old", "m", 2);
     chai.expect(choose([createEngine("old", 1)])).to.equal("old");
   });
 
   it("goes by what an engine's answer named, also where it was taken for newer", () => {
-    table.prove("a", "m", 2);
+    table.advanceVersion("a", "m", 2);
     chai.expect(choose([createEngine("a", 1)])).to.equal("a");
-    table.observe("a", "m", 1);
+    table.setVersion("a", "m", 1);
     chai.expect(choose([createEngine("a", 1)])).to.equal(undefined);
   });
 
   it("takes no engine that is full, loads the model, or just broke a run", () => {
     const engines = [createEngine("a", 2), createEngine("b", 2)];
-    table.setLoading("a", "m");
+    table.setLoadingModel("a", "m");
     chai.expect(choose(engines)).to.equal("b");
-    for (let run = 0; run < 4; run += 1) table.begin("b");
+    for (let run = 0; run < 4; run += 1) table.addRun("b");
     chai.expect(choose(engines)).to.equal(undefined);
-    table.setLoading("a", "another");
+    table.setLoadingModel("a", "another");
     chai.expect(choose(engines)).to.equal("a");
     table.avoid("a");
     chai.expect(choose(engines)).to.equal(undefined);
@@ -78,12 +82,12 @@
   it("prefers fast engines until they are much fuller", () => {
     const engines = [createEngine("slow", 2), createEngine("fast", 2)];
     for (let event = 0; event < 200; event += 1) {
-      table.noteGap(createEngine("slow"), 60);
-      table.noteGap(createEngine("fast"), 40);
+      table.recordInterval(createEngine("slow"), 60);
+      table.recordInterval(createEngine("fast"), 40);
     }
     const taken = [0, 1, 2, 3, 4].map(() => {
       const id = choose(engines) ?? "";
-      table.begin(id);
+      table.addRun(id);
       return id;
     });
     chai.expect(taken.slice(0, 2)).to.deep.equal(["fast", "fast"]);
@@ -92,10 +96,12 @@
 
   it("prefers engines whose runs do not break, until they are much fuller", () => {
     const engines = [createEngine("breaking", 2), createEngine("sound", 2)];
-    for (let run = 0; run < 3; run += 1) table.noteRun("breaking", false);
-    table.begin("sound");
+    for (let run = 0; run < 3; run += 1) {
+      table.recordRunResult("breaking", false);
+    }
+    table.addRun("sound");
     chai.expect(choose(engines)).to.equal("sound");
-    for (let run = 0; run < 3; run += 1) table.begin("sound");
+    for (let run = 0; run < 3; run += 1) table.addRun("sound");
     chai.expect(choose(engines)).to.equal("breaking");
   });
 
@@ -132,7 +138,7 @@
 
   it("gives an item up after as many failures as its route allows", () => {
     const task = taskFixtures.createTask("a");
-    chai.expect([task.countFailure(), task.countFailure()]).to.deep.equal([
+    chai.expect([task.recordFailure(), task.recordFailure()]).to.deep.equal([
       false,
       true,
     ]);
@@ -175,8 +181,11 @@
     it("fills each place once and lists the engines once", () => {
       const round = createRound();
       const chosen = Array.from({ length: 12 }, () => {
-        const id = round.choose("lm", { ...need, minimumVersion: 1 })?.id;
-        if (id !== undefined) table.begin(id);
+        const id = round.reserveSlot("lm", {
+          ...requirements,
+          minimumVersion: 1,
+        })?.id;
+        if (id !== undefined) table.addRun(id);
         return id;
       });
       chai.expect(chosen.filter((id) => id === "a").length).to.equal(4);
@@ -189,19 +198,21 @@
 
     it("goes on for other needs when one finds no place", () => {
       const round = createRound();
-      for (let run = 0; run < 4; run += 1) table.begin("a");
-      chai.expect(round.choose("lm", need)).to.equal(undefined);
-      chai.expect(round.choose("lm", { ...need, minimumVersion: 1 })?.id).to
+      for (let run = 0; run < 4; run += 1) table.addRun("a");
+      chai.expect(round.reserveSlot("lm", requirements)).to.equal(undefined);
+      chai.expect(
+        round.reserveSlot("lm", { ...requirements, minimumVersion: 1 })?.id,
+      ).to
         .equal("b");
-      chai.expect(round.hasPlace("lm")).to.equal(true);
+      chai.expect(round.hasFreeSlot("lm")).to.equal(true);
     });
 
     it("has no place while all engines are full", () => {
       for (let run = 0; run < 4; run += 1) {
-        table.begin("a");
-        table.begin("b");
+        table.addRun("a");
+        table.addRun("b");
       }
-      chai.expect(createRound().hasPlace("lm")).to.equal(false);
+      chai.expect(createRound().hasFreeSlot("lm")).to.equal(false);
     });
   });
 
@@ -216,7 +227,7 @@
           cancellation: new csp.Cancellation(),
           startedAtMs: Number.NEGATIVE_INFINITY,
         };
-        table.begin(engine);
+        table.addRun(engine);
         return task;
       });
     }
@@ -242,8 +253,8 @@
         ...createRunning("b", 3),
         ...createRunning("c", 2),
       ];
-      table.setLoading("a", "m");
-      createMover().moveFromLoad(tasks, createEngine("a"), "m");
+      table.setLoadingModel("a", "m");
+      createMover().moveFromLoadingEngine(tasks, createEngine("a"), "m");
       chai.expect(countMoved(tasks)).to.equal(1);
       chai.expect(countMoved(tasks.slice(4))).to.equal(0);
     });
@@ -251,15 +262,15 @@
     it("moves runs from a slow engine only, and nothing while all are alike", () => {
       const tasks = [...createRunning("a", 1), ...createRunning("b", 1)];
       for (let event = 0; event < 200; event += 1) {
-        for (const engine of engines) table.noteGap(engine, 40);
+        for (const engine of engines) table.recordInterval(engine, 40);
       }
-      createMover().moveToFaster(tasks);
+      createMover().moveToFasterEngines(tasks);
       chai.expect(countMoved(tasks)).to.equal(0);
       for (let event = 0; event < 200; event += 1) {
-        table.noteGap(createEngine("a"), 120);
+        table.recordInterval(createEngine("a"), 120);
       }
       clock.extendBy(100);
-      createMover().moveToFaster(tasks);
+      createMover().moveToFasterEngines(tasks);
       chai.expect(countMoved(tasks.slice(0, 1))).to.equal(1);
       chai.expect(countMoved(tasks.slice(1))).to.equal(0);
     });
--- a/src/dispatch/dispatcher.ts
+++ b/src/dispatch/dispatcher.ts
@@ -10,31 +10,31 @@
 import type * as submissions from "../submission/mod.ts";
 import type * as trafficConfig from "../traffic_config/mod.ts";
 import type * as engineTables from "./engine_table.ts";
-import * as itemCrashes from "./item_crashes.ts";
+import * as itemCrashTrackers from "./item_crash_tracker.ts";
 import * as itemFinishers from "./item_finisher.ts";
 import type * as itemTasks from "./item_task.ts";
-import * as lengthEstimates from "./length_estimates.ts";
+import * as lengthEstimators from "./length_estimator.ts";
 import type * as phaseTimes from "./phase_times.ts";
 import * as placementRounds from "./placement_round.ts";
 import * as runMovers from "./run_mover.ts";
 import * as taskTables from "./task_table.ts";
-import * as textKeepers from "./text_keeper.ts";
+import * as textReplicators from "./text_replicator.ts";
 import * as waitingOrders from "./waiting_order.ts";
 
 /** Longest time between two looks for work, in ms. */
-const UPDATE_MS = 50;
+const UPDATE_INTERVAL_MS = 50;
 /** Silence of a run after which it goes on elsewhere, in ms; events of an
  * engine four times slower than usual come every 160 ms. */
-const STALL_MS = 800;
+const STALL_TIMEOUT_MS = 800;
 /** Silence allowed while the engine loads weights, in ms. */
-const LOADING_STALL_MS = 4_000;
+const LOADING_STALL_TIMEOUT_MS = 4_000;
 /**
  * Time without authority after which the runs of this box are ended, in ms. A
  * slow quorum often answers again within some hundred ms, while ending and
  * repeating hundreds of runs costs seconds. It stays below the time in which
  * the end of a submission must take effect.
  */
-const UNSURE_MS = 2_000;
+const AUTHORITY_GRACE_MS = 2_000;
 
 /** What the dispatcher needs. */
 export interface DispatcherOptions {
@@ -48,81 +48,85 @@
   readonly machine: submissions.SubmissionMachine;
   readonly engines: engineTables.EngineTable;
   readonly forwarder: forwarding.Forwarder;
-  readonly crashGuard: itemCrashes.ItemCrashesOptions["crashGuard"];
+  readonly crashGuard: itemCrashTrackers.ItemCrashTrackerOptions["crashGuard"];
   readonly draw: () => number;
 }
 
 /** Runs the items of all open submissions while this store leads. */
 export class Dispatcher {
   readonly #options: DispatcherOptions;
-  readonly #finisher: itemFinishers.ItemFinisher;
-  readonly #lengths = new lengthEstimates.LengthEstimates();
-  readonly #keeper: textKeepers.TextKeeper;
-  readonly #mover: runMovers.RunMover;
-  readonly #tasks: taskTables.TaskTable;
-  readonly #crashes: itemCrashes.ItemCrashes;
+  readonly #itemFinisher: itemFinishers.ItemFinisher;
+  readonly #lengthEstimator = new lengthEstimators.LengthEstimator();
+  readonly #textReplicator: textReplicators.TextReplicator;
+  readonly #runMover: runMovers.RunMover;
+  readonly #taskTable: taskTables.TaskTable;
+  readonly #crashTracker: itemCrashTrackers.ItemCrashTracker;
   readonly #waitingOrder: waitingOrders.WaitingOrder;
   /** Since when this box leads without authority, in monotonic ms. */
-  #unsureSinceMs: number | undefined;
-  #isUpdateDue = false;
+  #authorityLostAtMs: number | undefined;
+  #isUpdateScheduled = false;
   #isStopped = false;
 
   constructor(options: DispatcherOptions) {
     this.#options = options;
-    this.#tasks = new taskTables.TaskTable(
+    this.#taskTable = new taskTables.TaskTable(
       options.machine,
       options.clock,
     );
-    this.#crashes = new itemCrashes.ItemCrashes(options);
+    this.#crashTracker = new itemCrashTrackers.ItemCrashTracker(options);
     this.#waitingOrder = new waitingOrders.WaitingOrder({
       ...options,
-      lengths: this.#lengths,
-      canRun: (task) => this.#crashes.canRun(task),
+      lengths: this.#lengthEstimator,
+      canRun: (task) => this.#crashTracker.canRun(task),
     });
-    this.#finisher = new itemFinishers.ItemFinisher(options);
-    this.#keeper = new textKeepers.TextKeeper(options.group);
-    this.#mover = new runMovers.RunMover({
+    this.#itemFinisher = new itemFinishers.ItemFinisher(options);
+    this.#textReplicator = new textReplicators.TextReplicator(options.group);
+    this.#runMover = new runMovers.RunMover({
       ...options,
-      lengths: this.#lengths,
+      lengths: this.#lengthEstimator,
     });
   }
 
   start(): void {
     this.#updateTasks();
     if (this.#isStopped) return;
-    this.#options.clock.startTimer(UPDATE_MS, () => this.start());
+    this.#options.clock.startTimer(UPDATE_INTERVAL_MS, () => this.start());
   }
 
   stop(): void {
     this.#isStopped = true;
-    this.#dropAll();
+    this.#cancelAll();
   }
 
   /** Looks for work soon; many calls lead to one look. */
   wake(): void {
-    if (this.#isUpdateDue) return;
-    this.#isUpdateDue = true;
+    if (this.#isUpdateScheduled) return;
+    this.#isUpdateScheduled = true;
     setImmediate(() => {
-      this.#isUpdateDue = false;
+      this.#isUpdateScheduled = false;
       this.#updateTasks();
     });
   }
 
   /** Places that the open steps of a service need to be in time. */
-  countNeededPlaces(service: string, leastMs: number): number {
-    const tasks = selectOf(service, this.#tasks.list());
-    return this.#waitingOrder.countNeededPlaces(service, tasks, leastMs);
+  computeRequiredSlots(service: string, minAvailableMs: number): number {
+    const tasks = filterByService(service, this.#taskTable.list());
+    return this.#waitingOrder.computeRequiredSlots(
+      service,
+      tasks,
+      minAvailableMs,
+    );
   }
 
   #updateTasks(): void {
-    if (this.#isStopped) return this.#dropAll();
+    if (this.#isStopped) return this.#cancelAll();
     if (!this.#options.group.hasAuthority()) return this.#waitForQuorum();
-    this.#unsureSinceMs = undefined;
-    this.#matchRecords();
-    const tasks = this.#tasks.list();
-    this.#startWaiting(tasks);
-    this.#mover.moveToFaster(tasks);
-    void this.#keeper.keep(tasks);
+    this.#authorityLostAtMs = undefined;
+    this.#syncTasks();
+    const tasks = this.#taskTable.list();
+    this.#startWaitingTasks(tasks);
+    this.#runMover.moveToFasterEngines(tasks);
+    void this.#textReplicator.replicate(tasks);
   }
 
   /**
@@ -132,36 +136,40 @@
   #waitForQuorum(): void {
     const { clock, group } = this.#options;
     const nowMs = clock.getMonotonicMs();
-    this.#unsureSinceMs ??= nowMs;
-    const isLong = nowMs - this.#unsureSinceMs > UNSURE_MS;
-    if (isLong || group.getStatus()?.role !== "leader") this.#dropAll();
+    this.#authorityLostAtMs ??= nowMs;
+    const isGraceOver = nowMs - this.#authorityLostAtMs > AUTHORITY_GRACE_MS;
+    if (isGraceOver || group.getStatus()?.role !== "leader") this.#cancelAll();
   }
 
-  #dropAll(): void {
-    this.#tasks.dropAll();
-    this.#finisher.drop();
+  #cancelAll(): void {
+    this.#taskTable.cancelAll();
+    this.#itemFinisher.discardPending();
   }
 
   /** Follows the log: items come with submissions and go with their end. */
-  #matchRecords(): void {
-    for (const task of this.#tasks.matchRecords()) {
-      if (task.phase === "scoring") void this.#finisher.score(task);
+  #syncTasks(): void {
+    for (const task of this.#taskTable.syncRecords()) {
+      if (task.phase === "scoring") void this.#itemFinisher.score(task);
     }
   }
 
-  #startWaiting(tasks: readonly itemTasks.ItemTask[]): void {
+  #startWaitingTasks(tasks: readonly itemTasks.ItemTask[]): void {
     const round = new placementRounds.PlacementRound(this.#options);
     const services = new Set(
       tasks.filter((task) => task.phase === "waiting")
         .map((task) => task.submission.terms.service),
     );
     for (const service of services) {
-      if (!round.hasPlace(service)) continue;
-      const own = selectOf(service, tasks);
-      for (const task of this.#waitingOrder.order(service, own)) {
-        const engine = round.choose(service, task.getNeed(), task.target);
+      if (!round.hasFreeSlot(service)) continue;
+      const serviceTasks = filterByService(service, tasks);
+      for (const task of this.#waitingOrder.order(service, serviceTasks)) {
+        const engine = round.reserveSlot(
+          service,
+          task.getRequirements(),
+          task.targetEngine,
+        );
         if (engine !== undefined) void this.#run(task, engine);
-        else if (!round.hasPlace(service)) break;
+        else if (!round.hasFreeSlot(service)) break;
       }
     }
   }
@@ -172,24 +180,24 @@
   ): Promise<void> {
     const { engines, servers, dialect, clock, metrics } = this.#options;
     const { submission, item, progress, cancellation } = task;
-    const madeBefore = progress.countMade();
+    const eventsBefore = progress.countMade();
     const runCancellation = new csp.Cancellation();
-    task.beginRun({
+    task.startRun({
       engine: engine.lifetime,
       cancellation: runCancellation,
       startedAtMs: clock.getMonotonicMs(),
     });
     cancellation.add(() => runCancellation.cancel());
-    const endWatch = servers.watch(
+    const stopWatching = servers.watch(
       engine.lifetime,
       () => {
-        this.#crashes.noteLost(task, engine, madeBefore);
-        this.#endLostRun(task, engine, runCancellation);
+        this.#crashTracker.recordEngineRestart(task, engine, eventsBefore);
+        this.#cancelLostRun(task, engine, runCancellation);
       },
     );
-    engines.begin(engine.lifetime);
+    engines.addRun(engine.lifetime);
     const model = task.getModel() ?? "";
-    let lastMs: number | undefined;
+    let lastEventAtMs: number | undefined;
     const end = await itemRuns.runItem({
       clock,
       dialect,
@@ -200,29 +208,35 @@
       minimumVersion: submission.minimumVersion,
       isSingleVersion: submission.terms.isSingleVersion,
       progress,
-      stallMs: engines.getLoading(engine.lifetime) === undefined
-        ? STALL_MS
-        : LOADING_STALL_MS,
+      stallMs: engines.getLoadingModel(engine.lifetime) === undefined
+        ? STALL_TIMEOUT_MS
+        : LOADING_STALL_TIMEOUT_MS,
       cancellation: runCancellation,
       onEvent: () => {
         const nowMs = clock.getMonotonicMs();
-        if (lastMs !== undefined) engines.noteGap(engine, nowMs - lastMs);
-        lastMs = nowMs;
+        if (lastEventAtMs !== undefined) {
+          engines.recordInterval(engine, nowMs - lastEventAtMs);
+        }
+        lastEventAtMs = nowMs;
       },
-      onVersion: (version) => engines.observe(engine.lifetime, model, version),
+      onVersion: (version) =>
+        engines.setVersion(engine.lifetime, model, version),
     });
-    endWatch();
-    engines.end(engine.lifetime);
+    stopWatching();
+    engines.removeRun(engine.lifetime);
     task.run = undefined;
     metrics.countItemRun(end.kind);
-    await this.#crashes.noteEnd(task, engine, { end, madeBefore });
-    if (!task.isWanted()) return;
-    if (isCutShort(end) && runCancellation.isCancelled()) {
+    await this.#crashTracker.recordRunEnd(task, engine, {
+      end,
+      eventsBefore: eventsBefore,
+    });
+    if (!task.isActive()) return;
+    if (isInterrupted(end) && runCancellation.isCancelled()) {
       // This box moved the run, maybe before it was connected.
-      this.#enter(task, "waiting");
+      this.#enterPhase(task, "waiting");
     } else {
-      engines.noteRun(engine.lifetime, isSound(end));
-      this.#takeEnd(task, engine, end);
+      engines.recordRunResult(engine.lifetime, isEngineSuccess(end));
+      this.#handleRunEnd(task, engine, end);
     }
     this.wake();
   }
@@ -232,7 +246,7 @@
    * a silent connection would tell only after a while. The item goes on
    * elsewhere after the events that came.
    */
-  #endLostRun(
+  #cancelLostRun(
     task: itemTasks.ItemTask,
     engine: registry.RegisteredServer,
     cancellation: csp.Cancellation,
@@ -248,44 +262,44 @@
 
   /** Moves the runs of a model away from an engine that is to load it. */
   moveRuns(engine: registry.RegisteredServer, model: string): void {
-    this.#mover.moveFromLoad(this.#tasks.list(), engine, model);
+    this.#runMover.moveFromLoadingEngine(this.#taskTable.list(), engine, model);
   }
 
-  #takeEnd(
+  #handleRunEnd(
     task: itemTasks.ItemTask,
     engine: registry.RegisteredServer,
     end: itemRuns.RunEnd,
   ): void {
-    if (end.kind !== "finished") this.#noteEnd(task, engine, end);
+    if (end.kind !== "finished") this.#reportRunEnd(task, engine, end);
     switch (end.kind) {
       case "finished":
-        this.#lengths.note(task);
-        this.#enter(task, "scoring");
-        void this.#finisher.score(task);
+        this.#lengthEstimator.recordLength(task);
+        this.#enterPhase(task, "scoring");
+        void this.#itemFinisher.score(task);
         return;
       case "failed":
         task.avoid(engine.lifetime);
-        if (task.countFailure()) return this.#finisher.giveUp(task);
+        if (task.recordFailure()) return this.#itemFinisher.giveUp(task);
         break;
       case "impossible":
-        if (task.countImpossible()) return this.#finisher.giveUp(task);
+        if (task.recordImpossible()) return this.#itemFinisher.giveUp(task);
         break;
       case "notRun":
-        if (end.isOther) this.#options.servers.markAbsent(engine);
+        if (end.isOther) this.#options.servers.markUnavailable(engine);
         this.#options.engines.avoid(engine.lifetime);
         break;
       case "broken":
         this.#options.engines.avoid(engine.lifetime);
         break;
     }
-    this.#enter(task, "waiting");
+    this.#enterPhase(task, "waiting");
   }
 
-  #enter(task: itemTasks.ItemTask, phase: phaseTimes.TaskPhase): void {
+  #enterPhase(task: itemTasks.ItemTask, phase: phaseTimes.TaskPhase): void {
     task.times.enter(phase, this.#options.clock.getMonotonicMs());
   }
 
-  #noteEnd(
+  #reportRunEnd(
     task: itemTasks.ItemTask,
     engine: registry.RegisteredServer,
     end: itemRuns.RunEnd,
@@ -297,13 +311,13 @@
       outcome: end.kind,
       reason: "reason" in end ? end.reason : undefined,
       closed: end.kind === "broken" ? end.isClosed : undefined,
-      work: end.kind === "broken" ? task.getWork() : undefined,
+      work: end.kind === "broken" ? task.getWorkDigest() : undefined,
       events: task.progress.countEvents(),
     });
   }
 }
 
-function selectOf(
+function filterByService(
   service: string,
   tasks: readonly itemTasks.ItemTask[],
 ): readonly itemTasks.ItemTask[] {
@@ -311,11 +325,11 @@
 }
 
 /** Tells whether a run ended without a word of its engine. */
-function isCutShort(end: itemRuns.RunEnd): boolean {
+function isInterrupted(end: itemRuns.RunEnd): boolean {
   return end.kind === "broken" || end.kind === "notRun";
 }
 
 /** Tells whether the end of a run speaks for its engine. */
-function isSound(end: itemRuns.RunEnd): boolean {
+function isEngineSuccess(end: itemRuns.RunEnd): boolean {
   return end.kind === "finished" || end.kind === "impossible";
 }
--- a/src/dispatch/dispatcher_test.ts
+++ b/src/dispatch/dispatcher_test.ts
@@ -58,20 +58,20 @@
 };
 
 /** Turns of 1 ms in which a finished run must be listed. */
-const MAX_TURNS = 500;
+const MAX_POLLS = 500;
 
 /** A group of one replica whose role and authority are set by the test. */
 class FakeGroup {
   readonly #machine: submissions.SubmissionMachine;
   isLeader = true;
-  isSure = true;
+  hasQuorum = true;
 
   constructor(machine: submissions.SubmissionMachine) {
     this.#machine = machine;
   }
 
   hasAuthority(): boolean {
-    return this.isLeader && this.isSure;
+    return this.isLeader && this.hasQuorum;
   }
 
   getStatus(): { readonly role: string } {
@@ -148,7 +148,7 @@
   }
 
   async function awaitListed(): Promise<void> {
-    for (let turn = 0; turn < MAX_TURNS; turn += 1) {
+    for (let turn = 0; turn < MAX_POLLS; turn += 1) {
       if (machine.get("s-1")?.results.length !== 0) return;
       clock.extendBy(1);
       await new Promise((resolve) => setTimeout(resolve, 1));
@@ -156,9 +156,9 @@
   }
 
   it("lets runs go on while a quorum is slow to answer", async () => {
-    group.isSure = false;
+    group.hasQuorum = false;
     clock.extendBy(500);
-    group.isSure = true;
+    group.hasQuorum = true;
     runs[0]?.end("id: 2\ndata: b\n\n");
     await awaitListed();
     chai.expect(runs.length).to.equal(1);
@@ -180,8 +180,8 @@
     await isRunning;
     chai.expect(runs.length).to.equal(2);
     const later = servers.get("e-1")!;
-    chai.expect(engines.getRunning(former.lifetime)).to.equal(0);
-    chai.expect(engines.getRunning(later.lifetime)).to.equal(1);
+    chai.expect(engines.getRunCount(former.lifetime)).to.equal(0);
+    chai.expect(engines.getRunCount(later.lifetime)).to.equal(1);
     chai.expect(engines.isAvoided(later.lifetime)).to.equal(false);
     runs[1]?.end("id: 2\ndata: b\n\n");
     await awaitListed();
@@ -201,7 +201,7 @@
     const [run] = runs;
     if (run === undefined) throw new Error("nothing runs");
     const closed = awaitClosed(run);
-    group.isSure = false;
+    group.hasQuorum = false;
     clock.extendBy(100);
     clock.extendBy(2_100);
     await closed;
--- a/src/dispatch/engine_table.ts
+++ b/src/dispatch/engine_table.ts
@@ -3,44 +3,44 @@
 import * as serverHealth from "../server_health/mod.ts";
 
 /** Weight of the newest gap in an engine's mean. */
-const NEWEST_SHARE = 0.05;
+const SMOOTHING_FACTOR = 0.05;
 /** Gap between events that an engine without history is taken for, in ms. */
-const FIRST_GAP_MS = 40;
+const DEFAULT_INTERVAL_MS = 40;
 /** Age after which a mean says nothing any more, in ms. */
-const GAP_MS = 5_000;
+const MAX_INTERVAL_AGE_MS = 5_000;
 /**
  * How much longer a full engine takes for an event than an idle one, as a share
  * (measured: 37 ms alone, 42.5 ms with all of twelve places taken).
  */
-const FULL_SLOWDOWN = 0.15;
+const FULL_LOAD_SLOWDOWN = 0.15;
 /** Gap, as a multiple of the median, from which an engine counts as slow. */
 const SLOW_RATIO = 1.1;
 /** How long an engine that broke a run is passed over, in ms. */
-const AVOID_MS = 600;
+const AVOID_DURATION_MS = 600;
 
 interface EngineState {
-  readonly running: number;
+  readonly runCount: number;
   /** Mean time between events, taken back to an idle engine, in ms. */
-  readonly gapMs: number;
+  readonly intervalMs: number;
   /** When the last gap was noted, in monotonic ms. */
-  readonly gapAtMs: number;
+  readonly recordedAtMs: number;
   /** For how long it has been slow without a break, in ms. */
-  readonly slowForMs: number;
+  readonly slowDurationMs: number;
   readonly avoidUntilMs: number;
   /** Versions that the engine proved since its last heartbeat, by model. */
-  readonly proved: ReadonlyMap<string, number>;
+  readonly observedVersions: ReadonlyMap<string, number>;
   /** Model that is being loaded, if any. */
-  readonly loading: string | undefined;
+  readonly loadingModel: string | undefined;
 }
 
-const FIRST_STATE: EngineState = {
-  running: 0,
-  gapMs: FIRST_GAP_MS,
-  gapAtMs: Number.NEGATIVE_INFINITY,
-  slowForMs: 0,
+const INITIAL_STATE: EngineState = {
+  runCount: 0,
+  intervalMs: DEFAULT_INTERVAL_MS,
+  recordedAtMs: Number.NEGATIVE_INFINITY,
+  slowDurationMs: 0,
   avoidUntilMs: Number.NEGATIVE_INFINITY,
-  proved: new Map(),
-  loading: undefined,
+  observedVersions: new Map(),
+  loadingModel: undefined,
 };
 
 /**
@@ -50,27 +50,27 @@
 export class EngineTable {
   readonly #clock: clocks.Clock;
   readonly #states = new Map<registry.LifetimeKey, EngineState>();
-  readonly #failures: serverHealth.FailureRates;
+  readonly #failureRates: serverHealth.FailureRates;
   /** Median of the gaps when it was last asked for. */
-  #median = { atMs: Number.NaN, gapMs: FIRST_GAP_MS };
+  #median = { computedAtMs: Number.NaN, intervalMs: DEFAULT_INTERVAL_MS };
 
   constructor(clock: clocks.Clock) {
     this.#clock = clock;
-    this.#failures = new serverHealth.FailureRates(clock);
+    this.#failureRates = new serverHealth.FailureRates(clock);
   }
 
-  begin(engine: registry.LifetimeKey): void {
+  addRun(engine: registry.LifetimeKey): void {
     const state = this.#get(engine);
-    this.#states.set(engine, { ...state, running: state.running + 1 });
+    this.#states.set(engine, { ...state, runCount: state.runCount + 1 });
   }
 
-  end(engine: registry.LifetimeKey): void {
+  removeRun(engine: registry.LifetimeKey): void {
     const state = this.#get(engine);
-    this.#states.set(engine, { ...state, running: state.running - 1 });
+    this.#states.set(engine, { ...state, runCount: state.runCount - 1 });
   }
 
-  getRunning(engine: registry.LifetimeKey): number {
-    return this.#get(engine).running;
+  getRunCount(engine: registry.LifetimeKey): number {
+    return this.#get(engine).runCount;
   }
 
   /**
@@ -78,69 +78,85 @@
    * engine adds is taken out, so that a fast engine does not look slow only
    * because it is full.
    */
-  noteGap(engine: registry.RegisteredServer, gapMs: number): void {
+  recordInterval(engine: registry.RegisteredServer, intervalMs: number): void {
     const state = this.#get(engine.lifetime);
-    const idleMs = gapMs / getSlowdown(state.running, engine.slots);
-    const mean = state.gapMs + (idleMs - state.gapMs) * NEWEST_SHARE;
-    const gapAtMs = this.#clock.getMonotonicMs();
+    const idleIntervalMs = intervalMs /
+      computeSlowdown(state.runCount, engine.slots);
+    const meanMs = state.intervalMs +
+      (idleIntervalMs - state.intervalMs) * SMOOTHING_FACTOR;
+    const recordedAtMs = this.#clock.getMonotonicMs();
     // The runs of an engine tell of the same time side by side.
-    const tellsMs = gapMs / Math.max(1, state.running);
-    const isSlow = mean > SLOW_RATIO * this.#median.gapMs;
-    const slowForMs = isSlow ? state.slowForMs + tellsMs : 0;
+    const elapsedMs = intervalMs / Math.max(1, state.runCount);
+    const isSlow = meanMs > SLOW_RATIO * this.#median.intervalMs;
+    const slowDurationMs = isSlow ? state.slowDurationMs + elapsedMs : 0;
     this.#states.set(engine.lifetime, {
       ...state,
-      gapMs: mean,
-      gapAtMs,
-      slowForMs,
+      intervalMs: meanMs,
+      recordedAtMs: recordedAtMs,
+      slowDurationMs: slowDurationMs,
     });
   }
 
   /** For how long an engine has been slower than usual without a break, in ms. */
-  getSlowForMs(engine: registry.LifetimeKey): number {
-    return this.#get(engine).slowForMs;
+  getSlowDurationMs(engine: registry.LifetimeKey): number {
+    return this.#get(engine).slowDurationMs;
   }
 
   /** Expected time between events with so many runs at an engine, in ms. */
-  estimateGapMs(engine: registry.RegisteredServer, running: number): number {
-    return this.getGapMs(engine.lifetime) * getSlowdown(running, engine.slots);
+  estimateIntervalMs(
+    engine: registry.RegisteredServer,
+    runCount: number,
+  ): number {
+    return this.getIdleIntervalMs(engine.lifetime) *
+      computeSlowdown(runCount, engine.slots);
   }
 
   /** Mean time between events at an idle engine, in ms; a guess without news. */
-  getGapMs(engine: registry.LifetimeKey): number {
-    const { gapMs, gapAtMs } = this.#get(engine);
-    const isNews = this.#clock.getMonotonicMs() - gapAtMs < GAP_MS;
-    return isNews ? gapMs : Math.min(gapMs, this.getMedianGapMs());
+  getIdleIntervalMs(engine: registry.LifetimeKey): number {
+    const { intervalMs: intervalMs, recordedAtMs: recordedAtMs } = this.#get(
+      engine,
+    );
+    const isRecent =
+      this.#clock.getMonotonicMs() - recordedAtMs < MAX_INTERVAL_AGE_MS;
+    return isRecent
+      ? intervalMs
+      : Math.min(intervalMs, this.getMedianIdleIntervalMs());
   }
 
   /** Median of the engines' mean times between events, in ms. */
-  getMedianGapMs(): number {
+  getMedianIdleIntervalMs(): number {
     const nowMs = this.#clock.getMonotonicMs();
-    if (this.#median.atMs !== nowMs) {
-      this.#median = { atMs: nowMs, gapMs: this.#computeMedianMs(nowMs) };
+    if (this.#median.computedAtMs !== nowMs) {
+      this.#median = {
+        computedAtMs: nowMs,
+        intervalMs: this.#computeMedianMs(nowMs),
+      };
     }
-    return this.#median.gapMs;
+    return this.#median.intervalMs;
   }
 
   #computeMedianMs(nowMs: number): number {
-    const gaps = [...this.#states.values()]
-      .filter(({ gapAtMs }) => nowMs - gapAtMs < GAP_MS)
-      .map(({ gapMs }) => gapMs)
+    const intervals = [...this.#states.values()]
+      .filter(({ recordedAtMs: recordedAtMs }) =>
+        nowMs - recordedAtMs < MAX_INTERVAL_AGE_MS
+      )
+      .map(({ intervalMs: intervalMs }) => intervalMs)
       .toSorted((a, b) => a - b);
-    return gaps[Math.floor(gaps.length / 2)] ?? FIRST_GAP_MS;
+    return intervals[Math.floor(intervals.length / 2)] ?? DEFAULT_INTERVAL_MS;
   }
 
   /** Notes whether a run ended as it should; a cancelled one says nothing. */
-  noteRun(engine: registry.LifetimeKey, isGood: boolean): void {
-    this.#failures.record(engine, isGood);
+  recordRunResult(engine: registry.LifetimeKey, isSuccess: boolean): void {
+    this.#failureRates.record(engine, isSuccess);
   }
 
   /** Share of an engine's runs that are expected to break, from 0 to 1. */
-  getFailureShare(engine: registry.LifetimeKey): number {
-    return this.#failures.get(engine);
+  getFailureRate(engine: registry.LifetimeKey): number {
+    return this.#failureRates.get(engine);
   }
 
   avoid(engine: registry.LifetimeKey): void {
-    const avoidUntilMs = this.#clock.getMonotonicMs() + AVOID_MS;
+    const avoidUntilMs = this.#clock.getMonotonicMs() + AVOID_DURATION_MS;
     this.#states.set(engine, { ...this.#get(engine), avoidUntilMs });
   }
 
@@ -149,42 +165,60 @@
   }
 
   /** Notes a version that an engine showed, before a heartbeat tells it. */
-  prove(engine: registry.LifetimeKey, model: string, version: number): void {
+  advanceVersion(
+    engine: registry.LifetimeKey,
+    model: string,
+    version: number,
+  ): void {
     const state = this.#get(engine);
-    if ((state.proved.get(model) ?? 0) >= version) return;
-    const proved = new Map([...state.proved, [model, version] as const]);
-    this.#states.set(engine, { ...state, proved });
+    if ((state.observedVersions.get(model) ?? 0) >= version) return;
+    const observedVersions = new Map([
+      ...state.observedVersions,
+      [model, version] as const,
+    ]);
+    this.#states.set(engine, { ...state, observedVersions: observedVersions });
   }
 
   /** Notes the version that an engine's answer named, whatever was known. */
-  observe(engine: registry.LifetimeKey, model: string, version: number): void {
+  setVersion(
+    engine: registry.LifetimeKey,
+    model: string,
+    version: number,
+  ): void {
     const state = this.#get(engine);
-    if (state.proved.get(model) === version) return;
-    const proved = new Map([...state.proved, [model, version] as const]);
-    this.#states.set(engine, { ...state, proved });
+    if (state.observedVersions.get(model) === version) return;
+    const observedVersions = new Map([
+      ...state.observedVersions,
+      [model, version] as const,
+    ]);
+    this.#states.set(engine, { ...state, observedVersions: observedVersions });
   }
 
   /** Version of a model at an engine, as far as is known; 0 for none. */
   getVersion(engine: registry.RegisteredServer, model: string): number {
-    const told = engine.models.find((held) => held.name === model)?.version;
-    const proved = this.#get(engine.lifetime).proved.get(model);
-    return Math.max(told ?? 0, proved ?? 0);
+    const reported = engine.models.find((weights) => weights.name === model)
+      ?.version;
+    const observed = this.#get(engine.lifetime).observedVersions.get(model);
+    return Math.max(reported ?? 0, observed ?? 0);
   }
 
-  setLoading(engine: registry.LifetimeKey, model: string | undefined): void {
-    this.#states.set(engine, { ...this.#get(engine), loading: model });
+  setLoadingModel(
+    engine: registry.LifetimeKey,
+    model: string | undefined,
+  ): void {
+    this.#states.set(engine, { ...this.#get(engine), loadingModel: model });
   }
 
-  getLoading(engine: registry.LifetimeKey): string | undefined {
-    return this.#get(engine).loading;
+  getLoadingModel(engine: registry.LifetimeKey): string | undefined {
+    return this.#get(engine).loadingModel;
   }
 
   #get(engine: registry.LifetimeKey): EngineState {
-    return this.#states.get(engine) ?? FIRST_STATE;
+    return this.#states.get(engine) ?? INITIAL_STATE;
   }
 }
 
 /** How much longer an event takes with so many runs than with none, a factor. */
-export function getSlowdown(running: number, slots: number): number {
-  return 1 + FULL_SLOWDOWN * running / slots;
+export function computeSlowdown(runCount: number, slots: number): number {
+  return 1 + FULL_LOAD_SLOWDOWN * runCount / slots;
 }
--- a/src/dispatch/item_crashes.ts
+++ b/src/dispatch/item_crash_tracker.ts
@@ -5,10 +5,14 @@
 import type * as itemTasks from "./item_task.ts";
 
 /** What the crashes of items need. */
-export interface ItemCrashesOptions {
+export interface ItemCrashTrackerOptions {
   readonly crashGuard: Pick<
     crashGuards.CrashGuard,
-    "judge" | "noteClosed" | "noteEnded" | "noteServed" | "noteHeldBack"
+    | "decideRun"
+    | "recordConnectionLoss"
+    | "recordCrash"
+    | "recordSuccess"
+    | "recordHeldBack"
   >;
 }
 
@@ -16,17 +20,17 @@
 export interface EndedRun {
   readonly end: itemRuns.RunEnd;
   /** Events of the item before the run. */
-  readonly madeBefore: number;
+  readonly eventsBefore: number;
 }
 
 /**
  * Items and the engines that end under them. A run that brought an event is no
  * crash of its item: the next one goes on after that event.
  */
-export class ItemCrashes {
-  readonly #options: ItemCrashesOptions;
+export class ItemCrashTracker {
+  readonly #options: ItemCrashTrackerOptions;
 
-  constructor(options: ItemCrashesOptions) {
+  constructor(options: ItemCrashTrackerOptions) {
     this.#options = options;
   }
 
@@ -37,38 +41,49 @@
    */
   canRun(task: itemTasks.ItemTask): boolean {
     const { crashGuard } = this.#options;
-    const verdict = crashGuard.judge(() => task.getWork());
-    const isBarred = verdict.kind === "heldBack" &&
-      verdict.ended >= crashRecords.MAX_ENDED;
-    if (isBarred && task.markHeldBack()) {
-      crashGuard.noteHeldBack(task.getName(), verdict.ended, verdict.returnMs);
+    const verdict = crashGuard.decideRun(() => task.getWorkDigest());
+    const isBlocked = verdict.kind === "heldBack" &&
+      verdict.ended >= crashRecords.MAX_CONSECUTIVE_CRASHES;
+    if (isBlocked && task.markHeldBack()) {
+      crashGuard.recordHeldBack(
+        task.getWorkDescription(),
+        verdict.ended,
+        verdict.returnMs,
+      );
     }
-    return !isBarred;
+    return !isBlocked;
   }
 
   /** Notes whether the engine ended under the run, or went on after it. */
-  async noteEnd(
+  async recordRunEnd(
     task: itemTasks.ItemTask,
     engine: registry.RegisteredServer,
-    { end, madeBefore }: EndedRun,
+    { end, eventsBefore: eventsBefore }: EndedRun,
   ): Promise<void> {
     const { crashGuard } = this.#options;
     if (end.kind === "notRun") return;
-    if (end.kind === "broken" && task.progress.countMade() === madeBefore) {
-      if (end.isClosed) await crashGuard.noteClosed(engine, task.getName());
+    if (end.kind === "broken" && task.progress.countMade() === eventsBefore) {
+      if (end.isClosed) {
+        await crashGuard.recordConnectionLoss(
+          engine,
+          task.getWorkDescription(),
+        );
+      }
       return;
     }
-    if (crashGuard.judge(() => task.getWork()).kind === "free") return;
-    crashGuard.noteServed(task.getName());
+    if (crashGuard.decideRun(() => task.getWorkDigest()).kind === "free") {
+      return;
+    }
+    crashGuard.recordSuccess(task.getWorkDescription());
   }
 
   /** Notes that the engine of a run has started again. */
-  noteLost(
+  recordEngineRestart(
     task: itemTasks.ItemTask,
     engine: registry.RegisteredServer,
-    madeBefore: number,
+    eventsBefore: number,
   ): void {
-    if (task.progress.countMade() > madeBefore) return;
-    this.#options.crashGuard.noteEnded(engine, task.getName());
+    if (task.progress.countMade() > eventsBefore) return;
+    this.#options.crashGuard.recordCrash(engine, task.getWorkDescription());
   }
 }
--- a/src/dispatch/item_finisher.ts
+++ b/src/dispatch/item_finisher.ts
@@ -7,9 +7,9 @@
 import * as scoreItem from "./score_item.ts";
 
 /** Pause before a scoring call is repeated, in ms. */
-const SCORE_RETRY_MS = 60;
+const SCORING_RETRY_DELAY_MS = 60;
 /** Longest pause of a scoring call that is held back, in ms. */
-const MAX_SCORE_PAUSE_MS = 1_000;
+const MAX_SCORING_RETRY_DELAY_MS = 1_000;
 
 /** What an item finisher needs. */
 export interface ItemFinisherOptions
@@ -29,21 +29,21 @@
   }
 
   /** Forgets what waits to be listed, as when another store leads. */
-  drop(): void {
-    this.#writer.drop();
+  discardPending(): void {
+    this.#writer.discardPending();
   }
 
   /** Has a whole text scored, again until it is, and lists its result. */
   async score(task: itemTasks.ItemTask): Promise<void> {
     if (task.item.scoring === undefined) return this.#complete(task, undefined);
-    while (task.isWanted()) {
+    while (task.isActive()) {
       const outcome = await scoreItem.scoreItem(task, this.#options);
-      if (!task.isWanted()) return;
+      if (!task.isActive()) return;
       switch (outcome.kind) {
         case "scored":
           return this.#complete(task, outcome.score);
         case "failed":
-          if (task.countScoreFailure(outcome.attempts)) {
+          if (task.recordScoringFailure(outcome.attempts)) {
             return this.giveUp(task);
           }
           break;
@@ -54,26 +54,28 @@
           });
           break;
       }
-      const returnMs = "returnMs" in outcome ? outcome.returnMs ?? 0 : 0;
-      const pauseMs = Math.min(returnMs, MAX_SCORE_PAUSE_MS);
+      const retryAfterMs = "returnMs" in outcome
+        ? outcome.retryAfterMs ?? 0
+        : 0;
+      const delayMs = Math.min(retryAfterMs, MAX_SCORING_RETRY_DELAY_MS);
       await clocks.sleep(
         this.#options.clock,
-        Math.max(SCORE_RETRY_MS, pauseMs),
+        Math.max(SCORING_RETRY_DELAY_MS, delayMs),
       );
     }
   }
 
   #complete(task: itemTasks.ItemTask, score: string | undefined): void {
     const { progress, item } = task;
-    const whole: submissions.ItemResult = {
+    const full: submissions.ItemResult = {
       id: item.id,
       state: "completed",
       text: progress.getText(),
       versions: progress.listVersions(),
       score,
     };
-    const brief = { ...whole, text: progress.getUnkeptText() };
-    this.#write(task, brief, whole);
+    const delta = { ...full, text: progress.getUnkeptText() };
+    this.#recordResult(task, delta, full);
   }
 
   /** Lists an item that can't be done as given up. */
@@ -89,43 +91,45 @@
       versions: [],
       score: undefined,
     };
-    this.#write(task, result, result);
+    this.#recordResult(task, result, result);
   }
 
-  #write(
+  #recordResult(
     task: itemTasks.ItemTask,
-    brief: submissions.ItemResult,
-    whole: submissions.ItemResult,
+    delta: submissions.ItemResult,
+    full: submissions.ItemResult,
   ): void {
     const { metrics, clock } = this.#options;
     const { submission } = task;
-    const keptLastId = brief === whole
+    const keptLastId = delta === full
       ? undefined
       : task.progress.getKeptLastId();
     task.times.enter("done", clock.getMonotonicMs());
     const ageMs = clock.getWallMs() - submission.acceptedAtMs;
     metrics.recordItem(ageMs);
-    if (task.step.finish(task.item.id)) this.#noteWholeStep(task, ageMs);
+    if (task.step.finishItem(task.item.id)) {
+      this.#reportCompleteStep(task, ageMs);
+    }
     this.#writer.add(
-      { submission: submission.id, result: brief, keptLastId },
-      { submission: submission.id, result: whole },
+      { submission: submission.id, result: delta, keptLastId },
+      { submission: submission.id, result: full },
     );
   }
 
   /** Logs what the last item that a step waited for spent its time on. */
-  #noteWholeStep(task: itemTasks.ItemTask, ageMs: number): void {
+  #reportCompleteStep(task: itemTasks.ItemTask, ageMs: number): void {
     const { submission, item, progress, times } = task;
     this.#options.log.write("info", "step.whole", {
       submission: submission.id,
       model: submission.model,
       step: submission.step,
       ageMs,
-      groups: task.step.countWhole(),
+      groups: task.step.countCompleteGroups(),
       lastItem: item.id,
       hint: item.lengthHint,
       events: progress.countMade(),
       runs: task.countRuns(),
-      ...times.describe(),
+      ...times.getDurations(),
     });
   }
 }
--- a/src/dispatch/item_task.ts
+++ b/src/dispatch/item_task.ts
@@ -7,7 +7,7 @@
 import type * as registry from "../registry/mod.ts";
 import type * as submissions from "../submission/mod.ts";
 import * as phaseTimes from "./phase_times.ts";
-import type * as stepProgresses from "./step_progress.ts";
+import type * as stepProgress from "./step_progress.ts";
 
 /** A run of an item at an engine. */
 export interface TaskRun {
@@ -20,7 +20,7 @@
 }
 
 /** Answers of 422 after which an item counts as impossible. */
-const MAX_IMPOSSIBLE = 1;
+const MAX_IMPOSSIBLE_RESPONSES = 1;
 
 /** The work on one item of an open submission while this store leads. */
 export class ItemTask {
@@ -29,25 +29,25 @@
   readonly progress = new itemRuns.TextProgress();
   /** Cancelled when the item is no longer wanted. */
   readonly cancellation = new csp.Cancellation();
-  readonly step: stepProgresses.StepProgress;
+  readonly step: stepProgress.StepProgress;
   readonly times: phaseTimes.PhaseTimes;
   /** The run under way, if any. */
   run: TaskRun | undefined;
   /** Engine that the next run should go to, where a move planned it. */
-  target: registry.LifetimeKey | undefined;
-  #work: crashRecords.WorkDigest | undefined;
+  targetEngine: registry.LifetimeKey | undefined;
+  #workDigest: crashRecords.WorkDigest | undefined;
   #isHeldBack = false;
-  #runs = 0;
-  #failures = 0;
-  #impossible = 0;
-  #scoreFailures = 0;
-  #avoided: ReadonlySet<registry.LifetimeKey> = new Set();
+  #runCount = 0;
+  #failureCount = 0;
+  #impossibleCount = 0;
+  #scoringFailureCount = 0;
+  #avoidedEngines: ReadonlySet<registry.LifetimeKey> = new Set();
 
   /** @param nowMs When the work begins, in monotonic ms. */
   constructor(
     submission: submissions.Submission,
     item: submissions.SubmissionItem,
-    step: stepProgresses.StepProgress,
+    step: stepProgress.StepProgress,
     nowMs: number,
   ) {
     this.submission = submission;
@@ -61,26 +61,26 @@
   }
 
   /** Whether anyone still waits for it. */
-  isWanted(): boolean {
+  isActive(): boolean {
     return !this.cancellation.isCancelled() && this.phase !== "done";
   }
 
   /** Notes the run that begins. */
-  beginRun(run: TaskRun): void {
+  startRun(run: TaskRun): void {
     this.run = run;
-    this.target = undefined;
-    this.#runs += 1;
+    this.targetEngine = undefined;
+    this.#runCount += 1;
     this.times.enter("running", run.startedAtMs);
   }
 
   /** Runs so far. */
   countRuns(): number {
-    return this.#runs;
+    return this.#runCount;
   }
 
   /** Engines that broke or failed this item last. */
-  getAvoided(): ReadonlySet<registry.LifetimeKey> {
-    return this.#avoided;
+  getAvoidedEngines(): ReadonlySet<registry.LifetimeKey> {
+    return this.#avoidedEngines;
   }
 
   /** Model that makes its tokens, where one is named. */
@@ -89,23 +89,23 @@
   }
 
   /** Digest of its work, the same in each submission that brings it. */
-  getWork(): crashRecords.WorkDigest {
-    this.#work ??= crashRecords.computeWorkDigest({
+  getWorkDigest(): crashRecords.WorkDigest {
+    this.#workDigest ??= crashRecords.computeWorkDigest({
       sender: this.submission.sender,
       method: "POST",
       host: this.submission.terms.host,
       target: this.item.path,
       body: Buffer.from(this.item.body, "base64"),
     });
-    return this.#work;
+    return this.#workDigest;
   }
 
   /** Names its work for operators. */
-  getName(): crashGuards.WorkName {
+  getWorkDescription(): crashGuards.WorkDescription {
     const { sender, terms } = this.submission;
     return {
-      digest: this.getWork(),
-      carrier: this.item.id,
+      digest: this.getWorkDigest(),
+      requestId: this.item.id,
       account: accounts.getAccountName(sender),
       service: terms.service,
       target: this.item.path,
@@ -120,53 +120,56 @@
   }
 
   /** What it asks of an engine. */
-  getNeed(): chooseEngine.EngineNeed {
+  getRequirements(): chooseEngine.EngineRequirements {
     return {
       model: this.getModel(),
       minimumVersion: this.submission.minimumVersion,
-      avoided: this.#avoided,
+      avoided: this.#avoidedEngines,
     };
   }
 
   /** Goes elsewhere next time. */
   avoid(engine: registry.LifetimeKey): void {
-    this.#avoided = new Set([...this.#avoided, engine]);
+    this.#avoidedEngines = new Set([...this.#avoidedEngines, engine]);
   }
 
   /** Counts an answer of 500; true once the item may be given up. */
-  countFailure(): boolean {
-    this.#failures += 1;
-    return this.#failures >= this.submission.terms.attempts;
+  recordFailure(): boolean {
+    this.#failureCount += 1;
+    return this.#failureCount >= this.submission.terms.attempts;
   }
 
   /** Counts an answer of 422; true once the item may be given up. */
-  countImpossible(): boolean {
-    this.#impossible += 1;
-    return this.#impossible >= MAX_IMPOSSIBLE;
+  recordImpossible(): boolean {
+    this.#impossibleCount += 1;
+    return this.#impossibleCount >= MAX_IMPOSSIBLE_RESPONSES;
   }
 
   /** Counts a failed scoring call; true once the item may be given up. */
-  countScoreFailure(attempts: number): boolean {
-    this.#scoreFailures += 1;
-    return this.#scoreFailures >= attempts;
+  recordScoringFailure(attempts: number): boolean {
+    this.#scoringFailureCount += 1;
+    return this.#scoringFailureCount >= attempts;
   }
 
   /**
    * Begins with a text that was kept, if its versions may make this item.
    *
    * @param texts Kept texts, whole ones first.
-   * @param isOwn Whether they were kept for this very submission.
+   * @param isSameSubmission Whether they were kept for this very submission.
    */
-  restore(texts: readonly submissions.KeptText[], isOwn: boolean): void {
+  restore(
+    texts: readonly submissions.KeptText[],
+    isSameSubmission: boolean,
+  ): void {
     const { minimumVersion, terms } = this.submission;
-    const fitting = texts.find(({ versions }) =>
+    const usable = texts.find(({ versions }) =>
       versions.every((version) => version >= minimumVersion) &&
       (!terms.isSingleVersion || versions.length === 1)
     );
-    if (fitting === undefined) return;
-    this.progress.restore(fitting);
-    if (fitting.lastId === undefined) this.times.begin("scoring");
-    else if (isOwn) this.progress.setKept(fitting.lastId);
+    if (usable === undefined) return;
+    this.progress.restore(usable);
+    if (usable.lastId === undefined) this.times.setInitialPhase("scoring");
+    else if (isSameSubmission) this.progress.setKept(usable.lastId);
   }
 
   /** When all results of the submission are due, in wall ms. */
--- a/src/dispatch/order_tasks.ts
+++ b/src/dispatch/order_tasks.ts
@@ -1,5 +1,5 @@
 import type * as itemTasks from "./item_task.ts";
-import type * as lengthEstimates from "./length_estimates.ts";
+import type * as lengthEstimators from "./length_estimator.ts";
 
 /**
  * Orders items by when each must start at the latest, so that its
@@ -9,19 +9,19 @@
  *
  * @param tasks The items.
  * @param lengths How long items are expected to run.
- * @param gapMs Expected time between events, in ms.
+ * @param intervalMs Expected time between events, in ms.
  * @returns The same items, first to start first.
  */
 export function orderTasks(
   tasks: readonly itemTasks.ItemTask[],
-  lengths: lengthEstimates.LengthEstimates,
-  gapMs: number,
+  lengths: lengthEstimators.LengthEstimator,
+  intervalMs: number,
 ): readonly itemTasks.ItemTask[] {
   return tasks
     .map((task) => {
-      const runMs = lengths.estimateRemaining(task) * gapMs;
-      return { task, latestMs: task.getDueMs() - runMs };
+      const runMs = lengths.estimateRemaining(task) * intervalMs;
+      return { task, latestStartMs: task.getDueMs() - runMs };
     })
-    .toSorted((a, b) => a.latestMs - b.latestMs)
+    .toSorted((a, b) => a.latestStartMs - b.latestStartMs)
     .map(({ task }) => task);
 }
--- a/src/dispatch/phase_times.ts
+++ b/src/dispatch/phase_times.ts
@@ -10,13 +10,13 @@
 
 /** Adds up how long an item stays in each phase, for the log of its step. */
 export class PhaseTimes {
-  readonly #totals = new Map<TaskPhase, number>();
+  readonly #totalsMs = new Map<TaskPhase, number>();
   #phase: TaskPhase = "waiting";
-  #sinceMs: number;
+  #phaseStartedAtMs: number;
 
   /** @param nowMs When the first phase, waiting, begins, in monotonic ms. */
   constructor(nowMs: number) {
-    this.#sinceMs = nowMs;
+    this.#phaseStartedAtMs = nowMs;
   }
 
   getPhase(): TaskPhase {
@@ -24,20 +24,23 @@
   }
 
   /** Sets the first phase of an item that need not wait. */
-  begin(phase: TaskPhase): void {
+  setInitialPhase(phase: TaskPhase): void {
     this.#phase = phase;
   }
 
   /** Ends the present phase and begins another. */
   enter(phase: TaskPhase, nowMs: number): void {
-    const before = this.#totals.get(this.#phase) ?? 0;
-    this.#totals.set(this.#phase, before + nowMs - this.#sinceMs);
+    const previousMs = this.#totalsMs.get(this.#phase) ?? 0;
+    this.#totalsMs.set(
+      this.#phase,
+      previousMs + nowMs - this.#phaseStartedAtMs,
+    );
     this.#phase = phase;
-    this.#sinceMs = nowMs;
+    this.#phaseStartedAtMs = nowMs;
   }
 
   /** Time in the phases that have ended, in whole milliseconds. */
-  describe(): PhaseDurations {
+  getDurations(): PhaseDurations {
     return {
       waitingMs: this.#getTotal("waiting"),
       runningMs: this.#getTotal("running"),
@@ -46,6 +49,6 @@
   }
 
   #getTotal(phase: TaskPhase): number {
-    return Math.round(this.#totals.get(phase) ?? 0);
+    return Math.round(this.#totalsMs.get(phase) ?? 0);
   }
 }
--- a/src/dispatch/placement_round.ts
+++ b/src/dispatch/placement_round.ts
@@ -16,71 +16,80 @@
 export class PlacementRound {
   readonly #options: PlacementRoundOptions;
   /** Engines that had a free place at the beginning, by service. */
-  readonly #open = new Map<string, readonly chooseEngine.EngineCandidate[]>();
+  readonly #availableByService = new Map<
+    string,
+    readonly chooseEngine.EngineCandidate[]
+  >();
   /** Those that may serve a need, by service, model and oldest version. */
-  readonly #able = new Map<string, readonly chooseEngine.EngineCandidate[]>();
+  readonly #eligibleByKey = new Map<
+    string,
+    readonly chooseEngine.EngineCandidate[]
+  >();
 
   constructor(options: PlacementRoundOptions) {
     this.#options = options;
   }
 
   /** Whether any engine of the service has a free place. */
-  hasPlace(service: string): boolean {
-    return this.#listOpen(service).some(({ engine, running }) =>
-      running < engine.slots
+  hasFreeSlot(service: string): boolean {
+    return this.#listAvailable(service).some(({ engine, runCount: runCount }) =>
+      runCount < engine.slots
     );
   }
 
   /**
    * Picks an engine for an item; the caller begins the run at once.
    *
-   * @param target Engine to take if it still can.
+   * @param targetEngine Engine to take if it still can.
    * @returns The engine, or undefined when none has a place for it.
    */
-  choose(
+  reserveSlot(
     service: string,
-    need: chooseEngine.EngineNeed,
-    target?: registry.LifetimeKey,
+    requirements: chooseEngine.EngineRequirements,
+    targetEngine?: registry.LifetimeKey,
   ): registry.RegisteredServer | undefined {
-    const able = this.#listAble(service, need);
-    const wanted = target === undefined
+    const eligible = this.#listEligible(service, requirements);
+    const preferred = targetEngine === undefined
       ? undefined
-      : able.find(({ engine, running }) =>
-        engine.lifetime === target && running < engine.slots
+      : eligible.find(({ engine, runCount: runCount }) =>
+        engine.lifetime === targetEngine && runCount < engine.slots
       );
-    const chosen = wanted ?? chooseEngine.pickEngine(able, need.avoided);
+    const chosen = preferred ??
+      chooseEngine.pickEngine(eligible, requirements.avoided);
     if (chosen === undefined) return undefined;
-    chosen.running += 1;
+    chosen.runCount += 1;
     return chosen.engine;
   }
 
-  #listOpen(service: string): readonly chooseEngine.EngineCandidate[] {
+  #listAvailable(service: string): readonly chooseEngine.EngineCandidate[] {
     const { servers, engines } = this.#options;
-    const known = this.#open.get(service);
-    if (known !== undefined) return known;
-    const open = servers.listReady(service)
-      .filter((engine) => engines.getRunning(engine.lifetime) < engine.slots)
+    const cached = this.#availableByService.get(service);
+    if (cached !== undefined) return cached;
+    const available = servers.listReady(service)
+      .filter((engine) => engines.getRunCount(engine.lifetime) < engine.slots)
       .map((engine) => chooseEngine.createCandidate(engine, engines));
-    this.#open.set(service, open);
-    return open;
+    this.#availableByService.set(service, available);
+    return available;
   }
 
   /** Engines for a need; full ones are dropped when none has a place. */
-  #listAble(
+  #listEligible(
     service: string,
-    need: chooseEngine.EngineNeed,
+    requirements: chooseEngine.EngineRequirements,
   ): readonly chooseEngine.EngineCandidate[] {
     const { engines } = this.#options;
-    const key = `${service} ${need.model ?? ""} ${need.minimumVersion}`;
-    const known = this.#able.get(key) ??
-      this.#listOpen(service).filter(({ engine }) =>
-        chooseEngine.canServe(engine, engines, need)
+    const key = `${service} ${
+      requirements.model ?? ""
+    } ${requirements.minimumVersion}`;
+    const candidates = this.#eligibleByKey.get(key) ??
+      this.#listAvailable(service).filter(({ engine }) =>
+        chooseEngine.isEligible(engine, engines, requirements)
       );
-    const isFull = known.every(({ engine, running }) =>
-      running >= engine.slots
+    const isFull = candidates.every(({ engine, runCount: runCount }) =>
+      runCount >= engine.slots
     );
-    const able = isFull ? [] : known;
-    this.#able.set(key, able);
-    return able;
+    const eligible = isFull ? [] : candidates;
+    this.#eligibleByKey.set(key, eligible);
+    return eligible;
   }
 }
--- a/src/dispatch/plan_moves_test.ts
+++ b/src/dispatch/plan_moves_test.ts
@@ -7,12 +7,12 @@
 import type * as submissions from "../submission/mod.ts";
 import * as engineTables from "./engine_table.ts";
 import * as itemTasks from "./item_task.ts";
-import * as lengthEstimates from "./length_estimates.ts";
+import * as lengthEstimators from "./length_estimator.ts";
 import * as planMoves from "./plan_moves.ts";
-import * as stepProgresses from "./step_progress.ts";
+import * as stepProgress from "./step_progress.ts";
 
 /** A hinted token stands for a fiftieth of an event before any has ended. */
-const TOKENS_AN_EVENT = 50;
+const TOKENS_PER_EVENT = 50;
 const NOW_MS = 10_000;
 
 function createEngine(id: string): registry.RegisteredServer {
@@ -24,7 +24,7 @@
 
 describe("moves to faster engines", () => {
   const engines = ["fast", "slower", "slow"].map(createEngine);
-  const lengths = new lengthEstimates.LengthEstimates();
+  const lengths = new lengthEstimators.LengthEstimator();
   let table = new engineTables.EngineTable(new clocks.FakeClock());
 
   beforeEach(() => {
@@ -32,7 +32,7 @@
     for (let event = 0; event < 200; event += 1) {
       for (const [engine, gapMs] of [[0, 40], [1, 50], [2, 140]] as const) {
         const noted = engines[engine];
-        if (noted !== undefined) table.noteGap(noted, gapMs);
+        if (noted !== undefined) table.recordInterval(noted, gapMs);
       }
     }
   });
@@ -44,7 +44,7 @@
     events: number,
     startedAtMs = 0,
   ): itemTasks.ItemTask {
-    const lengthHint = events * TOKENS_AN_EVENT;
+    const lengthHint = events * TOKENS_PER_EVENT;
     const item = itemFixtures.createItem(id, { lengthHint });
     const submission = {
       id: "s",
@@ -54,11 +54,11 @@
       acceptedAtMs: 0,
       terms: { service: "lm" },
     } as unknown as submissions.Submission;
-    const step = new stepProgresses.StepProgress(submission, new Set());
+    const step = new stepProgress.StepProgress(submission, new Set());
     const task = new itemTasks.ItemTask(submission, item, step, 0);
     const cancellation = new csp.Cancellation();
-    task.beginRun({ engine, cancellation, startedAtMs });
-    table.begin(engine);
+    task.startRun({ engine, cancellation, startedAtMs });
+    table.addRun(engine);
     return task;
   }
 
@@ -68,7 +68,9 @@
       engines: table,
       lengths,
     });
-    return moves.map(({ task, to }) => `${task.item.id} ${to.id}`);
+    return moves.map(({ task, targetEngine: to }) =>
+      `${task.item.id} ${to.id}`
+    );
   }
 
   it("move a long run from an engine that is only somewhat slower", () => {
@@ -96,13 +98,13 @@
     const tasks = [createRunning("long", "fast", 100)];
     const [fast] = engines;
     if (fast === undefined) throw new Error("no engine");
-    for (let event = 0; event < 8; event += 1) table.noteGap(fast, 100);
-    chai.expect(table.getGapMs("fast")).to.be.above(1.1 * 50);
+    for (let event = 0; event < 8; event += 1) table.recordInterval(fast, 100);
+    chai.expect(table.getIdleIntervalMs("fast")).to.be.above(1.1 * 50);
     chai.expect(plan(tasks)).to.deep.equal([]);
-    for (let event = 0; event < 30; event += 1) table.noteGap(fast, 100);
+    for (let event = 0; event < 30; event += 1) table.recordInterval(fast, 100);
     chai.expect(plan(tasks)).to.deep.equal(["long slower"]);
-    for (let event = 0; event < 60; event += 1) table.noteGap(fast, 40);
-    chai.expect(table.getSlowForMs("fast")).to.equal(0);
+    for (let event = 0; event < 60; event += 1) table.recordInterval(fast, 40);
+    chai.expect(table.getSlowDurationMs("fast")).to.equal(0);
   });
 
   it("leave a run that has just begun, or is being moved", () => {
@@ -116,46 +118,50 @@
     const failed = createRunning("failed", "slow", 150);
     failed.avoid("fast");
     chai.expect(plan([failed])).to.deep.equal(["failed slower"]);
-    table.setLoading("slower", "m");
+    table.setLoadingModel("slower", "m");
     chai.expect(plan([failed])).to.deep.equal([]);
     const other = createRunning("other", "slow", 150);
-    for (let run = 0; run < 2; run += 1) table.begin("fast");
+    for (let run = 0; run < 2; run += 1) table.addRun("fast");
     chai.expect(plan([other])).to.deep.equal([]);
   });
 });
 
 describe("expected lengths", () => {
   it("learn how many events a hinted token stands for", () => {
-    const lengths = new lengthEstimates.LengthEstimates();
-    for (let item = 0; item < 200; item += 1) lengths.note(createDone(100, 20));
-    chai.expect(lengths.estimateRemaining(createDone(1_000, 0))).to.be
+    const lengths = new lengthEstimators.LengthEstimator();
+    for (let item = 0; item < 200; item += 1) {
+      lengths.recordLength(createFinished(100, 20));
+    }
+    chai.expect(lengths.estimateRemaining(createFinished(1_000, 0))).to.be
       .closeTo(200, 2);
-    chai.expect(lengths.estimateRemaining(createDone(1_000, 150))).to.be
+    chai.expect(lengths.estimateRemaining(createFinished(1_000, 150))).to.be
       .closeTo(60, 2);
   });
 
   it("take a run past its expected end for a long one", () => {
-    const lengths = new lengthEstimates.LengthEstimates();
-    chai.expect(lengths.estimateRemaining(createDone(500, 100))).to.equal(40);
+    const lengths = new lengthEstimators.LengthEstimator();
+    chai.expect(lengths.estimateRemaining(createFinished(500, 100))).to.equal(
+      40,
+    );
   });
 
   it("go by the mean where there is no hint", () => {
-    const lengths = new lengthEstimates.LengthEstimates();
+    const lengths = new lengthEstimators.LengthEstimator();
     for (let item = 0; item < 200; item += 1) {
-      lengths.note(createDone(undefined, 60));
+      lengths.recordLength(createFinished(undefined, 60));
     }
-    chai.expect(lengths.estimateRemaining(createDone(undefined, 10))).to.be
+    chai.expect(lengths.estimateRemaining(createFinished(undefined, 10))).to.be
       .closeTo(50, 1);
   });
 
   /** Makes an item with a hint that has made so many events. */
-  function createDone(
+  function createFinished(
     lengthHint: number | undefined,
     events: number,
   ): itemTasks.ItemTask {
     const item = itemFixtures.createItem("a", { lengthHint });
     const submission = { items: [item] } as unknown as submissions.Submission;
-    const step = new stepProgresses.StepProgress(submission, new Set());
+    const step = new stepProgress.StepProgress(submission, new Set());
     const task = new itemTasks.ItemTask(submission, item, step, 0);
     for (let id = 1; id <= events; id += 1) {
       task.progress.add({ id, data: "", version: 1 });
--- a/src/dispatch/result_writer.ts
+++ b/src/dispatch/result_writer.ts
@@ -4,9 +4,9 @@
 import type * as submissions from "../submission/mod.ts";
 
 /** Time for which results are gathered into one entry, in ms. */
-const GATHER_MS = 10;
+const BATCH_DELAY_MS = 10;
 /** Longest wait for a commit before the results are proposed again, in ms. */
-const COMMIT_MS = 2_000;
+const COMMIT_TIMEOUT_MS = 2_000;
 
 /** What a result writer needs. */
 export interface ResultWriterOptions {
@@ -16,28 +16,28 @@
 }
 
 /** A result that waits to be listed. */
-interface WaitingResult {
-  readonly brief: submissions.RecordedResult;
-  readonly whole: submissions.RecordedResult;
+interface PendingResult {
+  readonly delta: submissions.RecordedResult;
+  readonly full: submissions.RecordedResult;
 }
 
-function toWhole({ whole }: WaitingResult): WaitingResult {
-  return { brief: whole, whole };
+function toFull({ full: full }: PendingResult): PendingResult {
+  return { delta: full, full: full };
 }
 
 /** Has results listed, several in one entry, again until they surely are. */
 export class ResultWriter {
   readonly #options: ResultWriterOptions;
-  #waiting: readonly WaitingResult[] = [];
+  #pending: readonly PendingResult[] = [];
   /** Counts drops; what was under way before one is not proposed again. */
-  #drops = 0;
-  readonly #flushSoon: clocks.GatheredCall;
+  #discardCount = 0;
+  readonly #flushTimer: clocks.GatheredCall;
 
   constructor(options: ResultWriterOptions) {
     this.#options = options;
-    this.#flushSoon = new clocks.GatheredCall({
+    this.#flushTimer = new clocks.GatheredCall({
       clock: options.clock,
-      delayMs: GATHER_MS,
+      delayMs: BATCH_DELAY_MS,
       action: () => void this.#flush(),
     });
   }
@@ -45,47 +45,47 @@
   /**
    * Adds a result to be listed.
    *
-   * @param brief The result, with the text that follows the kept part.
-   * @param whole The same with its whole text, should the kept part be missing.
+   * @param delta The result, with the text that follows the kept part.
+   * @param full The same with its whole text, should the kept part be missing.
    */
   add(
-    brief: submissions.RecordedResult,
-    whole: submissions.RecordedResult,
+    delta: submissions.RecordedResult,
+    full: submissions.RecordedResult,
   ): void {
-    this.#waiting = [...this.#waiting, { brief, whole }];
-    this.#flushSoon.schedule();
+    this.#pending = [...this.#pending, { delta: delta, full: full }];
+    this.#flushTimer.schedule();
   }
 
   /** Forgets what waits; the next leader runs those items anew. */
-  drop(): void {
-    this.#waiting = [];
-    this.#drops += 1;
+  discardPending(): void {
+    this.#pending = [];
+    this.#discardCount += 1;
   }
 
   async #flush(): Promise<void> {
     const { group, log } = this.#options;
-    const taken = this.#waiting;
-    const drops = this.#drops;
-    this.#waiting = [];
-    if (taken.length === 0) return;
+    const batch = this.#pending;
+    const discardCount = this.#discardCount;
+    this.#pending = [];
+    if (batch.length === 0) return;
     const command: submissions.SubmissionCommand = {
       kind: "recordResults",
-      results: taken.map((result) => result.brief),
+      results: batch.map((result) => result.delta),
     };
-    const listed = await group.propose<submissions.SubmissionAnswer>(
+    const outcome = await group.propose<submissions.SubmissionAnswer>(
       command,
-      COMMIT_MS,
+      COMMIT_TIMEOUT_MS,
     );
-    if (listed.kind === "ok" && listed.value.isKnown) return;
+    if (outcome.kind === "ok" && outcome.value.isKnown) return;
     log.write("warn", "results.notListed", {
-      count: taken.length,
-      message: listed.kind === "ok"
+      count: batch.length,
+      message: outcome.kind === "ok"
         ? "a kept part is missing"
-        : listed.failure.message,
+        : outcome.failure.message,
     });
-    if (drops !== this.#drops) return;
-    const again = listed.kind === "ok" ? taken.map(toWhole) : taken;
-    this.#waiting = [...again, ...this.#waiting];
-    this.#flushSoon.schedule();
+    if (discardCount !== this.#discardCount) return;
+    const retried = outcome.kind === "ok" ? batch.map(toFull) : batch;
+    this.#pending = [...retried, ...this.#pending];
+    this.#flushTimer.schedule();
   }
 }
--- a/src/dispatch/run_mover.ts
+++ b/src/dispatch/run_mover.ts
@@ -4,14 +4,14 @@
 import * as chooseEngine from "./choose_engine.ts";
 import type * as engineTables from "./engine_table.ts";
 import type * as itemTasks from "./item_task.ts";
-import type * as lengthEstimates from "./length_estimates.ts";
+import type * as lengthEstimators from "./length_estimator.ts";
 import * as orderTasks from "./order_tasks.ts";
 import * as planMoves from "./plan_moves.ts";
 
 /** Places that a move from a load leaves free elsewhere, for new work. */
-const SPARE_PLACES = 2;
+const RESERVED_SLOTS = 2;
 /** Between two looks for faster engines, in ms; moves take some 20 ms. */
-const LOOK_MS = 100;
+const CHECK_INTERVAL_MS = 100;
 
 /** What a run mover needs. */
 export interface RunMoverOptions {
@@ -19,7 +19,7 @@
   readonly log: logs.Log;
   readonly servers: Pick<registry.ServerRegistry, "listReady">;
   readonly engines: engineTables.EngineTable;
-  readonly lengths: lengthEstimates.LengthEstimates;
+  readonly lengths: lengthEstimators.LengthEstimator;
 }
 
 /**
@@ -28,14 +28,14 @@
  */
 export class RunMover {
   readonly #options: RunMoverOptions;
-  #lookedAtMs = Number.NEGATIVE_INFINITY;
+  #checkedAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(options: RunMoverOptions) {
     this.#options = options;
   }
 
   /** Moves the runs of a model away from an engine that begins to load it. */
-  moveFromLoad(
+  moveFromLoadingEngine(
     tasks: readonly itemTasks.ItemTask[],
     engine: registry.RegisteredServer,
     model: string,
@@ -45,9 +45,9 @@
     );
     let moved = 0;
     const { lengths, engines } = this.#options;
-    const gapMs = engines.getMedianGapMs();
-    for (const task of orderTasks.orderTasks(running, lengths, gapMs)) {
-      if (moved >= this.#countFree(task, engine.lifetime)) break;
+    const intervalMs = engines.getMedianIdleIntervalMs();
+    for (const task of orderTasks.orderTasks(running, lengths, intervalMs)) {
+      if (moved >= this.#countAvailableSlots(task, engine.lifetime)) break;
       task.run?.cancellation.cancel();
       moved += 1;
     }
@@ -61,38 +61,41 @@
   }
 
   /** Moves runs to free places where they are expected to end sooner. */
-  moveToFaster(tasks: readonly itemTasks.ItemTask[]): void {
+  moveToFasterEngines(tasks: readonly itemTasks.ItemTask[]): void {
     const { clock, log } = this.#options;
     const nowMs = clock.getMonotonicMs();
-    if (nowMs - this.#lookedAtMs < LOOK_MS) return;
-    this.#lookedAtMs = nowMs;
+    if (nowMs - this.#checkedAtMs < CHECK_INTERVAL_MS) return;
+    this.#checkedAtMs = nowMs;
     for (const move of planMoves.planMoves(tasks, nowMs, this.#options)) {
-      const { task, to, gainMs } = move;
+      const { task, targetEngine: targetEngine, gainMs } = move;
       log.write("info", "run.moved", {
         item: task.item.id,
         server: task.run?.engine,
-        to: to.id,
+        to: targetEngine.id,
         gainMs: Math.round(gainMs),
         events: task.progress.countMade(),
       });
-      task.target = to.lifetime;
+      task.targetEngine = targetEngine.lifetime;
       task.run?.cancellation.cancel();
     }
   }
 
   /** Free places at other engines that may take an item, less a reserve. */
-  #countFree(task: itemTasks.ItemTask, from: registry.LifetimeKey): number {
+  #countAvailableSlots(
+    task: itemTasks.ItemTask,
+    excluded: registry.LifetimeKey,
+  ): number {
     const { servers, engines } = this.#options;
-    const free = servers.listReady(task.submission.terms.service)
+    const freeSlots = servers.listReady(task.submission.terms.service)
       .filter((engine) =>
-        engine.lifetime !== from &&
-        chooseEngine.canTake(engine, engines, task.getNeed())
+        engine.lifetime !== excluded &&
+        chooseEngine.canAccept(engine, engines, task.getRequirements())
       )
       .reduce(
         (sum, engine) =>
-          sum + engine.slots - engines.getRunning(engine.lifetime),
+          sum + engine.slots - engines.getRunCount(engine.lifetime),
         0,
       );
-    return free - SPARE_PLACES;
+    return freeSlots - RESERVED_SLOTS;
   }
 }
--- a/src/dispatch/score_item.ts
+++ b/src/dispatch/score_item.ts
@@ -21,13 +21,13 @@
     readonly kind: "unanswered";
     readonly reason: string;
     /** When to try again at the earliest, in ms from now. */
-    readonly returnMs?: number;
+    readonly retryAfterMs?: number;
   };
 
-const FIRST_OTHER_STATUS = 300;
-const FAILED_STATUS = 500;
+const MIN_NON_SUCCESS_STATUS = 300;
+const MIN_SERVER_ERROR_STATUS = 500;
 /** Silence after which another scorer is asked too, in target latencies. */
-const HEDGE_SHARE = 1;
+const HEDGE_RATIO = 1;
 
 /**
  * Has a finished text scored by the route of its scoring call.
@@ -66,19 +66,19 @@
     maxAttempts: route.attempts,
     isRepeatable: true,
     retriesErrors: false,
-    hedgeMs: route.targetLatencyMs * HEDGE_SHARE,
+    hedgeMs: route.targetLatencyMs * HEDGE_RATIO,
     cancellation: task.cancellation,
   });
   if (outcome.kind !== "answered") {
     const reason = "reason" in outcome ? outcome.reason : outcome.kind;
     if (outcome.kind !== "heldBack") return { kind: "unanswered", reason };
-    return { kind: "unanswered", reason, returnMs: outcome.returnMs };
+    return { kind: "unanswered", reason, retryAfterMs: outcome.returnMs };
   }
   const { status, head } = outcome.answer;
-  if (status < FIRST_OTHER_STATUS && head.receipt !== undefined) {
+  if (status < MIN_NON_SUCCESS_STATUS && head.receipt !== undefined) {
     return { kind: "scored", score: head.receipt };
   }
-  if (status >= FAILED_STATUS) {
+  if (status >= MIN_SERVER_ERROR_STATUS) {
     return { kind: "failed", attempts: route.attempts };
   }
   return { kind: "unanswered", reason: `the scorer answered ${status}` };
--- a/src/dispatch/shortage_watch.ts
+++ b/src/dispatch/shortage_reporter.ts
@@ -5,60 +5,63 @@
 
 const NO_GROUPS = { inTime: 0, late: 0, spare: 0 } as const;
 /** Between two lines about a trainer whose groups come late, in ms. */
-const LOG_MS = 2_000;
+const LOG_INTERVAL_MS = 2_000;
 
 /** What a shortage watch needs. */
-export interface ShortageWatchOptions {
+export interface ShortageReporterOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly metrics: metrics.FleetMetrics;
 }
 
 /** Tells operators which trainers' groups give way for want of room. */
-export class ShortageWatch {
-  readonly #options: ShortageWatchOptions;
-  readonly #toldAtMs = new Map<string, number>();
+export class ShortageReporter {
+  readonly #options: ShortageReporterOptions;
+  readonly #loggedAtMs = new Map<string, number>();
   /** Trainers whose groups were planned while room was short, by service. */
-  readonly #planned = new Map<string, ReadonlySet<string>>();
+  readonly #trainersByService = new Map<string, ReadonlySet<string>>();
 
-  constructor(options: ShortageWatchOptions) {
+  constructor(options: ShortageReporterOptions) {
     this.#options = options;
   }
 
   /** Notes a plan and the places that it had. */
-  note(
+  reportPlan(
     service: string,
     plan: stepSchedule.StepPlan<unknown>,
-    places: number,
+    capacity: number,
   ): void {
     const { metrics } = this.#options;
-    for (const trainer of this.#planned.get(service) ?? []) {
+    for (const trainer of this.#trainersByService.get(service) ?? []) {
       if (plan.standings.has(trainer)) continue;
       metrics.setPlannedGroups(trainer, NO_GROUPS);
     }
-    this.#planned.set(service, new Set(plan.standings.keys()));
+    this.#trainersByService.set(service, new Set(plan.standings.keys()));
     for (const [trainer, groups] of plan.standings) {
       metrics.setPlannedGroups(trainer, groups);
-      if (groups.late > 0) this.#tell(service, trainer, groups, places);
+      if (groups.late > 0) {
+        this.#reportShortage(service, trainer, groups, capacity);
+      }
     }
   }
 
-  #tell(
+  #reportShortage(
     service: string,
     trainer: string,
     groups: Readonly<Record<stepSchedule.GroupStanding, number>>,
-    places: number,
+    capacity: number,
   ): void {
     const { clock, log } = this.#options;
     const nowMs = clock.getMonotonicMs();
-    const toldAtMs = this.#toldAtMs.get(trainer) ?? Number.NEGATIVE_INFINITY;
-    if (nowMs - toldAtMs < LOG_MS) return;
-    this.#toldAtMs.set(trainer, nowMs);
+    const loggedAtMs = this.#loggedAtMs.get(trainer) ??
+      Number.NEGATIVE_INFINITY;
+    if (nowMs - loggedAtMs < LOG_INTERVAL_MS) return;
+    this.#loggedAtMs.set(trainer, nowMs);
     log.write("info", "steps.short", {
       service,
       trainer,
       ...groups,
-      places: Math.round(places),
+      places: Math.round(capacity),
     });
   }
 }
--- a/src/dispatch/step_progress.ts
+++ b/src/dispatch/step_progress.ts
@@ -6,39 +6,39 @@
  */
 export class StepProgress {
   /** Items that are not finished yet, by group. */
-  readonly #open = new Map<string, Set<string>>();
-  readonly #groups = new Map<string, string>();
+  readonly #openItems = new Map<string, Set<string>>();
+  readonly #groupsByItem = new Map<string, string>();
   readonly #desired: number;
-  readonly #carried: ReadonlySet<string>;
-  #whole = 0;
+  readonly #carriedGroups: ReadonlySet<string>;
+  #completeGroups = 0;
 
   /**
    * @param submission The step.
-   * @param listed Items whose results are listed already.
-   * @param isKnown Tells whether an earlier step brought an item.
+   * @param recorded Items whose results are listed already.
+   * @param isCarriedItem Tells whether an earlier step brought an item.
    */
   constructor(
     submission: submissions.Submission,
-    listed: ReadonlySet<string>,
-    isKnown: (item: string) => boolean = () => false,
+    recorded: ReadonlySet<string>,
+    isCarriedItem: (item: string) => boolean = () => false,
   ) {
     for (const item of submission.items) {
       const group = item.group ?? item.id;
-      this.#groups.set(item.id, group);
-      const open = this.#open.get(group) ?? new Set();
-      this.#open.set(group, open);
-      if (!listed.has(item.id)) open.add(item.id);
+      this.#groupsByItem.set(item.id, group);
+      const open = this.#openItems.get(group) ?? new Set();
+      this.#openItems.set(group, open);
+      if (!recorded.has(item.id)) open.add(item.id);
     }
-    this.#carried = new Set(
-      submission.items.filter((item) => isKnown(item.id))
+    this.#carriedGroups = new Set(
+      submission.items.filter((item) => isCarriedItem(item.id))
         .map((item) => item.group ?? item.id),
     );
-    const groups = [...this.#open.values()];
+    const groups = [...this.#openItems.values()];
     this.#desired = Math.min(
       submission.desired ?? groups.length,
       groups.length,
     );
-    this.#whole = groups.filter((open) => open.size === 0).length;
+    this.#completeGroups = groups.filter((open) => open.size === 0).length;
   }
 
   /**
@@ -46,30 +46,30 @@
    *
    * @returns Whether this made the last group whole that the step waits for.
    */
-  finish(item: string): boolean {
-    const open = this.#open.get(this.#groups.get(item) ?? "");
+  finishItem(item: string): boolean {
+    const open = this.#openItems.get(this.#groupsByItem.get(item) ?? "");
     if (open === undefined || !open.delete(item) || open.size > 0) return false;
-    this.#whole += 1;
-    return this.#whole === this.#desired;
+    this.#completeGroups += 1;
+    return this.#completeGroups === this.#desired;
   }
 
   /** Whole groups so far. */
-  countWhole(): number {
-    return this.#whole;
+  countCompleteGroups(): number {
+    return this.#completeGroups;
   }
 
   /** Whole groups that the step still waits for. */
-  countMissing(): number {
-    return Math.max(0, this.#desired - this.#whole);
+  countMissingGroups(): number {
+    return Math.max(0, this.#desired - this.#completeGroups);
   }
 
   /** Whether an earlier step brought the group; it must be whole for this one. */
   isCarried(group: string): boolean {
-    return this.#carried.has(group);
+    return this.#carriedGroups.has(group);
   }
 
   /** Unfinished items of an item's group, that item among them. */
-  countOpen(item: string): number {
-    return this.#open.get(this.#groups.get(item) ?? "")?.size ?? 0;
+  countOpenItems(item: string): number {
+    return this.#openItems.get(this.#groupsByItem.get(item) ?? "")?.size ?? 0;
   }
 }
--- a/src/dispatch/step_progress_test.ts
+++ b/src/dispatch/step_progress_test.ts
@@ -2,47 +2,49 @@
 import * as itemFixtures from "../submission/item_fixture_test.ts";
 import type * as submissions from "../submission/mod.ts";
 import * as phaseTimes from "./phase_times.ts";
-import * as stepProgresses from "./step_progress.ts";
+import * as stepProgress from "./step_progress.ts";
 
 function createStep(
   groups: Readonly<Record<string, string | undefined>>,
   desired: number | undefined,
   listed: readonly string[] = [],
-): stepProgresses.StepProgress {
+): stepProgress.StepProgress {
   const items = Object.entries(groups).map(([id, group]) =>
     itemFixtures.createItem(id, { group })
   );
   const submission = { items, desired } as unknown as submissions.Submission;
-  return new stepProgresses.StepProgress(submission, new Set(listed));
+  return new stepProgress.StepProgress(submission, new Set(listed));
 }
 
 describe("progress of a step", () => {
   it("tells once when the last group is whole that the step waits for", () => {
     const step = createStep({ a: "x", b: "x", c: "y", d: "z" }, 2);
-    const ends = ["a", "c", "b", "d", "d"].map((item) => step.finish(item));
-    chai.expect(ends).to.deep.equal([false, false, true, false, false]);
-    chai.expect(step.countWhole()).to.equal(3);
-    chai.expect(step.countMissing()).to.equal(0);
+    const completions = ["a", "c", "b", "d", "d"].map((item) =>
+      step.finishItem(item)
+    );
+    chai.expect(completions).to.deep.equal([false, false, true, false, false]);
+    chai.expect(step.countCompleteGroups()).to.equal(3);
+    chai.expect(step.countMissingGroups()).to.equal(0);
   });
 
   it("goes on from what is listed", () => {
     const step = createStep({ a: "x", b: "x", c: "y" }, undefined, ["a", "c"]);
-    chai.expect(step.countWhole()).to.equal(1);
-    chai.expect(step.countOpen("b")).to.equal(1);
-    chai.expect(step.finish("b")).to.equal(true);
+    chai.expect(step.countCompleteGroups()).to.equal(1);
+    chai.expect(step.countOpenItems("b")).to.equal(1);
+    chai.expect(step.finishItem("b")).to.equal(true);
   });
 
   it("takes an item without a group for a group of its own", () => {
     const step = createStep({ a: undefined, b: undefined }, undefined);
-    chai.expect(step.finish("a")).to.equal(false);
-    chai.expect(step.finish("b")).to.equal(true);
+    chai.expect(step.finishItem("a")).to.equal(false);
+    chai.expect(step.finishItem("b")).to.equal(true);
   });
 
   it("waits for no more groups than there are", () => {
     const step = createStep({ a: "x" }, 9);
-    chai.expect(step.countMissing()).to.equal(1);
-    chai.expect(step.finish("unknown")).to.equal(false);
-    chai.expect(step.finish("a")).to.equal(true);
+    chai.expect(step.countMissingGroups()).to.equal(1);
+    chai.expect(step.finishItem("unknown")).to.equal(false);
+    chai.expect(step.finishItem("a")).to.equal(true);
   });
 });
 
@@ -55,7 +57,7 @@
     times.enter("scoring", 260);
     times.enter("done", 300);
     chai.expect(times.getPhase()).to.equal("done");
-    chai.expect(times.describe()).to.deep.equal({
+    chai.expect(times.getDurations()).to.deep.equal({
       waitingMs: 40,
       runningMs: 120,
       scoringMs: 40,
--- a/src/dispatch/task_fixture_test.ts
+++ b/src/dispatch/task_fixture_test.ts
@@ -1,7 +1,7 @@
 import * as itemFixtures from "../submission/item_fixture_test.ts";
 import type * as submissions from "../submission/mod.ts";
 import * as itemTasks from "./item_task.ts";
-import * as stepProgresses from "./step_progress.ts";
+import * as stepProgress from "./step_progress.ts";
 
 /**
  * Makes the work on the one item of a submission, for tests.
@@ -36,6 +36,6 @@
     },
     ...changes,
   };
-  const step = new stepProgresses.StepProgress(submission, new Set());
+  const step = new stepProgress.StepProgress(submission, new Set());
   return new itemTasks.ItemTask(submission, item, step, 0);
 }
--- a/src/dispatch/task_table.ts
+++ b/src/dispatch/task_table.ts
@@ -1,7 +1,7 @@
 import type * as clocks from "../clock/mod.ts";
 import type * as submissions from "../submission/mod.ts";
 import * as itemTasks from "./item_task.ts";
-import * as stepProgresses from "./step_progress.ts";
+import * as stepProgress from "./step_progress.ts";
 
 /** The items that are to be worked on, by submission. */
 export class TaskTable {
@@ -20,8 +20,8 @@
   }
 
   /** Cancels and forgets all tasks. */
-  dropAll(): void {
-    for (const tasks of this.#tasks.values()) dropTasks(tasks);
+  cancelAll(): void {
+    for (const tasks of this.#tasks.values()) cancelTasks(tasks);
     this.#tasks.clear();
   }
 
@@ -30,11 +30,11 @@
    *
    * @returns The new tasks.
    */
-  matchRecords(): readonly itemTasks.ItemTask[] {
+  syncRecords(): readonly itemTasks.ItemTask[] {
     for (const [id, tasks] of this.#tasks) {
       const record = this.#machine.get(id);
       if (record !== undefined && !record.isEnded) continue;
-      dropTasks(tasks);
+      cancelTasks(tasks);
       this.#tasks.delete(id);
     }
     return this.#machine.listAll()
@@ -48,11 +48,11 @@
     record: submissions.SubmissionRecord,
   ): readonly itemTasks.ItemTask[] {
     const { submission, listed } = record;
-    const known = this.#listKnownItems(submission);
-    const step = new stepProgresses.StepProgress(
+    const carriedItems = this.#listCarriedItems(submission);
+    const step = new stepProgress.StepProgress(
       submission,
       listed,
-      (item) => known.has(item),
+      (item) => carriedItems.has(item),
     );
     const tasks = submission.items.filter((item) => !listed.has(item.id))
       .map((item) => this.#createTask(record, item, step));
@@ -62,7 +62,7 @@
   }
 
   /** Items that earlier steps of the same trainer brought. */
-  #listKnownItems(submission: submissions.Submission): ReadonlySet<string> {
+  #listCarriedItems(submission: submissions.Submission): ReadonlySet<string> {
     const { model, step } = submission;
     if (model === undefined || step === undefined) return new Set();
     const earlier = this.#machine.listAll().filter((other) =>
@@ -78,17 +78,17 @@
   #createTask(
     record: submissions.SubmissionRecord,
     item: submissions.SubmissionItem,
-    step: stepProgresses.StepProgress,
+    step: stepProgress.StepProgress,
   ): itemTasks.ItemTask {
     const nowMs = this.#clock.getMonotonicMs();
     const task = new itemTasks.ItemTask(record.submission, item, step, nowMs);
-    const own = record.kept.get(item.id);
-    if (own !== undefined) task.restore([own], true);
+    const keptText = record.kept.get(item.id);
+    if (keptText !== undefined) task.restore([keptText], true);
     else task.restore(this.#machine.findTexts(item.id), false);
     return task;
   }
 }
 
-function dropTasks(tasks: ReadonlyMap<string, itemTasks.ItemTask>): void {
+function cancelTasks(tasks: ReadonlyMap<string, itemTasks.ItemTask>): void {
   for (const task of tasks.values()) task.cancellation.cancel();
 }
--- a/src/dispatch/text_keeper.ts
+++ b/src/dispatch/text_replicator.ts
@@ -4,15 +4,15 @@
 import type * as itemTasks from "./item_task.ts";
 
 /** Events that are worth keeping, about half a second of a run. */
-const MIN_EVENTS = 12;
-const COMMIT_MS = 2_000;
+const MIN_UNREPLICATED_EVENTS = 12;
+const COMMIT_TIMEOUT_MS = 2_000;
 
 /**
  * Has the stores keep the texts of long runs as they grow, so that a new leader
  * goes on with them. A result then carries only what follows, so hardly more
  * bytes are written.
  */
-export class TextKeeper {
+export class TextReplicator {
   readonly #group: replicaGroups.ReplicaGroup;
   #isBusy = false;
 
@@ -21,10 +21,11 @@
   }
 
   /** Keeps what has grown enough; one command is under way at a time. */
-  async keep(tasks: readonly itemTasks.ItemTask[]): Promise<void> {
+  async replicate(tasks: readonly itemTasks.ItemTask[]): Promise<void> {
     if (this.#isBusy) return;
     const parts = tasks.filter((task) =>
-      task.phase === "running" && task.progress.countUnkept() >= MIN_EVENTS
+      task.phase === "running" &&
+      task.progress.countUnkept() >= MIN_UNREPLICATED_EVENTS
     ).flatMap(createPart);
     if (parts.length === 0) return;
     this.#isBusy = true;
@@ -32,15 +33,15 @@
       kind: "keepTexts",
       texts: parts.map((part) => part.text),
     };
-    const done = await this.#group.propose<submissions.SubmissionAnswer>(
+    const outcome = await this.#group.propose<submissions.SubmissionAnswer>(
       command,
-      COMMIT_MS,
+      COMMIT_TIMEOUT_MS,
     );
     this.#isBusy = false;
-    if (done.kind !== "ok") return;
+    if (outcome.kind !== "ok") return;
     // A part that came later than the answer to it may have been kept.
-    const note = done.value.isKnown ? noteKept : forgetKept;
-    for (const part of parts) note(part);
+    const updateProgress = outcome.value.isKnown ? markKept : forgetKept;
+    for (const part of parts) updateProgress(part);
   }
 }
 
@@ -48,12 +49,12 @@
 interface TextPart {
   readonly progress: itemRuns.TextProgress;
   /** Tells this text from one that began anew meanwhile. */
-  readonly beginnings: number;
+  readonly resetCount: number;
   readonly text: submissions.TextToKeep;
 }
 
-function noteKept({ progress, beginnings, text }: TextPart): void {
-  if (progress.countBeginnings() === beginnings) progress.setKept(text.lastId);
+function markKept({ progress, resetCount: resetCount, text }: TextPart): void {
+  if (progress.countBeginnings() === resetCount) progress.setKept(text.lastId);
 }
 
 function forgetKept({ progress }: TextPart): void {
@@ -72,5 +73,5 @@
     lastId,
     versions: progress.listVersions(),
   };
-  return [{ progress, beginnings: progress.countBeginnings(), text }];
+  return [{ progress, resetCount: progress.countBeginnings(), text }];
 }
--- a/src/dispatch/waiting_order.ts
+++ b/src/dispatch/waiting_order.ts
@@ -4,28 +4,28 @@
 import * as describeSteps from "./describe_steps.ts";
 import type * as engineTables from "./engine_table.ts";
 import type * as itemTasks from "./item_task.ts";
-import type * as lengthEstimates from "./length_estimates.ts";
-import * as shortageWatches from "./shortage_watch.ts";
+import type * as lengthEstimators from "./length_estimator.ts";
+import * as shortageReporters from "./shortage_reporter.ts";
 
 /**
  * How long a plan holds, in ms an item of it: a plan takes time by the number of
  * items, and in a large fleet places come free more often than it could be made.
  */
-const KEEP_MS_AN_ITEM = 0.05;
+const PLAN_LIFETIME_PER_ITEM_MS = 0.05;
 
 /** A plan that holds for a while. */
-interface KeptPlan {
-  readonly untilMs: number;
+interface CachedPlan {
+  readonly expiresAtMs: number;
   readonly tasks: ReadonlySet<itemTasks.ItemTask>;
 }
 
 /** What the order of waiting items needs. */
 export interface WaitingOrderOptions
-  extends shortageWatches.ShortageWatchOptions {
+  extends shortageReporters.ShortageReporterOptions {
   readonly clock: clocks.Clock;
   readonly servers: Pick<registry.ServerRegistry, "listReady">;
   readonly engines: engineTables.EngineTable;
-  readonly lengths: lengthEstimates.LengthEstimates;
+  readonly lengths: lengthEstimators.LengthEstimator;
   /** Tells whether an item may run at all. */
   readonly canRun: (task: itemTasks.ItemTask) => boolean;
 }
@@ -33,12 +33,12 @@
 /** Which waiting items of a service start first. */
 export class WaitingOrder {
   readonly #options: WaitingOrderOptions;
-  readonly #shortage: shortageWatches.ShortageWatch;
-  readonly #kept = new Map<string, KeptPlan>();
+  readonly #shortageReporter: shortageReporters.ShortageReporter;
+  readonly #cachedPlans = new Map<string, CachedPlan>();
 
   constructor(options: WaitingOrderOptions) {
     this.#options = options;
-    this.#shortage = new shortageWatches.ShortageWatch(options);
+    this.#shortageReporter = new shortageReporters.ShortageReporter(options);
   }
 
   /**
@@ -57,44 +57,51 @@
     const waiting = new Set(
       tasks.filter((task) => task.phase === "waiting" && canRun(task)),
     );
-    const moved = [...waiting].filter((task) => task.target !== undefined);
+    const moved = [...waiting].filter((task) =>
+      task.targetEngine !== undefined
+    );
     for (const task of moved) waiting.delete(task);
-    const planned = this.#findPlan(service, waiting) ??
-      this.#plan(service, tasks, waiting);
+    const planned = this.#findCachedPlan(service, waiting) ??
+      this.#createPlan(service, tasks, waiting);
     return [...moved, ...[...planned].filter((task) => waiting.has(task))];
   }
 
   /** The plan made last, where it still holds for all that wait. */
-  #findPlan(
+  #findCachedPlan(
     service: string,
     waiting: ReadonlySet<itemTasks.ItemTask>,
   ): ReadonlySet<itemTasks.ItemTask> | undefined {
-    const kept = this.#kept.get(service);
-    if (kept === undefined) return undefined;
-    if (this.#options.clock.getMonotonicMs() >= kept.untilMs) return undefined;
-    const isWhole = [...waiting].every((task) => kept.tasks.has(task));
-    return isWhole ? kept.tasks : undefined;
+    const cached = this.#cachedPlans.get(service);
+    if (cached === undefined) return undefined;
+    if (this.#options.clock.getMonotonicMs() >= cached.expiresAtMs) {
+      return undefined;
+    }
+    const hasAllTasks = [...waiting].every((task) => cached.tasks.has(task));
+    return hasAllTasks ? cached.tasks : undefined;
   }
 
-  #plan(
+  #createPlan(
     service: string,
     tasks: readonly itemTasks.ItemTask[],
     waiting: ReadonlySet<itemTasks.ItemTask>,
   ): ReadonlySet<itemTasks.ItemTask> {
-    const situation = this.#describe(
+    const input = this.#describe(
       service,
       tasks,
       (task) => waiting.has(task),
     );
     const plan = stepSchedule.planSteps(
-      situation,
+      input,
       stepSchedule.DEFAULT_POLICY,
     );
-    this.#shortage.note(service, plan, situation.places);
+    this.#shortageReporter.reportPlan(service, plan, input.places);
     const ordered = new Set(plan.items.map(({ work }) => work));
-    const untilMs = this.#options.clock.getMonotonicMs() +
-      tasks.length * KEEP_MS_AN_ITEM;
-    this.#kept.set(service, { untilMs, tasks: ordered });
+    const expiresAtMs = this.#options.clock.getMonotonicMs() +
+      tasks.length * PLAN_LIFETIME_PER_ITEM_MS;
+    this.#cachedPlans.set(service, {
+      expiresAtMs: expiresAtMs,
+      tasks: ordered,
+    });
     return ordered;
   }
 
@@ -103,15 +110,15 @@
    *
    * @param service The service.
    * @param tasks All items of its open submissions.
-   * @param leastMs Time that late groups are given, in ms.
+   * @param minAvailableMs Time that late groups are given, in ms.
    */
-  countNeededPlaces(
+  computeRequiredSlots(
     service: string,
     tasks: readonly itemTasks.ItemTask[],
-    leastMs: number,
+    minAvailableMs: number,
   ): number {
-    const situation = this.#describe(service, tasks, () => false);
-    return stepSchedule.countNeededPlaces(situation, leastMs);
+    const input = this.#describe(service, tasks, () => false);
+    return stepSchedule.countNeededPlaces(input, minAvailableMs);
   }
 
   #describe(
--- a/src/dispatch/waiting_order_test.ts
+++ b/src/dispatch/waiting_order_test.ts
@@ -7,31 +7,31 @@
 import * as submissions from "../submission/mod.ts";
 import * as engineTables from "./engine_table.ts";
 import type * as itemTasks from "./item_task.ts";
-import * as lengthEstimates from "./length_estimates.ts";
+import * as lengthEstimators from "./length_estimator.ts";
 import * as taskFixtures from "./task_fixture_test.ts";
 import * as taskTables from "./task_table.ts";
 import * as waitingOrders from "./waiting_order.ts";
 
 /** Tokens of a hint that stand for an event before any item has ended. */
-const TOKENS_AN_EVENT = 50;
+const TOKENS_PER_EVENT = 50;
 
 describe("order of waiting items", () => {
   let clock = new clocks.FakeClock(1_000);
-  let lines: string[] = [];
+  let loggedEvents: string[] = [];
   let gauges = new Map<string, number>();
-  let barred: ReadonlySet<string> = new Set();
+  let blocked: ReadonlySet<string> = new Set();
   let order: waitingOrders.WaitingOrder;
   const engine = serverFixtures.createServer("e", { service: "lm", slots: 4 });
 
   beforeEach(() => {
     clock = new clocks.FakeClock(1_000);
-    lines = [];
+    loggedEvents = [];
     gauges = new Map();
-    barred = new Set();
+    blocked = new Set();
     order = new waitingOrders.WaitingOrder({
       clock,
       log: {
-        write: (_level: string, event: string) => lines.push(event),
+        write: (_level: string, event: string) => loggedEvents.push(event),
       } as unknown as logs.Log,
       metrics: {
         setPlannedGroups: (trainer: string, groups: { late: number }) =>
@@ -39,8 +39,8 @@
       } as unknown as metrics.FleetMetrics,
       servers: { listReady: () => [engine] },
       engines: new engineTables.EngineTable(clock),
-      lengths: new lengthEstimates.LengthEstimates(),
-      canRun: (task) => !barred.has(task.item.id),
+      lengths: new lengthEstimators.LengthEstimator(),
+      canRun: (task) => !blocked.has(task.item.id),
     });
   });
 
@@ -57,7 +57,7 @@
         targetCompletionMs: 7_500,
         isSingleVersion: false,
       },
-    }, events * TOKENS_AN_EVENT);
+    }, events * TOKENS_PER_EVENT);
   }
 
   function list(tasks: readonly itemTasks.ItemTask[]): readonly string[] {
@@ -66,8 +66,8 @@
 
   it("starts moved runs first, and none that may not run", () => {
     const tasks = ["a", "b", "c"].map((id) => createTask(id, 20));
-    tasks[1]!.target = "e";
-    barred = new Set(["a"]);
+    tasks[1]!.targetEngine = "e";
+    blocked = new Set(["a"]);
     chai.expect(list(tasks)).to.deep.equal(["b", "c"]);
   });
 
@@ -79,10 +79,10 @@
     list(tasks);
     clock.extendBy(500);
     list(tasks);
-    chai.expect(lines).to.deep.equal(["steps.short"]);
+    chai.expect(loggedEvents).to.deep.equal(["steps.short"]);
     clock.extendBy(2_000);
     list(tasks);
-    chai.expect(lines).to.deep.equal(["steps.short", "steps.short"]);
+    chai.expect(loggedEvents).to.deep.equal(["steps.short", "steps.short"]);
     chai.expect([...gauges.values()].some((late) => late > 0)).to.equal(true);
     clock.extendBy(100);
     list([createTask("alone", 20)]);
@@ -93,7 +93,7 @@
 
   it("tells nothing while there is room", () => {
     chai.expect(list([createTask("a", 20)])).to.deep.equal(["a"]);
-    chai.expect(lines).to.deep.equal([]);
+    chai.expect(loggedEvents).to.deep.equal([]);
   });
 
   it("plans anew at once for an item that the last plan does not know", () => {
@@ -112,12 +112,12 @@
       (_, index) => createTask(`t${index}`, 50),
     );
     // 10 items of 50 events, 46 ms each at a full engine, in 6.8 s.
-    chai.expect(order.countNeededPlaces("lm", tasks, 4_000)).to.be.closeTo(
+    chai.expect(order.computeRequiredSlots("lm", tasks, 4_000)).to.be.closeTo(
       10 * 50 * 46 / 6_800,
       0.05,
     );
     clock.extendBy(20_000);
-    chai.expect(order.countNeededPlaces("lm", tasks, 4_000)).to.be.closeTo(
+    chai.expect(order.computeRequiredSlots("lm", tasks, 4_000)).to.be.closeTo(
       10 * 50 * 46 / 4_000,
       0.05,
     );
@@ -149,7 +149,7 @@
     accept(1, "m", ["b", "c", "d"]);
     accept(1, "n", ["a"]);
     const table = new taskTables.TaskTable(machine, new clocks.FakeClock());
-    table.matchRecords();
+    table.syncRecords();
     const carried = table.list().filter(({ step, item }) =>
       step.isCarried(item.group ?? "")
     ).map(({ submission, item }) => `${submission.id} ${item.id}`);
--- a/src/fleet/_configuration_news.ts
+++ b/src/fleet/_configuration_news.ts
@@ -28,7 +28,7 @@
   offer(stored: trafficConfig.StoredConfiguration | undefined): void {
     if (stored === undefined) return;
     const { configuration, onTaken } = this.#options;
-    if (configuration.offer(stored)) onTaken();
+    if (configuration.update(stored)) onTaken();
   }
 
   /** Asks the sender for the configuration when it holds a newer one. */
--- a/src/fleet/_crash_news.ts
+++ b/src/fleet/_crash_news.ts
@@ -38,9 +38,9 @@
   ): readonly crashRecords.CrashRecord[] {
     if (theirs === undefined) return NONE;
     this.take(theirs);
-    const known = new Set(theirs.map(crashRecords.describeRecord));
+    const known = new Set(theirs.map(crashRecords.createRecordKey));
     return this.#options.crashTable.list().filter((record) =>
-      !known.has(crashRecords.describeRecord(record))
+      !known.has(crashRecords.createRecordKey(record))
     );
   }
 }
--- a/src/fleet/_known_digest.ts
+++ b/src/fleet/_known_digest.ts
@@ -20,7 +20,7 @@
   const lines = [
     ...boxes.map((box) => `${box.id} ${boxRecords.describeContent(box)}`),
     ...present.map((server) =>
-      `${server.id} ${registry.describeContent(server)}`
+      `${server.id} ${registry.createContentKey(server)}`
     ),
   ];
   return crypto.createHash("sha1").update(lines.toSorted().join("\n"))
--- a/src/fleet/_sync_desk.ts
+++ b/src/fleet/_sync_desk.ts
@@ -32,7 +32,7 @@
         ? { kind: "differing", digest: this.#computeDigest() }
         : { kind: "named", ids },
       configurationVersion: configuration.getVersion(),
-      crashes: crashTable.describeContent(),
+      crashes: crashTable.getContentHash(),
     };
   }
 
@@ -41,7 +41,7 @@
     const { configuration, crashTable } = this.#options;
     const isNewer = configuration.getVersion() > request.configurationVersion;
     const knowsCrashes = request.crashes === undefined ||
-      request.crashes === crashTable.describeContent();
+      request.crashes === crashTable.getContentHash();
     return {
       ...this.#listWanted(request),
       configuration: isNewer ? configuration.getStored() : undefined,
--- a/src/fleet/fleet_link.ts
+++ b/src/fleet/fleet_link.ts
@@ -324,7 +324,7 @@
         break;
     }
     if (refresh.sequence <= known.sequence) return true;
-    if (registry.describeContent(known) !== refresh.content) return false;
+    if (registry.createContentKey(known) !== refresh.content) return false;
     const outcome = servers.merge({ ...known, sequence: refresh.sequence });
     if (outcome !== "old" && this.#own.isCore) {
       this.#relay.refreshServer(refresh);
--- a/src/fleet/fleet_link_test.ts
+++ b/src/fleet/fleet_link_test.ts
@@ -164,7 +164,7 @@
   it("repeats nothing to a box that knows the same", async () => {
     const first = fleet.boxes.get("c1");
     first?.takeHeartbeat(fixtures.createReport("s-1", 1));
-    first?.configuration.offer({ version: 7, text: "seven" });
+    first?.configuration.update({ version: 7, text: "seven" });
     first?.link.publishConfiguration();
     await fleet.extendBy(1_000);
     const asker = fleet.boxes.get("p1");
@@ -185,7 +185,7 @@
 
   it("brings a configuration to every box, also to one that starts late", async () => {
     const first = fleet.boxes.get("c1");
-    first?.configuration.offer({ version: 7, text: "seven" });
+    first?.configuration.update({ version: 7, text: "seven" });
     first?.link.publishConfiguration();
     await fleet.extendBy(200);
     fleet.start("p3", false);
--- a/src/fleet/news.ts
+++ b/src/fleet/news.ts
@@ -110,5 +110,5 @@
   server: registry.ServerReport,
 ): ServerRefresh {
   const { id, born, sequence } = server;
-  return { id, born, sequence, content: registry.describeContent(server) };
+  return { id, born, sequence, content: registry.createContentKey(server) };
 }
--- a/src/fleet_daemon/box_parts.ts
+++ b/src/fleet_daemon/box_parts.ts
@@ -39,7 +39,7 @@
   readonly peers: fleet.PeerPool;
   readonly directory: fleet.BoxDirectory;
   readonly servers: registry.ServerRegistry;
-  readonly refusedReports: registry.RefusedReports;
+  readonly refusedReports: registry.RefusalRecorder;
   /** Tells whether a configuration names a service; true while there is none. */
   readonly isService: (name: string) => boolean;
   readonly configuration: trafficConfig.ConfigurationHolder;
@@ -71,7 +71,7 @@
     clock,
     log,
     metrics: boxMetrics,
-    refusedReports: new registry.RefusedReports({
+    refusedReports: new registry.RefusalRecorder({
       clock,
       log,
       metrics: boxMetrics,
@@ -93,7 +93,7 @@
   };
   const link: fleet.FleetLink = createLink(
     shared,
-    (record) => crashGuard.learn(record),
+    (record) => crashGuard.mergeRemoteRecord(record),
   );
   const crashGuard = createCrashGuard(shared, link);
   const forwarder = new forwarding.Forwarder({
@@ -119,7 +119,7 @@
     table: parts.crashTable,
     findPortState: httpClient.findPortState,
     publish: (record) => link.publishCrash(record),
-    ...crashGuards.createGrantCalls(stores),
+    ...crashGuards.createGrantClient(stores),
   });
 }
 
--- a/src/fleet_daemon/control_calls.ts
+++ b/src/fleet_daemon/control_calls.ts
@@ -18,7 +18,7 @@
   readonly dialect: dialects.Dialect;
   readonly directory: fleet.BoxDirectory;
   readonly servers: registry.ServerRegistry;
-  readonly refusedReports: Pick<registry.RefusedReports, "note">;
+  readonly refusedReports: Pick<registry.RefusalRecorder, "record">;
   /** Tells whether a configuration names a service; true while there is none. */
   readonly isService: (name: string) => boolean;
   readonly link: fleet.FleetLink;
@@ -47,7 +47,7 @@
       case "leave":
         return this.#takeLeave(call.lifetime);
       case "badReport":
-        this.#options.refusedReports.note(call.refusal);
+        this.#options.refusedReports.record(call.refusal);
         return dialect.formatFailure(call.failure);
       case "putConfiguration":
         return await this.#putConfiguration(call.stored);
@@ -83,7 +83,7 @@
   /** The others are told before the server is, so that they know by then. */
   #takeHeartbeat(report: registry.ServerReport): dialects.RawAnswer {
     const { servers, link, log, dialect, clock, isService } = this.#options;
-    const refusal = registry.findRefusal(report, {
+    const refusal = registry.validateReport(report, {
       known: servers.get(report.id),
       wallMs: clock.getWallMs(),
       isService,
@@ -113,7 +113,7 @@
 
   /** Its sender goes on to another box, which may know better. */
   #refuseReport(refusal: registry.ReportRefusal): dialects.RawAnswer {
-    this.#options.refusedReports.note(refusal);
+    this.#options.refusedReports.record(refusal);
     return this.#refuse(
       "malformedBody",
       `Cannot take the report: ${refusal.field} is at fault`,
--- a/src/fleet_daemon/entry_box.ts
+++ b/src/fleet_daemon/entry_box.ts
@@ -159,7 +159,7 @@
       delayMs: 0,
       action: () => {
         const stored = machine.getStored();
-        if (stored === undefined || !configuration.offer(stored)) return;
+        if (stored === undefined || !configuration.update(stored)) return;
         link.publishConfiguration();
       },
     });
--- a/src/fleet_daemon/store_box.ts
+++ b/src/fleet_daemon/store_box.ts
@@ -25,7 +25,7 @@
   readonly #capacity: capacity.Autoscaler | undefined;
   readonly #orders: weightOrders.WeightOrderScheduler;
   readonly #knownEngines: weightOrders.EngineTracker;
-  readonly #crashKeeper: crashGuards.CrashKeeper;
+  readonly #crashKeeper: crashGuards.CrashReplicator;
   readonly #parts: boxParts.BoxParts;
   readonly #machine: submissions.SubmissionMachine;
   readonly #ages: submissions.SubmissionAges;
@@ -113,7 +113,7 @@
     });
   }
 
-  #createCrashKeeper(): crashGuards.CrashKeeper {
+  #createCrashKeeper(): crashGuards.CrashReplicator {
     const { link, crashTable, crashGuard } = this.#parts;
     const shared = {
       ...this.#parts,
@@ -121,10 +121,10 @@
       machine: this.#machine,
       table: crashTable,
     };
-    return new crashGuards.CrashKeeper({
+    return new crashGuards.CrashReplicator({
       ...shared,
       guard: crashGuard,
-      desk: new crashGuards.GrantDesk(shared),
+      grants: new crashGuards.GrantService(shared),
       publish: (record) => link.publishCrash(record),
     });
   }
@@ -157,7 +157,7 @@
       policy,
       endpoint,
       countNeededSlots: (service, leastMs) =>
-        this.#dispatcher.countNeededPlaces(service, leastMs),
+        this.#dispatcher.computeRequiredSlots(service, leastMs),
     });
   }
 
--- a/src/forwarding/_job_crash_guard.ts
+++ b/src/forwarding/_job_crash_guard.ts
@@ -22,7 +22,7 @@
 
 /** Verdict that the work must not be sent now. */
 export type HeldBack = Extract<
-  crashRecords.WorkVerdict,
+  crashRecords.RunDecision,
   { readonly kind: "heldBack" }
 >;
 
@@ -40,11 +40,11 @@
   readonly clock: clocks.Clock;
   readonly crashGuard: Pick<
     crashGuards.CrashGuard,
-    | "judge"
-    | "noteClosed"
-    | "noteEnded"
-    | "noteServed"
-    | "noteHeldBack"
+    | "decideRun"
+    | "recordConnectionLoss"
+    | "recordCrash"
+    | "recordSuccess"
+    | "recordHeldBack"
     | "askGrant"
     | "endGrant"
   >;
@@ -64,8 +64,8 @@
   }
 
   /** Returns whether the work may be sent, by the crashes known to this box. */
-  getVerdict(): crashRecords.WorkVerdict {
-    return this.#options.crashGuard.judge(() => this.getDigest());
+  getVerdict(): crashRecords.RunDecision {
+    return this.#options.crashGuard.decideRun(() => this.getDigest());
   }
 
   /** Returns the digest of the work, computed on first use. */
@@ -154,30 +154,30 @@
   ): Promise<void> {
     const { crashGuard } = this.#options;
     if (outcome.kind === "broken" && outcome.isLifetimeEnded === true) {
-      crashGuard.noteEnded(server, this.#describeWork());
+      crashGuard.recordCrash(server, this.#describeWork());
     } else if (outcome.kind === "broken" && outcome.isClosed) {
-      await crashGuard.noteClosed(server, this.#describeWork());
+      await crashGuard.recordConnectionLoss(server, this.#describeWork());
     } else if (
       outcome.kind === "answered" && this.getVerdict().kind !== "free"
     ) {
-      crashGuard.noteServed(this.#describeWork());
+      crashGuard.recordSuccess(this.#describeWork());
     }
   }
 
   /** Counts and logs that the job was answered without being sent. */
   recordHeldBack(ended: number, returnMs: number): void {
-    this.#options.crashGuard.noteHeldBack(
+    this.#options.crashGuard.recordHeldBack(
       this.#describeWork(),
       ended,
       returnMs,
     );
   }
 
-  #describeWork(): crashGuards.WorkName {
+  #describeWork(): crashGuards.WorkDescription {
     const { requestId, sender, service, target } = this.#job;
     return {
       digest: this.getDigest(),
-      carrier: requestId,
+      requestId: requestId,
       account: accounts.getAccountName(sender),
       service,
       target,
--- a/src/forwarding/_watched_attempt.ts
+++ b/src/forwarding/_watched_attempt.ts
@@ -14,7 +14,7 @@
  * @returns The outcome of the attempt.
  */
 export async function sendWatched(
-  servers: Pick<registry.ServerRegistry, "watch" | "markAbsent">,
+  servers: Pick<registry.ServerRegistry, "watch" | "markUnavailable">,
   options: attempts.AttemptOptions,
   sendAttempt: typeof attempts.sendAttempt = attempts.sendAttempt,
 ): Promise<jobs.AttemptOutcome> {
@@ -26,7 +26,7 @@
   const outcome = await sendAttempt(options);
   endWatch();
   if (outcome.kind === "notRun" && outcome.isWrongServer === true) {
-    servers.markAbsent(options.server);
+    servers.markUnavailable(options.server);
   }
   if (!hasRestarted || outcome.kind !== "broken") return outcome;
   return { ...outcome, reason: RESTART_REASON, isLifetimeEnded: true };
--- a/src/forwarding/crash_replay_test.ts
+++ b/src/forwarding/crash_replay_test.ts
@@ -21,9 +21,9 @@
  * known.
  */
 const MAX_ENDED_BY_SHARE: Readonly<Record<number, number>> = {
-  0.01: crashRecords.MAX_ENDED,
-  0.05: crashRecords.MAX_ENDED,
-  0.2: crashRecords.MAX_ENDED + 1,
+  0.01: crashRecords.MAX_CONSECUTIVE_CRASHES,
+  0.05: crashRecords.MAX_CONSECUTIVE_CRASHES,
+  0.2: crashRecords.MAX_CONSECUTIVE_CRASHES + 1,
 };
 
 const FEW: Omit<crashReplays.CrashPattern, "badShare"> = {
@@ -82,7 +82,7 @@
     const guarded = await crashReplays.replayCrashes(pattern, 1);
     const unguarded = await crashReplays.replayCrashes(pattern, 1, false);
     chai.expect(unguarded.mostEnded).to.be.greaterThan(
-      3 * crashRecords.MAX_ENDED,
+      3 * crashRecords.MAX_CONSECUTIVE_CRASHES,
     );
     chai.expect(getShareInTarget(unguarded)).to.be.lessThan(
       getShareInTarget(guarded) / 2,
--- a/src/forwarding/crashing_work_test.ts
+++ b/src/forwarding/crashing_work_test.ts
@@ -173,7 +173,7 @@
     chai.expect((await send("good")).kind).to.equal("answered");
     const [record] = table.list();
     chai.expect(record?.ended).to.deep.equal(["s0"]);
-    chai.expect(crashRecords.countEnded(record)).to.equal(0);
+    chai.expect(crashRecords.countConsecutiveCrashes(record)).to.equal(0);
   });
 
   it("reports work that was sent before as failed, as it may have run", async () => {
--- a/src/registry/lifetime.ts
+++ b/src/registry/lifetime.ts
@@ -20,9 +20,9 @@
  * Clocks of boxes and servers may differ by seconds; a start taken from further
  * ahead would hide every true one until then.
  */
-const MAX_AHEAD_MS = 60_000;
+const MAX_CLOCK_SKEW_MS = 60_000;
 /** The same for an id that hides no other start, in ms. */
-const MAX_AHEAD_UNKNOWN_MS = 1_800_000;
+const MAX_UNKNOWN_CLOCK_SKEW_MS = 1_800_000;
 
 /**
  * Says which of two starts of one server came first. A start that tells its
@@ -82,7 +82,7 @@
 ): boolean {
   const { born } = lifetime;
   if (born === undefined) return true;
-  if (known === undefined) return born <= wallMs + MAX_AHEAD_UNKNOWN_MS;
+  if (known === undefined) return born <= wallMs + MAX_UNKNOWN_CLOCK_SKEW_MS;
   const isKnown = compareLifetimes(lifetime, known) === "same";
-  return isKnown || born <= wallMs + MAX_AHEAD_MS;
+  return isKnown || born <= wallMs + MAX_CLOCK_SKEW_MS;
 }
--- a/src/registry/mod.ts
+++ b/src/registry/mod.ts
@@ -9,8 +9,8 @@
  * ```
  * @module
  */
-export * from "./check_report.ts";
+export * from "./validate_report.ts";
 export * from "./lifetime.ts";
-export * from "./refused_reports.ts";
+export * from "./refusal_recorder.ts";
 export * from "./registered_server.ts";
 export * from "./server_registry.ts";
--- a/src/registry/refused_reports.ts
+++ b/src/registry/refusal_recorder.ts
@@ -26,12 +26,12 @@
 }
 
 /** A report that was read, or why it can't be. */
-export type ReportReading<T> =
+export type ParsedReport<T> =
   | { readonly kind: "ok"; readonly value: T }
   | { readonly kind: "refused"; readonly refusal: ReportRefusal };
 
 /** What the note of refused reports needs. */
-export interface RefusedReportsOptions {
+export interface RefusalRecorderOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly metrics: {
@@ -40,45 +40,49 @@
 }
 
 /** Time in which a server's fault is logged once, in ms. */
-const REPEAT_MS = 10_000;
+const LOG_INTERVAL_MS = 10_000;
 /** Faults that are logged in that time at most, whatever bears them. */
-const MAX_LINES = 32;
+const MAX_LOGGED_REFUSALS = 32;
 /** Characters of an id or a field in a log line at most. */
-const MAX_CHARACTERS = 80;
+const MAX_TEXT_LENGTH = 80;
 
 /**
  * Counts reports that were not taken, and logs them within bounds: another
  * writer may send any number under any name.
  */
-export class RefusedReports {
-  readonly #options: RefusedReportsOptions;
+export class RefusalRecorder {
+  readonly #options: RefusalRecorderOptions;
   readonly #logged = new Set<string>();
-  #sinceMs = Number.NEGATIVE_INFINITY;
+  #intervalStartMs = Number.NEGATIVE_INFINITY;
 
-  constructor(options: RefusedReportsOptions) {
+  constructor(options: RefusalRecorderOptions) {
     this.#options = options;
   }
 
   /** Counts a refused report, and logs it where its fault is news. */
-  note({ server, reason, field }: ReportRefusal): void {
+  record({ server, reason, field }: ReportRefusal): void {
     const { clock, log, metrics } = this.#options;
     metrics.countRefusedReport(reason);
     const nowMs = clock.getMonotonicMs();
-    if (nowMs - this.#sinceMs >= REPEAT_MS) {
-      this.#sinceMs = nowMs;
+    if (nowMs - this.#intervalStartMs >= LOG_INTERVAL_MS) {
+      this.#intervalStartMs = nowMs;
       this.#logged.clear();
     }
-    const fault = `${reason} ${trimText(field)} ${trimText(server)}`;
-    if (this.#logged.size >= MAX_LINES || this.#logged.has(fault)) return;
-    this.#logged.add(fault);
+    const refusalKey = `${reason} ${truncateText(field)} ${
+      truncateText(server)
+    }`;
+    if (
+      this.#logged.size >= MAX_LOGGED_REFUSALS || this.#logged.has(refusalKey)
+    ) return;
+    this.#logged.add(refusalKey);
     log.write("warn", "report.refused", {
-      server: trimText(server),
+      server: truncateText(server),
       reason,
-      field: trimText(field),
+      field: truncateText(field),
     });
   }
 }
 
-function trimText(text: string): string {
-  return text.slice(0, MAX_CHARACTERS);
+function truncateText(text: string): string {
+  return text.slice(0, MAX_TEXT_LENGTH);
 }
--- a/src/registry/registered_server.ts
+++ b/src/registry/registered_server.ts
@@ -1,7 +1,7 @@
 import * as lifetimes from "./lifetime.ts";
 
 /** A model that an engine holds. */
-export interface HeldModel {
+export interface LoadedModel {
   readonly name: string;
   readonly version: number;
 }
@@ -27,7 +27,7 @@
   /** Rises with each heartbeat of this start. */
   readonly sequence: number;
   /** Empty for servers that are no engines. */
-  readonly models: readonly HeldModel[];
+  readonly models: readonly LoadedModel[];
 }
 
 /** One start of a backend server, as this box knows it. */
@@ -51,7 +51,7 @@
  * @param report The report.
  * @returns The server as this box knows it.
  */
-export function registerServer(report: ServerReport): RegisteredServer {
+export function createRegisteredServer(report: ServerReport): RegisteredServer {
   const lifetime = lifetimes.createLifetimeKey(report);
   // Field by field: with copies by spread, a choice among 1,800 servers took
   // 495 us instead of 380 (`npm run bench -- load`).
@@ -79,7 +79,9 @@
  * @param lifetime The start that has gone.
  * @returns A report that only says so.
  */
-export function createGone({ id, born }: lifetimes.Lifetime): ServerReport {
+export function createGoneReport(
+  { id, born }: lifetimes.Lifetime,
+): ServerReport {
   return {
     id,
     born,
@@ -106,10 +108,10 @@
  * @param models What the later start holds.
  * @returns The report.
  */
-export function createReborn(
+export function createRestartReport(
   known: ServerReport,
   born: number,
-  models: readonly HeldModel[],
+  models: readonly LoadedModel[],
 ): ServerReport {
   return {
     ...known,
@@ -130,7 +132,7 @@
  * @param right Another one.
  * @returns What both together say.
  */
-export function mergeServers(
+export function mergeReports(
   left: ServerReport,
   right: ServerReport,
 ): ServerReport {
@@ -149,9 +151,9 @@
  * @param server The report.
  * @returns A short text.
  */
-export function describeContent(server: ServerReport): string {
+export function createContentKey(server: ServerReport): string {
   const { phase, service, address, port, models } = server;
-  const held = models.map((model) => `${model.name}:${model.version}`);
+  const loadedModels = models.map((model) => `${model.name}:${model.version}`);
   const start = server.born === undefined ? [] : [server.born];
-  return [phase, service, address, port, ...start, ...held].join(" ");
+  return [phase, service, address, port, ...start, ...loadedModels].join(" ");
 }
--- a/src/registry/registry_test.ts
+++ b/src/registry/registry_test.ts
@@ -2,8 +2,8 @@
 import * as fastCheck from "fast-check";
 import * as clocks from "../clock/mod.ts";
 import * as logs from "../log/mod.ts";
-import * as checkReport from "./check_report.ts";
-import * as refusedReports from "./refused_reports.ts";
+import * as reportValidation from "./validate_report.ts";
+import * as refusalRecorders from "./refusal_recorder.ts";
 import * as registeredServers from "./registered_server.ts";
 import * as serverFixtures from "../fixtures/create_server.ts";
 import * as serverRegistries from "./server_registry.ts";
@@ -18,12 +18,12 @@
 });
 
 /** A start that is told by its id alone. */
-const UNBORN = { id: "i-1", born: undefined };
+const NO_START_TIME = { id: "i-1", born: undefined };
 
 function report(
   changes: Partial<registeredServers.RegisteredServer>,
 ): registeredServers.RegisteredServer {
-  return registeredServers.registerServer({ ...SERVER, ...changes });
+  return registeredServers.createRegisteredServer({ ...SERVER, ...changes });
 }
 
 describe("registry", () => {
@@ -60,13 +60,13 @@
     servers.merge(report({ sequence: 5, phase: "draining" }));
     servers.merge(report({ sequence: 4 }));
     chai.expect(servers.listReady("lm")).to.deep.equal([]);
-    servers.markGone(UNBORN);
+    servers.markGone(NO_START_TIME);
     servers.merge(report({ sequence: 6 }));
     chai.expect(servers.listReady("lm")).to.deep.equal([]);
   });
 
   it("remembers that a server left before anything else was heard of it", () => {
-    servers.markGone(UNBORN);
+    servers.markGone(NO_START_TIME);
     servers.merge(report({ sequence: 9 }));
     chai.expect(servers.get("i-1")?.phase).to.equal("gone");
   });
@@ -78,7 +78,7 @@
     // and were refused with 421 over 3 s, and a step came 2 s late.
     servers.merge(report({ sequence: 5 }));
     servers.merge(report({ id: "i-2" }));
-    servers.markAbsent(servers.get("i-1")!);
+    servers.markUnavailable(servers.get("i-1")!);
     const listed = servers.listReady("lm").map((item) => item.id);
     chai.expect(listed).to.deep.equal(["i-2"]);
     servers.merge(report({ sequence: 5 }));
@@ -91,7 +91,7 @@
     servers.merge(report({ born: 1 }));
     const former = servers.get("i-1")!;
     servers.merge(report({ born: 2 }));
-    servers.markAbsent(former);
+    servers.markUnavailable(former);
     chai.expect(servers.listReady("lm")).to.have.length(1);
   });
 
@@ -159,7 +159,7 @@
 
     it("takes a notice without a start for one of the start that is known", () => {
       servers.merge(LATER);
-      servers.markGone(UNBORN);
+      servers.markGone(NO_START_TIME);
       chai.expect(servers.listReady("lm")).to.deep.equal([]);
       chai.expect(servers.get("i-1")?.born).to.equal(2_000);
     });
@@ -195,76 +195,88 @@
     });
 
     it("tells each watcher of a start once that it is replaced", () => {
-      let told = 0;
+      let notifications = 0;
       servers.merge(FIRST);
       const { lifetime } = servers.get("i-1")!;
-      const endWatch = servers.watch(lifetime, () => told += 100);
-      servers.watch(lifetime, () => told += 1);
+      const endWatch = servers.watch(lifetime, () => notifications += 100);
+      servers.watch(lifetime, () => notifications += 1);
       endWatch();
       servers.merge(report({ born: 1_000, sequence: 501 }));
-      chai.expect(told).to.equal(0);
+      chai.expect(notifications).to.equal(0);
       servers.merge(LATER);
       servers.merge(report({ born: 3_000 }));
-      chai.expect(told).to.equal(1);
+      chai.expect(notifications).to.equal(1);
     });
   });
 
   describe("checks a report that can be read", () => {
-    const CHECK = {
+    const CONTEXT = {
       known: report({ born: 1_000 }),
       wallMs: 100_000,
       isService: (name: string): boolean => name === "lm",
     };
 
-    function find(
+    function findRefusalReason(
       changes: Partial<registeredServers.RegisteredServer>,
-      check = CHECK,
+      check = CONTEXT,
     ) {
-      return checkReport.findRefusal(report(changes), check)?.reason;
+      return reportValidation.validateReport(report(changes), check)?.reason;
     }
 
     it("takes what fits its start, and a start that lies a little ahead", () => {
-      chai.expect(find({ born: 1_000 })).to.equal(undefined);
-      chai.expect(find({})).to.equal(undefined);
-      chai.expect(find({ born: 130_000 })).to.equal(undefined);
-      chai.expect(find({ born: 2_000, port: 9 })).to.equal(undefined);
+      chai.expect(findRefusalReason({ born: 1_000 })).to.equal(undefined);
+      chai.expect(findRefusalReason({})).to.equal(undefined);
+      chai.expect(findRefusalReason({ born: 130_000 })).to.equal(undefined);
+      chai.expect(findRefusalReason({ born: 2_000, port: 9 })).to.equal(
+        undefined,
+      );
     });
 
     it("refuses a start far ahead, which would hide the true ones", () => {
-      chai.expect(find({ born: 170_000 })).to.equal("start");
+      chai.expect(findRefusalReason({ born: 170_000 })).to.equal("start");
     });
 
     // A box whose time of day had been set back by some minutes refused the reports
     // and the notices of leaving of all servers that had started since then.
     it("takes known starts and new servers though this box's clock is behind", () => {
-      const behind = { ...CHECK, wallMs: -300_000 };
-      chai.expect(find({ born: 1_000 }, behind)).to.equal(undefined);
-      const unheard = { ...behind, known: undefined };
-      chai.expect(checkReport.findRefusal(report({ born: 1_000 }), unheard))
+      const behind = { ...CONTEXT, wallMs: -300_000 };
+      chai.expect(findRefusalReason({ born: 1_000 }, behind)).to.equal(
+        undefined,
+      );
+      const unknownServer = { ...behind, known: undefined };
+      chai.expect(
+        reportValidation.validateReport(report({ born: 1_000 }), unknownServer),
+      )
         .to.equal(undefined);
       const days = 86_400_000;
       chai.expect(
-        checkReport.findRefusal(report({ born: days }), unheard)?.reason,
+        reportValidation.validateReport(report({ born: days }), unknownServer)
+          ?.reason,
       ).to.equal("start");
     });
 
     it("refuses a service that is not configured, or not that of the start", () => {
-      chai.expect(find({ service: "none" })).to.equal("service");
-      const check = { ...CHECK, isService: () => true };
-      chai.expect(find({ born: 1_000, service: "other" }, check)).to.equal(
-        "service",
-      );
+      chai.expect(findRefusalReason({ service: "none" })).to.equal("service");
+      const check = { ...CONTEXT, isService: () => true };
+      chai.expect(findRefusalReason({ born: 1_000, service: "other" }, check))
+        .to.equal(
+          "service",
+        );
     });
 
     it("refuses another address of the same start", () => {
-      chai.expect(find({ born: 1_000, port: 9 })).to.equal("address");
+      chai.expect(findRefusalReason({ born: 1_000, port: 9 })).to.equal(
+        "address",
+      );
     });
 
     it("takes the first report after a notice that came before it", () => {
-      const known = registeredServers.registerServer(
-        registeredServers.createGone({ id: "i-1", born: undefined }),
+      const known = registeredServers.createRegisteredServer(
+        registeredServers.createGoneReport({ id: "i-1", born: undefined }),
+      );
+      chai.expect(findRefusalReason({}, { ...CONTEXT, known })).to.equal(
+        undefined,
       );
-      chai.expect(find({}, { ...CHECK, known })).to.equal(undefined);
     });
   });
 
@@ -272,7 +284,7 @@
     it("counts each, and logs a fault once in a while and few in all", () => {
       const lines: string[] = [];
       const counts: string[] = [];
-      const refused = new refusedReports.RefusedReports({
+      const refused = new refusalRecorders.RefusalRecorder({
         clock,
         log: new logs.Log("box", "info", (line) => lines.push(line)),
         metrics: { countRefusedReport: (reason) => counts.push(reason) },
@@ -282,20 +294,20 @@
         reason: "field",
         field: "slots",
       } as const;
-      for (let turn = 0; turn < 5; turn += 1) refused.note(refusal);
+      for (let turn = 0; turn < 5; turn += 1) refused.record(refusal);
       chai.expect(lines).to.have.length(1);
       chai.expect(lines[0]).to.contain(
         "event=report.refused box=box server=i-1 reason=field field=slots",
       );
       for (let index = 0; index < 500; index += 1) {
-        refused.note({ ...refusal, server: "x".repeat(index) });
+        refused.record({ ...refusal, server: "x".repeat(index) });
       }
       chai.expect(counts).to.have.length(505);
       chai.expect(lines.length).to.be.lessThan(40);
       chai.expect(Math.max(...lines.map((line) => line.length))).to.be
         .lessThan(250);
       clock.extendBy(10_000);
-      refused.note(refusal);
+      refused.record(refusal);
       chai.expect(lines.at(-1)).to.contain("server=i-1 ");
     });
   });
--- a/src/registry/server_registry.ts
+++ b/src/registry/server_registry.ts
@@ -3,21 +3,21 @@
 import * as registeredServers from "./registered_server.ts";
 
 /** How long a server that has gone, or fell silent, is remembered, in ms. */
-const FORGET_MS = 60_000;
+const RETENTION_MS = 60_000;
 /** Heartbeats that may be missed before a server is taken for dead. */
 const MISSED_HEARTBEATS = 2.6;
 
 /** A server silent for longer is not even tried where no other is left, in ms. */
-const HOPELESS_MS = 20_000;
+const FALLBACK_SILENCE_MS = 20_000;
 
 /** What a merged report changed. */
 export type MergeOutcome = "old" | "refreshed" | "changed";
 
 interface KnownServer {
   readonly server: registeredServers.RegisteredServer;
-  readonly heardAtMs: number;
+  readonly lastReportMs: number;
   /** Whether another server answered at its address since. */
-  readonly isAbsent: boolean;
+  readonly isUnavailable: boolean;
 }
 
 /** Backend servers as their heartbeats tell, wherever these arrived. */
@@ -64,7 +64,7 @@
         return this.#refresh(known.server, report);
       case "later":
         this.#set(report);
-        this.#tellReplaced(known.server);
+        this.#notifyReplaced(known.server);
         return "changed";
     }
   }
@@ -73,22 +73,22 @@
     known: registeredServers.RegisteredServer,
     report: registeredServers.ServerReport,
   ): MergeOutcome {
-    const server = registeredServers.mergeServers(known, report);
+    const server = registeredServers.mergeReports(known, report);
     const isNews = server.sequence > known.sequence ||
       server.phase !== known.phase;
     if (!isNews) return "old";
     this.#set(server);
-    const before = registeredServers.describeContent(known);
-    return registeredServers.describeContent(server) === before
+    const before = registeredServers.createContentKey(known);
+    return registeredServers.createContentKey(server) === before
       ? "refreshed"
       : "changed";
   }
 
   #set(report: registeredServers.ServerReport): void {
     this.#servers.set(report.id, {
-      server: registeredServers.registerServer(report),
-      heardAtMs: this.#clock.getMonotonicMs(),
-      isAbsent: false,
+      server: registeredServers.createRegisteredServer(report),
+      lastReportMs: this.#clock.getMonotonicMs(),
+      isUnavailable: false,
     });
   }
 
@@ -97,7 +97,7 @@
    * over until it is heard of again.
    * A start that is not the latest of its id is ignored.
    */
-  markAbsent(
+  markUnavailable(
     { id, lifetime }: Pick<
       registeredServers.RegisteredServer,
       "id" | "lifetime"
@@ -105,7 +105,7 @@
   ): void {
     const known = this.#servers.get(id);
     if (known?.server.lifetime !== lifetime) return;
-    this.#servers.set(id, { ...known, isAbsent: true });
+    this.#servers.set(id, { ...known, isUnavailable: true });
   }
 
   /**
@@ -120,12 +120,12 @@
   ): registeredServers.RegisteredServer {
     const known = this.#servers.get(notice.id)?.server;
     const born = notice.born ?? known?.born;
-    const gone = registeredServers.createGone({ id: notice.id, born });
+    const gone = registeredServers.createGoneReport({ id: notice.id, born });
     const isKnown = known !== undefined &&
       lifetimes.compareLifetimes(gone, known) === "same";
     this.merge(isKnown ? { ...known, phase: "gone" } : gone);
     return this.#servers.get(notice.id)?.server ??
-      registeredServers.registerServer(gone);
+      registeredServers.createRegisteredServer(gone);
   }
 
   /**
@@ -148,7 +148,7 @@
     };
   }
 
-  #tellReplaced(former: registeredServers.RegisteredServer): void {
+  #notifyReplaced(former: registeredServers.RegisteredServer): void {
     this.#onReplaced(former);
     const watchers = this.#watchers.get(former.lifetime);
     this.#watchers.delete(former.lifetime);
@@ -165,18 +165,18 @@
    * was, those that may still run though their heartbeats do not arrive.
    */
   listReady(service: string): readonly registeredServers.RegisteredServer[] {
-    const heard = this.#listHeard(service, this.#silenceMs);
+    const heard = this.#listReadySince(service, this.#silenceMs);
     if (heard.length > 0) return heard;
-    return this.#listHeard(service, HOPELESS_MS);
+    return this.#listReadySince(service, FALLBACK_SILENCE_MS);
   }
 
-  #listHeard(
+  #listReadySince(
     service: string,
     withinMs: number,
   ): readonly registeredServers.RegisteredServer[] {
     const sinceMs = this.#clock.getMonotonicMs() - withinMs;
     return [...this.#servers.values()]
-      .filter(({ server, heardAtMs, isAbsent }) =>
+      .filter(({ server, lastReportMs: heardAtMs, isUnavailable: isAbsent }) =>
         server.service === service && server.phase === "ready" &&
         heardAtMs >= sinceMs && !isAbsent
       )
@@ -186,8 +186,8 @@
   /** All remembered servers, those that have gone among them. */
   listAll(): readonly registeredServers.RegisteredServer[] {
     const nowMs = this.#clock.getMonotonicMs();
-    for (const [id, { heardAtMs }] of this.#servers) {
-      if (nowMs - heardAtMs > FORGET_MS) this.#servers.delete(id);
+    for (const [id, { lastReportMs: heardAtMs }] of this.#servers) {
+      if (nowMs - heardAtMs > RETENTION_MS) this.#servers.delete(id);
     }
     return [...this.#servers.values()].map(({ server }) => server);
   }
--- a/src/registry/check_report.ts
+++ b/src/registry/validate_report.ts
@@ -1,9 +1,9 @@
 import * as lifetimes from "./lifetime.ts";
-import type * as refusedReports from "./refused_reports.ts";
+import type * as refusalRecorders from "./refusal_recorder.ts";
 import type * as registeredServers from "./registered_server.ts";
 
 /** What a report is checked against. */
-export interface ReportCheck {
+export interface ReportContext {
   /** Latest start known under the same id. */
   readonly known: registeredServers.ServerReport | undefined;
   /** Wall time of this box, in ms. */
@@ -17,14 +17,14 @@
  * service and one address, so a report that changes them is not its own.
  *
  * @param report The report.
- * @param check What is known.
+ * @param context What is known.
  * @returns The refusal, or undefined for a report to take.
  */
-export function findRefusal(
+export function validateReport(
   report: registeredServers.ServerReport,
-  check: ReportCheck,
-): refusedReports.ReportRefusal | undefined {
-  const { known, wallMs, isService } = check;
+  context: ReportContext,
+): refusalRecorders.ReportRefusal | undefined {
+  const { known, wallMs, isService } = context;
   const { id: server } = report;
   if (!lifetimes.isPlausibleStart(report, known, wallMs)) {
     return { server, reason: "start", field: "born" };
@@ -38,9 +38,9 @@
   if (report.service !== known.service) {
     return { server, reason: "service", field: "service" };
   }
-  const isSamePlace = report.address === known.address &&
+  const isSameAddress = report.address === known.address &&
     report.port === known.port;
-  return isSamePlace
+  return isSameAddress
     ? undefined
     : { server, reason: "address", field: "address" };
 }
--- a/src/submission/submission_machine.ts
+++ b/src/submission/submission_machine.ts
@@ -204,7 +204,7 @@
         for (const engine of command.added) this.#keepEngine(engine);
         return KNOWN;
       case "keepCrashes":
-        this.#crashes.forget(command.nowMs);
+        this.#crashes.removeExpired(command.nowMs);
         for (const record of command.records) {
           this.#crashes.merge(record, command.nowMs);
         }
--- a/src/traffic_config/check_configuration.ts
+++ b/src/traffic_config/check_configuration.ts
@@ -5,13 +5,13 @@
 function findFault(
   configuration: configurations.Configuration,
 ): string | undefined {
-  const places = new Set<string>();
+  const paths = new Set<string>();
   for (const route of configuration.routes) {
     const fault = findRouteFault(route, configuration);
     if (fault !== undefined) return `route ${route.name}: ${fault}`;
-    const place = `${route.host} ${route.pathPrefix}`;
-    if (places.has(place)) return `two routes serve ${place}`;
-    places.add(place);
+    const path = `${route.host} ${route.pathPrefix}`;
+    if (paths.has(path)) return `two routes serve ${path}`;
+    paths.add(path);
   }
   for (const service of configuration.services.values()) {
     const fault = findScalingFault(service);
--- a/src/traffic_config/configuration_holder.ts
+++ b/src/traffic_config/configuration_holder.ts
@@ -20,7 +20,7 @@
   }
 
   /** Puts a configuration in force if it is newer; tells whether it is. */
-  offer(stored: configurations.StoredConfiguration): boolean {
+  update(stored: configurations.StoredConfiguration): boolean {
     if (stored.version <= this.getVersion()) return false;
     const parsed = this.#parse(stored.text);
     if (parsed.kind === "failure") {
--- a/src/traffic_config/configuration_machine.ts
+++ b/src/traffic_config/configuration_machine.ts
@@ -8,7 +8,7 @@
 }
 
 /** What became of a command. */
-export interface PutAnswer {
+export interface PutResult {
   /** Version held after the command. */
   readonly version: number;
 }
@@ -17,7 +17,7 @@
 export class ConfigurationMachine implements consensus.Machine {
   readonly #onChange: (stored: configurations.StoredConfiguration) => void;
   #stored: configurations.StoredConfiguration | undefined;
-  #toldVersion = 0;
+  #notifiedVersion = 0;
 
   /**
    * @param onChange Told of each configuration that replaces another. What a
@@ -34,10 +34,10 @@
     return this.#stored;
   }
 
-  apply(command: unknown): PutAnswer {
+  apply(command: unknown): PutResult {
     const { kind, stored } = command as Partial<PutConfiguration>;
     if (kind === "putConfiguration" && stored !== undefined) this.#put(stored);
-    this.#tell();
+    this.#notifyChange();
     return { version: this.#stored?.version ?? 0 };
   }
 
@@ -57,10 +57,10 @@
     this.#stored = stored;
   }
 
-  #tell(): void {
+  #notifyChange(): void {
     if (this.#stored === undefined) return;
-    if (this.#stored.version <= this.#toldVersion) return;
-    this.#toldVersion = this.#stored.version;
+    if (this.#stored.version <= this.#notifiedVersion) return;
+    this.#notifiedVersion = this.#stored.version;
     this.#onChange(this.#stored);
   }
 }
--- a/src/traffic_config/configuration_service.ts
+++ b/src/traffic_config/configuration_service.ts
@@ -1,10 +1,10 @@
 import type * as replicaGroups from "../replica_group/mod.ts";
 import type * as rpc from "../rpc/mod.ts";
 import type * as configurations from "./configuration.ts";
-import type * as machines from "./configuration_machine.ts";
+import type * as configurationMachines from "./configuration_machine.ts";
 
 /** Longest wait for a commit, in ms; operators try again after a second. */
-const COMMIT_MS = 850;
+const COMMIT_TIMEOUT_MS = 850;
 
 /** Names of the calls to the leader of the core boxes. */
 export const METHODS = {
@@ -35,7 +35,7 @@
 export interface ConfigurationServiceOptions {
   readonly server: rpc.MethodTable;
   readonly group: replicaGroups.ReplicaGroup;
-  readonly machine: machines.ConfigurationMachine;
+  readonly machine: configurationMachines.ConfigurationMachine;
 }
 
 /** Answers for the configuration while this core box leads. */
@@ -54,11 +54,14 @@
   async #put(request: PutRequest): Promise<PutReply> {
     const { group } = this.#options;
     if (!group.hasAuthority()) return group.createNotLeader();
-    const command: machines.PutConfiguration = {
+    const command: configurationMachines.PutConfiguration = {
       kind: "putConfiguration",
       stored: request.stored,
     };
-    const result = await group.propose<machines.PutAnswer>(command, COMMIT_MS);
+    const result = await group.propose<configurationMachines.PutResult>(
+      command,
+      COMMIT_TIMEOUT_MS,
+    );
     if (result.kind === "ok") {
       return { kind: "done", version: result.value.version };
     }
--- a/src/traffic_config/match_route.ts
+++ b/src/traffic_config/match_route.ts
@@ -29,19 +29,19 @@
  * Picks the service of one request by the weights of its route.
  *
  * @param route The route.
- * @param draw A number from 0 up to, but not including, 1.
+ * @param random A number from 0 up to, but not including, 1.
  * @returns The service's name.
  */
 export function pickService(
   route: configurations.Route,
-  draw: number,
+  random: number,
 ): string {
   const sum = route.targets.reduce((total, item) => total + item.weight, 0);
-  let left = draw * sum;
+  let remaining = random * sum;
   for (const target of route.targets) {
     if (target.weight <= 0) continue;
-    left -= target.weight;
-    if (left < 0) return target.service;
+    remaining -= target.weight;
+    if (remaining < 0) return target.service;
   }
   return route.targets.findLast((target) => target.weight > 0)?.service ?? "";
 }
--- a/src/traffic_config/traffic_config_test.ts
+++ b/src/traffic_config/traffic_config_test.ts
@@ -85,13 +85,13 @@
       { name: "long", pathPrefix: "/a/b/" },
       { name: "other", host: "b.example", pathPrefix: "/a/b/c/" },
     );
-    function find(host: string, path: string): string | undefined {
+    function findRouteName(host: string, path: string): string | undefined {
       return matchRoute.matchRoute(configuration, host, path)?.name;
     }
-    chai.expect(find("a.example", "/a/b/c/d?x=/a/")).to.equal("long");
-    chai.expect(find("a.example", "/a/c")).to.equal("r");
-    chai.expect(find("a.example", "/a")).to.equal(undefined);
-    chai.expect(find("c.example", "/a/b/")).to.equal(undefined);
+    chai.expect(findRouteName("a.example", "/a/b/c/d?x=/a/")).to.equal("long");
+    chai.expect(findRouteName("a.example", "/a/c")).to.equal("r");
+    chai.expect(findRouteName("a.example", "/a")).to.equal(undefined);
+    chai.expect(findRouteName("c.example", "/a/b/")).to.equal(undefined);
   });
 
   it("spreads requests by weight and never takes a service of weight 0", () => {
@@ -119,16 +119,16 @@
       () => results.createOk(createConfiguration({})),
       new logs.Log("box", "error", () => {}),
     );
-    chai.expect(holder.offer({ version: 5, text: "five" })).to.equal(true);
-    chai.expect(holder.offer({ version: 5, text: "other" })).to.equal(false);
-    chai.expect(holder.offer({ version: 4, text: "four" })).to.equal(false);
+    chai.expect(holder.update({ version: 5, text: "five" })).to.equal(true);
+    chai.expect(holder.update({ version: 5, text: "other" })).to.equal(false);
+    chai.expect(holder.update({ version: 4, text: "four" })).to.equal(false);
     chai.expect(holder.getStored()).to.deep.equal({ version: 5, text: "five" });
   });
 
   it("lets the highest version win in the log, over a restart too", () => {
-    const told: number[] = [];
+    const notifiedVersions: number[] = [];
     const machine = new configurationMachines.ConfigurationMachine((stored) =>
-      told.push(stored.version)
+      notifiedVersions.push(stored.version)
     );
     function put(version: number, text: string) {
       const stored = { version, text };
@@ -146,7 +146,7 @@
       version: 3,
       text: "three",
     });
-    chai.expect(told).to.deep.equal([3]);
+    chai.expect(notifiedVersions).to.deep.equal([3]);
   });
 
   it("tells of no configuration from the disk before a leader was heard", () => {
--- a/src/weight_orders/engine_restart_test.ts
+++ b/src/weight_orders/engine_restart_test.ts
@@ -106,7 +106,7 @@
       } as unknown as duties.DutyLease,
       machine,
       engines,
-      refusedReports: { note: () => {} },
+      refusedReports: { record: () => {} },
       isService: () => true,
       onLoading: () => {},
       onLoaded: () => {},
--- a/src/weight_orders/engine_tracker.ts
+++ b/src/weight_orders/engine_tracker.ts
@@ -25,7 +25,7 @@
     "hasAuthority" | "getTerm" | "propose"
   >;
   readonly machine: submissions.SubmissionMachine;
-  readonly refusedReports: Pick<registry.RefusedReports, "note">;
+  readonly refusedReports: Pick<registry.RefusalRecorder, "record">;
   readonly isService: listReadyEngines.IsConfiguredService;
   /** Called when a probe has found an engine before its first heartbeat. */
   readonly onDiscovered: () => void;
@@ -87,7 +87,7 @@
     } = this.#options;
     const reading = await orderClients.readReport(engine, dialect);
     if (this.#isStopped) return;
-    if (reading.kind === "refused") refusedReports.note(reading.refusal);
+    if (reading.kind === "refused") refusedReports.record(reading.refusal);
     const found = createReadyReport(engine, reading);
     log.write("info", "engine.asked", {
       server: engine.id,
--- a/src/weight_orders/engine_tracker_test.ts
+++ b/src/weight_orders/engine_tracker_test.ts
@@ -82,7 +82,7 @@
           Promise.resolve(results.createOk(machine.apply(command) as T)),
       },
       machine,
-      refusedReports: { note: () => {} },
+      refusedReports: { record: () => {} },
       isService: (name) => name !== "unnamed",
       onDiscovered: () => {
         discoveries += 1;
--- a/src/weight_orders/order_client.ts
+++ b/src/weight_orders/order_client.ts
@@ -67,7 +67,7 @@
 
 /** Outcome of reading an engine's report. */
 export type EngineReading =
-  | registry.ReportReading<dialects.EngineReport>
+  | registry.ParsedReport<dialects.EngineReport>
   /** A newer process of the engine responded. */
   | { readonly kind: "reborn"; readonly server: registry.ServerReport }
   /** No valid response, or one from an older process of the engine. */
@@ -105,7 +105,7 @@
     case "later":
       return {
         kind: "reborn",
-        server: registry.createReborn(engine, born, models),
+        server: registry.createRestartReport(engine, born, models),
       };
     case "former":
       return {
--- a/src/weight_orders/weight_order_scheduler.ts
+++ b/src/weight_orders/weight_order_scheduler.ts
@@ -35,7 +35,7 @@
   readonly duty: duties.DutyLease;
   readonly machine: submissions.SubmissionMachine;
   readonly engines: dispatch.EngineTable;
-  readonly refusedReports: Pick<registry.RefusedReports, "note">;
+  readonly refusedReports: Pick<registry.RefusalRecorder, "record">;
   readonly isService: listReadyEngines.IsConfiguredService;
   /** Called before an engine is ordered to load a model. */
   readonly onLoading: (
@@ -145,7 +145,7 @@
     const { servers, engines, isService } = this.#options;
     return listReadyEngines.listReadyEngines(servers, isService)
       .toSorted((a, b) =>
-        engines.getRunning(a.lifetime) - engines.getRunning(b.lifetime)
+        engines.getRunCount(a.lifetime) - engines.getRunCount(b.lifetime)
       );
   }
 
@@ -169,7 +169,7 @@
     } finally {
       this.#loads.end(engine.lifetime, isObserved);
       this.#busyEngines.delete(engine.lifetime);
-      this.#options.engines.setLoading(engine.lifetime, undefined);
+      this.#options.engines.setLoadingModel(engine.lifetime, undefined);
       this.#options.onLoaded();
     }
   }
@@ -195,7 +195,7 @@
       this.#loads.countRunning() >= this.#maxConcurrentLoads
     ) return false;
     this.#loads.begin(engine.lifetime);
-    engines.setLoading(engine.lifetime, model);
+    engines.setLoadingModel(engine.lifetime, model);
     this.#options.onLoading(engine, model);
     const order: dialects.VersionOrder = {
       model,
@@ -222,11 +222,13 @@
         await clocks.sleep(clock, this.#loads.getExpectedLoadMs());
         return await this.#awaitLoaded(load);
       case "held":
-        engines.prove(engine.lifetime, model, version);
+        engines.advanceVersion(engine.lifetime, model, version);
         return false;
       case "refused":
         this.#orderCounts.delete(engine.lifetime);
-        if (outcome.isMisdirected) this.#options.servers.markAbsent(engine);
+        if (outcome.isMisdirected) {
+          this.#options.servers.markUnavailable(engine);
+        }
         await clocks.sleep(clock, RETRY_DELAY_MS);
         return false;
       case "reborn":
@@ -284,7 +286,7 @@
     this.#orderCounts.set(engine.lifetime, reading.value.orders);
     if (reading.value.isBusy) return true;
     for (const { name, version } of reading.value.models) {
-      engines.prove(engine.lifetime, name, version);
+      engines.advanceVersion(engine.lifetime, name, version);
     }
     return true;
   }
@@ -306,7 +308,7 @@
         servers.merge(reading.server);
         return;
       case "refused":
-        return refusedReports.note(reading.refusal);
+        return refusedReports.record(reading.refusal);
       case "unread":
         log.write("info", "engine.unread", {
           server: engine.id,
