--- a/tools/bench/bench_dispatch.ts
+++ b/tools/bench/bench_dispatch.ts
@@ -21,7 +21,7 @@
 const SLOW_EVERY = 4;
 
 function createEngine(index: number): registry.RegisteredServer {
-  return registry.registerServer({
+  return registry.createRegisteredServer({
     id: `engine-${index}`,
     born: undefined,
     service: "lm",
@@ -88,14 +88,16 @@
 function measureRound(items: number, engineCount: number): Timing {
   const clock = new clocks.FakeClock(1_000);
   const table = new dispatch.EngineTable(clock);
-  const lengths = new dispatch.LengthEstimates();
+  const lengths = new dispatch.LengthEstimator();
   const engines = Array.from(
     { length: engineCount },
     (_, i) => createEngine(i),
   );
   engines.forEach((engine, index) => {
     const gapMs = index % SLOW_EVERY === 0 ? 120 : 37;
-    for (let event = 0; event < 50; event += 1) table.noteGap(engine, gapMs);
+    for (let event = 0; event < 50; event += 1) {
+      table.recordInterval(engine, gapMs);
+    }
   });
   const servers = { listReady: () => engines };
   const tasks = Array.from({ length: items }, (_, index) => createTask(index));
@@ -115,10 +117,10 @@
   const orderedMs = performance.now();
   const round = new dispatch.PlacementRound({ servers, engines: table });
   for (const task of ordered) {
-    const engine = round.choose("lm", task.getNeed());
+    const engine = round.reserveSlot("lm", task.getRequirements());
     if (engine === undefined) continue;
-    table.begin(engine.id);
-    task.beginRun({
+    table.addRun(engine.id);
+    task.startRun({
       engine: engine.id,
       cancellation: new csp.Cancellation(),
       startedAtMs: 0,
