--- a/src/traffic_config/check_configuration.ts
+++ b/src/traffic_config/check_configuration.ts
@@ -10,7 +10,9 @@
     const fault = findRouteFault(route, configuration);
     if (fault !== undefined) return `route ${route.name}: ${fault}`;
     const path = `${route.host} ${route.pathPrefix}`;
-    if (paths.has(path)) return `two routes serve ${path}`;
+    if (paths.has(path)) {
+      return `two routes serve ${path}`;
+    }
     paths.add(path);
   }
   for (const service of configuration.services.values()) {
@@ -52,10 +54,10 @@
 }
 
 /**
- * Checks that a configuration can be put in force.
+ * Checks the consistency of a parsed configuration.
  *
  * @param configuration The configuration.
- * @returns The same, or `badParameters` naming the first fault.
+ * @returns The same configuration, or `badParameters` with the first fault.
  */
 export function checkConfiguration(
   configuration: configurations.Configuration,
