--- a/src/replica_group/bootstrap_service_test.ts
+++ b/src/replica_group/bootstrap_service_test.ts
@@ -1,9 +1,9 @@
 import * as chai from "chai";
 import * as clocks from "../clock/mod.ts";
 import * as logs from "../log/mod.ts";
-import * as bootstrapServices from "./founding_desk.ts";
+import * as bootstrapServices from "./bootstrap_service.ts";
 
-function createRequest(id: string): bootstrapServices.Applicant {
+function createRequest(id: string): bootstrapServices.BootstrapRequest {
   return { group: "g", id, failureDomain: id, wanted: 3, least: 3 };
 }
 
@@ -13,14 +13,14 @@
   const server = { add: () => {} };
 
   it("waits for late requests and chooses the initial voters once", () => {
-    const service = new bootstrapServices.FoundingDesk({
+    const service = new bootstrapServices.BootstrapService({
       clock,
       log,
       server,
       isFirstStart: true,
     });
-    function sendRequest(id: string): bootstrapServices.FoundingReply {
-      return service.apply(createRequest(id));
+    function sendRequest(id: string): bootstrapServices.BootstrapReply {
+      return service.handleRequest(createRequest(id));
     }
     chai.expect(sendRequest("a").kind).to.equal("wait");
     clock.extendBy(5_000);
@@ -35,12 +35,14 @@
   });
 
   it("refuses requests if the process is not the first start of its box", () => {
-    const service = new bootstrapServices.FoundingDesk({
+    const service = new bootstrapServices.BootstrapService({
       clock,
       log,
       server,
       isFirstStart: false,
     });
-    chai.expect(service.apply(createRequest("a")).kind).to.equal("refused");
+    chai.expect(service.handleRequest(createRequest("a")).kind).to.equal(
+      "refused",
+    );
   });
 });
--- a/src/replica_group/group_state_machine_test.ts
+++ b/src/replica_group/group_state_machine_test.ts
@@ -18,7 +18,7 @@
 const COMMANDS_PER_PART = 10;
 
 /** Stores the duty holder and the retiring boxes, and counts load commands. */
-export class GroupStateMachine implements consensus.Machine {
+export class GroupStateMachine implements consensus.StateMachine {
   #holder: string | undefined;
   #retiring: readonly string[] = [];
   #loadCount = 0;
--- a/src/replica_group/plan_unadmitted_voter_test.ts
+++ b/src/replica_group/plan_unadmitted_voter_test.ts
@@ -24,17 +24,17 @@
 
 const UNADMITTED = createFollower("b", { matchIndex: 0, isAdmitted: false });
 
-const INPUT: planVoters.VoterSituation = {
+const INPUT: planVoters.VoterPlanInput = {
   self: "a",
   voters: ["a", "b", "c"],
   wanted: 3,
   commitIndex: COMMIT_INDEX,
-  reignMs: 60_000,
+  leadershipMs: 60_000,
   followers: [UNADMITTED, createFollower("c"), createFollower("d")],
   candidates: ["a", "b", "c", "d"],
   failureDomains: new Map([..."abcd"].map((id) => [id, `of ${id}`])),
   retiring: [],
-  deadMs: 3_000,
+  failureTimeoutMs: 3_000,
 };
 
 describe("voter plan with a responsive but unadmitted voter", () => {
--- a/src/replica_group/plan_voters_test.ts
+++ b/src/replica_group/plan_voters_test.ts
@@ -1,27 +1,27 @@
 import * as chai from "chai";
 import * as consensus from "../consensus/mod.ts";
-import * as bootstrapServices from "./founding_desk.ts";
+import * as bootstrapServices from "./bootstrap_service.ts";
 import * as planVoters from "./plan_voters.ts";
 
 function createFollower(id: string, silentMs = 10, matchIndex = 100) {
   return { id, matchIndex, silentMs, isAdmitted: true };
 }
 
-const INPUT: planVoters.VoterSituation = {
+const INPUT: planVoters.VoterPlanInput = {
   self: "a",
   voters: ["a", "b", "c"],
   wanted: 3,
   commitIndex: 100,
-  reignMs: 60_000,
+  leadershipMs: 60_000,
   followers: [createFollower("b"), createFollower("c"), createFollower("d")],
   candidates: ["a", "b", "c", "d"],
   failureDomains: new Map([..."abcdefg"].map((id) => [id, `of ${id}`])),
   retiring: [],
-  deadMs: 3_000,
+  failureTimeoutMs: 3_000,
 };
 
 function plan(
-  changes: Partial<planVoters.VoterSituation>,
+  changes: Partial<planVoters.VoterPlanInput>,
 ): readonly string[] | undefined {
   return planVoters.planVoters({ ...INPUT, ...changes });
 }
@@ -110,7 +110,7 @@
       ];
       return plan({ commitIndex, followers });
     }
-    const nearIndex = commitIndex - consensus.NEAR_ENTRIES;
+    const nearIndex = commitIndex - consensus.MAX_CAUGHT_UP_LAG_ENTRIES;
     chai.expect(planWith(createFollower("d", 10, nearIndex))).to.deep.equal(
       ["a", "b", "c", "d"],
     );
@@ -134,10 +134,10 @@
   });
 
   it("targets an odd number of voters, at least the minimum", () => {
-    chai.expect(planVoters.countWanted(3, 9, 2)).to.equal(3);
-    chai.expect(planVoters.countWanted(3, 9, 4)).to.equal(3);
-    chai.expect(planVoters.countWanted(3, 9, 8)).to.equal(7);
-    chai.expect(planVoters.countWanted(3, 9, 20)).to.equal(9);
+    chai.expect(planVoters.countTargetVoters(3, 9, 2)).to.equal(3);
+    chai.expect(planVoters.countTargetVoters(3, 9, 4)).to.equal(3);
+    chai.expect(planVoters.countTargetVoters(3, 9, 8)).to.equal(7);
+    chai.expect(planVoters.countTargetVoters(3, 9, 20)).to.equal(9);
   });
 
   it("spreads an odd number of initial voters over the failure domains", () => {
@@ -148,7 +148,7 @@
       wanted: 4,
       least: 3,
     }));
-    chai.expect(bootstrapServices.chooseFounders(requests)).to.deep.equal([
+    chai.expect(bootstrapServices.chooseInitialVoters(requests)).to.deep.equal([
       "e1",
       "n1",
       "s1",
--- a/src/replica_group/quorum_loss_log_test.ts
+++ b/src/replica_group/quorum_loss_log_test.ts
@@ -70,14 +70,14 @@
       failureDomain: id,
       dataFolder: box.folder,
       isFirstStart: false,
-      wanted: IDS.length,
-      least: IDS.length,
+      maxVoters: IDS.length,
+      minVoters: IDS.length,
       snapshotEntries: 4_096,
       seeds: [],
       clock,
       log: new logs.Log(id, "info", (line) => box.lines.push(line)),
       metrics: new metricTypes.FleetMetrics(),
-      machine: { apply: () => 0, save: () => [], restore: () => {} },
+      stateMachine: { apply: () => 0, save: () => [], restore: () => {} },
       directory: {
         listAlive: () => [],
         listAll: () => [],
@@ -146,7 +146,7 @@
 
   it("logs the admission of a wiped voter and then why there is no leader", async () => {
     for (const id of IDS) {
-      await consensus.makeDataFolder({
+      await consensus.initializeDataFolder({
         folder: getBox(id).folder,
         owner: id,
         wallMs: 1,
--- a/src/replica_group/simulated_cases_test.ts
+++ b/src/replica_group/simulated_cases_test.ts
@@ -94,10 +94,10 @@
     barrier: {} as readBarriers.ReadBarrier,
     getFailureDomain: () => undefined,
     id: leader,
-    machine: stateMachine as unknown as submissions.SubmissionMachine,
-    changed: new csp.Signal(),
+    stateMachine: stateMachine as unknown as submissions.SubmissionStateMachine,
+    stateChanged: new csp.Signal(),
     wantedVoters: MAX_VOTERS,
-    listStores: () => cluster.listIds(),
+    listStoreIds: () => cluster.listIds(),
   });
   const read = methods.get(submissions.METHODS.readRetire);
   const reply = read?.({ box } as never) as submissions.LeaderReply<
--- a/src/replica_group/simulated_disk_test.ts
+++ b/src/replica_group/simulated_disk_test.ts
@@ -21,7 +21,7 @@
 /** The methods of `DurableLog` that a replica driver calls. */
 type LogMethods = Pick<
   storage.DurableLog,
-  "append" | "compact" | "writeDraft" | "takeDraft" | "close"
+  "append" | "compact" | "writeSnapshotDraft" | "installSnapshotDraft" | "close"
 >;
 
 /** Syncs to replace the log by a snapshot, during which the process blocks. */
@@ -51,7 +51,7 @@
 
   /** Writes the initial records of an initial voter. */
   initialize(voters: readonly string[]): void {
-    this.#records = [...savedRecords.createFounding(voters, 0)];
+    this.#records = [...savedRecords.createBootstrapRecords(voters, 0)];
     this.#summary = undefined;
   }
 
@@ -93,12 +93,12 @@
     let draft: storage.StoredSnapshot | undefined;
     const log: LogMethods = {
       append: (records) => this.#append(process, toSaved(records)),
-      writeDraft: async (snapshot) => {
+      writeSnapshotDraft: async (snapshot) => {
         const durationMs = snapshot.parts.length / PARTS_PER_MS + this.syncMs;
         await this.#completeLater(process, durationMs, () => {});
         draft = snapshot;
       },
-      takeDraft: (records) => {
+      installSnapshotDraft: (records) => {
         if (draft === undefined) {
           throw new Error("takeDraft was called before writeDraft");
         }
