--- a/src/dialect/dialect.ts
+++ b/src/dialect/dialect.ts
@@ -4,36 +4,39 @@
 import type * as submissions from "../submission/mod.ts";
 import type * as trafficConfig from "../traffic_config/mod.ts";
 
-/** Headers by lower-case name. */
+/** HTTP headers, keyed by lower-case name. */
 export type HeaderMap = Readonly<
   Record<string, string | readonly string[] | undefined>
 >;
 
-/** A request as it came, before its meaning is known. */
+/** Head of an HTTP request as received, before it is decoded. */
 export interface RawRequest {
   readonly method: string;
-  /** Path with its query. */
+  /** Path and query string. */
   readonly target: string;
   readonly headers: HeaderMap;
 }
 
-/** An answer ready to be written. */
+/** An encoded HTTP response. */
 export interface RawAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string | Buffer;
-  /** Whether the end of the connection ends it, as nobody knows its length. */
-  readonly endsWithConnection?: boolean;
+  /**
+   * Whether the body has no known length and is ended by closing the
+   * connection.
+   */
+  readonly isCloseDelimited?: boolean;
 }
 
-/** A call of a server, an operator or a trainer to the control address. */
+/** A call by a server, an operator or a trainer to the control address. */
 export type ControlCall =
   | {
     readonly kind: "heartbeat";
     readonly report: registry.ServerReport;
   }
   | { readonly kind: "leave"; readonly lifetime: registry.Lifetime }
-  /** Something that a server is to have said, and that names none to use. */
+  /** A heartbeat or leave notice that can't be decoded. */
   | {
     readonly kind: "badReport";
     readonly refusal: registry.ReportRefusal;
@@ -54,14 +57,14 @@
   | { readonly kind: "malformed"; readonly failure: results.Failure }
   | { readonly kind: "unknown" };
 
-/** What a request at the caller address asks for. */
+/** The operation that a request to the caller address asks for. */
 export type CallerCall =
   | {
     readonly kind: "readResults";
     readonly submission: string;
-    /** Position of the first result wanted. */
+    /** Zero-based index of the first result to return. */
     readonly after: number;
-    /** How long the answer may be held until there is a result, in ms. */
+    /** Long-poll timeout: how long to wait for a first result, in ms. */
     readonly waitMs: number;
   }
   | {
@@ -70,162 +73,179 @@
     readonly item: string;
   }
   | { readonly kind: "endSubmission"; readonly submission: string }
-  /** A request for a backend server, or a submission, as its route says. */
+  /** A request to forward or a new submission, depending on its route. */
   | { readonly kind: "routed" };
 
-/** What a request for a backend server says of itself. */
+/** Fields decoded from the head of a request to a backend server. */
 export interface RequestHead {
   readonly requestId: string | undefined;
-  /** How long the caller will wait, in ms. */
+  /** Time that the caller waits for the response, in ms. */
   readonly deadlineMs: number | undefined;
-  /** Key of a client account, as it was sent. */
+  /** API key of the client account, not yet verified. */
   readonly key: string | undefined;
 }
 
-/** What this box sets on a request that it sends to a server. */
-export interface ForwardMarks {
+/** Values that this box sets on a request that it forwards to a server. */
+export interface ForwardMetadata {
   readonly requestId: string;
-  /** Whose request it is. */
+  /** Client account that the request belongs to, if any. */
   readonly sender: accounts.Sender;
-  /** Start of the server that is meant; another one must refuse. */
+  /** Id of the target server; a server with another id must refuse. */
   readonly server: string;
-  /** Time that the server has left, in ms. */
+  /** Remaining time until the deadline, in ms. */
   readonly deadlineMs?: number;
-  /** Event after which a stream goes on. */
+  /** Id of the last event received; a resumed stream starts after it. */
   readonly lastEventId?: number;
 }
 
-/** Load that a server tells with an answer. */
+/** Load that a server reports in the headers of a response. */
 export interface ServerLoad {
+  /** Number of requests being executed. */
   readonly running: number;
+  /** Number of queued requests. */
   readonly waiting: number;
   /**
-   * How much longer work takes at this moment than usual, for what else runs on
-   * the server's machine; 1 is as usual, and where nothing is told.
+   * Current execution time as a multiple of the usual one, raised by other
+   * processes on the server's host. 1 if the server reports no value.
    */
   readonly slowness: number;
 }
 
-/** What the head of a server's answer says. */
+/** Fields decoded from the head of a server's response. */
 export interface AnswerHead {
   readonly requestId: string | undefined;
-  /** Receipt of the server, which proves that the answer is its own. */
+  /** Receipt that identifies the server as the origin of the response. */
   readonly receipt: string | undefined;
-  /** Whether the server says that it did not run the request. */
+  /** Whether the server reports that it did not execute the request. */
   readonly isNotRun: boolean;
   readonly load: ServerLoad | undefined;
-  /** Weight version of the first tokens. */
+  /** Weight version that generated the first tokens. */
   readonly weightVersion: number | undefined;
 }
 
-/** An order to an engine to load a weight version. */
+/** Instructs an engine to load a weight version of a model. */
 export interface VersionOrder {
   readonly model: string;
   readonly version: number;
-  /** Box that gives the order. */
+  /** Name of the box that issues the order. */
   readonly holder: string;
-  /** Rises with each leader; engines may refuse a lower one. */
+  /** Fencing token, higher for each leader; engines may refuse a lower one. */
   readonly fence: number;
-  /** Whether runs end before the load, instead of going on under it. */
-  readonly letsRunsEnd: boolean;
-  /** Orders that the engine has taken so far, where known. */
-  readonly expectedOrders: number | undefined;
+  /**
+   * Whether the engine finishes its running requests before it loads the
+   * version; otherwise they continue with the new weights.
+   */
+  readonly waitsForRuns: boolean;
+  /**
+   * Number of orders that the engine must have accepted before this one;
+   * undefined if unknown.
+   */
+  readonly expectedOrderCount: number | undefined;
 }
 
-/** Marks of a call that one box at a time may make. */
-export interface DutyMarks {
-  /** Name of the box that calls. */
+/** Fields of a request that only the holder of a duty's lease may send. */
+export interface FencedRequest {
+  /** Name of the box that holds the lease. */
   readonly holder: string;
-  /** Rises with each change of the holder. */
+  /** Fencing token, higher for each new holder. */
   readonly fence: number;
 }
 
-/** A report of one window of usage to the infrastructure. */
-export interface UsageReport extends DutyMarks {
+/** Usage of one time window, reported to the infrastructure. */
+export interface UsageReport extends FencedRequest {
+  /** Index of the window. */
   readonly window: number;
-  /** Requests that began to run in it, by client account. */
+  /** Number of requests that started in the window, by client account. */
   readonly counts: Readonly<Record<string, number>>;
 }
 
-/** Asks the infrastructure for engines of a kind in a failure domain. */
-export interface CapacityOrder extends DutyMarks {
+/** Sets the desired number of engines of a service in a failure domain. */
+export interface CapacityOrder extends FencedRequest {
   readonly service: string;
+  /** Failure domain. */
   readonly domain: string;
+  /** Purchase option: on-demand (`lasting`) or spot. */
   readonly engines: "lasting" | "spot";
-  /** Number that there should be. */
+  /** Desired number of engines of this purchase option. */
   readonly desired: number;
 }
 
-/** State of an engine as it reports it, some hundred ms old. */
+/** State that an engine reports of itself; it may be slightly out of date. */
 export interface EngineReport {
-  /** When it started, in wall ms; undefined where it does not tell. */
+  /** Start time of the engine in Unix ms; undefined if not reported. */
   readonly born: number | undefined;
   readonly models: readonly registry.LoadedModel[];
-  /** Whether an order is being carried out. */
+  /** Whether the engine is executing a version order. */
   readonly isBusy: boolean;
-  /** Whether it is about to leave. */
+  /** Whether the engine is shutting down. */
   readonly isLeaving: boolean;
-  /** Orders taken since the engine's start. */
+  /** Number of orders accepted since the engine started. */
   readonly orders: number;
+  /** Number of requests being executed. */
   readonly running: number;
+  /** Number of queued requests. */
   readonly waiting: number;
 }
 
 /**
- * The words that a platform speaks: what it calls things, and how it writes
- * them. It decides nothing.
+ * Wire protocol of a platform: decodes and encodes its messages. It contains no
+ * rollout logic.
  */
 export interface Dialect {
-  /** Field of a stream event that tells a change of the weight version. */
+  /** Name of the stream event field that announces a new weight version. */
   readonly versionField: string;
   parseConfiguration: trafficConfig.ParseConfiguration;
   parseControlCall(request: RawRequest, body: Buffer): ControlCall;
   parseCallerCall(request: RawRequest): CallerCall;
   parseRequestHead(headers: HeaderMap): RequestHead;
-  /** Host name that a caller asks addresses for; undefined when malformed. */
+  /** Decodes a caller's query for box addresses; undefined if malformed. */
   parseAddressQuery(request: RawRequest): AddressQuery | undefined;
   parseSubmission(
     id: string,
     body: Buffer,
   ): results.Result<submissions.SubmissionDraft>;
   parseAnswerHead(headers: HeaderMap): AnswerHead;
-  /** @param server Id of the engine that was asked. */
+  /** @param server Id of the engine that sent the report. */
   parseEngineReport(
     body: Buffer,
     server: string,
   ): registry.ParsedReport<EngineReport>;
-  /** When the engine that answers an order started; undefined if unknown. */
+  /**
+   * Decodes the start time, in Unix ms, from an engine's response to an order;
+   * undefined if it contains none.
+   */
   parseOrderAnswer(body: Buffer): number | undefined;
-  /** Headers of a caller's request as a server gets them. */
+  /** Creates the headers of a caller's request as forwarded to a server. */
   createForwardHeaders(
     headers: HeaderMap,
-    marks: ForwardMarks,
+    metadata: ForwardMetadata,
   ): Readonly<Record<string, string>>;
-  createVersionOrder(order: VersionOrder, server: string): RawRequestWithBody;
-  createReportRequest(server: string): RawRequestWithBody;
-  createCapacityOrder(order: CapacityOrder): RawRequestWithBody;
-  createUsageReport(report: UsageReport): RawRequestWithBody;
+  createVersionOrder(order: VersionOrder, server: string): OutboundRequest;
+  createReportRequest(server: string): OutboundRequest;
+  createCapacityOrder(order: CapacityOrder): OutboundRequest;
+  createUsageReport(report: UsageReport): OutboundRequest;
   formatAddresses(
     addresses: readonly string[],
-    keepMs: number,
+    ttlMs: number,
   ): RawAnswer;
   formatDone(): RawAnswer;
   formatResults(page: submissions.ResultPage): RawAnswer;
   formatRetire(isCompleted: boolean): RawAnswer;
   formatConfiguration(text: string): RawAnswer;
-  /** Status of an accepted submission. */
+  /** Encodes the response to an accepted submission. */
   formatAccepted(): RawAnswer;
   formatItemBody(body: Buffer): RawAnswer;
   formatFailure(failure: results.Failure): RawAnswer;
 }
 
-/** A caller's question for addresses. */
+/** A caller's query for box addresses. */
 export interface AddressQuery {
+  /** Failure domain of the caller; empty if not given. */
   readonly failureDomain: string;
 }
 
-/** A request ready to be sent. */
-export interface RawRequestWithBody extends RawRequest {
+/** An encoded HTTP request to send. */
+export interface OutboundRequest extends RawRequest {
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string | undefined;
 }
--- a/src/dialect/mod.ts
+++ b/src/dialect/mod.ts
@@ -1,5 +1,7 @@
 /**
- * What a platform's adapter gives: its words as our types, and back.
+ * Interface between the service and the wire protocol of a platform. An
+ * implementation decodes the platform's messages into the types of this module
+ * and encodes them back.
  *
  * @example
  * ```ts
--- a/src/dispatch/dispatcher_test.ts
+++ b/src/dispatch/dispatcher_test.ts
@@ -21,7 +21,7 @@
   versionField: "version",
   createForwardHeaders: (
     headers: dialects.HeaderMap,
-    marks: dialects.ForwardMarks,
+    marks: dialects.ForwardMetadata,
   ) => ({ ...headers, id: marks.requestId }),
   parseAnswerHead: (headers: dialects.HeaderMap) => ({
     requestId: headers["id"],
--- a/src/fleet_daemon/_raw_listener.ts
+++ b/src/fleet_daemon/_raw_listener.ts
@@ -48,7 +48,7 @@
 ): void {
   if (response.headersSent || response.destroyed) return;
   const body = Buffer.from(answer.body);
-  if (answer.endsWithConnection === true) {
+  if (answer.isCloseDelimited === true) {
     response.useChunkedEncodingByDefault = false;
     response.writeHead(answer.status, {
       ...answer.headers,
--- a/src/fleet_daemon/caller_calls.ts
+++ b/src/fleet_daemon/caller_calls.ts
@@ -267,7 +267,7 @@
           status,
           headers: plainHeaders.toPlainHeaders(headers),
           body,
-          endsWithConnection: !isFramed,
+          isCloseDelimited: !isFramed,
         };
       }
       case "notRun":
--- a/src/item_run/item_run_test.ts
+++ b/src/item_run/item_run_test.ts
@@ -19,7 +19,7 @@
   versionField: "version",
   createForwardHeaders: (
     headers: dialects.HeaderMap,
-    marks: dialects.ForwardMarks,
+    marks: dialects.ForwardMetadata,
   ) => ({ ...headers, id: marks.requestId, after: String(marks.lastEventId) }),
   parseAnswerHead: (headers: dialects.HeaderMap) => ({
     requestId: headers["id"],
--- a/src/weight_orders/engine_restart_test.ts
+++ b/src/weight_orders/engine_restart_test.ts
@@ -144,7 +144,7 @@
     servers.merge(createProcess(2_000));
     chai.expect(getVersion()).to.equal(1);
     await waitUntil(() => getVersion() === 2);
-    chai.expect(orders.map((order) => order.expectedOrders)).to.deep.equal([
+    chai.expect(orders.map((order) => order.expectedOrderCount)).to.deep.equal([
       0,
       0,
     ]);
