--- a/src/weight_orders/engine_restart_test.ts
+++ b/src/weight_orders/engine_restart_test.ts
@@ -91,7 +91,7 @@
     clock = new clocks.FakeClock();
     servers = new registry.ServerRegistry(clock, 60_000);
     engines = new dispatch.EngineTable(clock);
-    const machine = new submissions.SubmissionMachine(() => {});
+    const machine = new submissions.SubmissionStateMachine(() => {});
     machine.apply({ kind: "nameVersion", model: "m", version: 2 });
     scheduler = new weightOrderSchedulers.WeightOrderScheduler({
       clock,
--- a/src/weight_orders/weight_order_scheduler.ts
+++ b/src/weight_orders/weight_order_scheduler.ts
@@ -33,7 +33,7 @@
   readonly servers: registry.ServerRegistry;
   /** Lease that permits this box to send orders. */
   readonly duty: duties.DutyLease;
-  readonly machine: submissions.SubmissionMachine;
+  readonly machine: submissions.SubmissionStateMachine;
   readonly engines: dispatch.EngineTable;
   readonly refusedReports: Pick<registry.RefusalRecorder, "record">;
   readonly isService: listReadyEngines.IsConfiguredService;
