--- a/src/caller/_forward.ts
+++ b/src/caller/_forward.ts
@@ -91,7 +91,7 @@
 }
 
 /** Reads the content type of an answer. */
-export function getContentType(head: httpClient.HttpHead): string {
+export function getContentType(head: httpClient.ResponseHead): string {
   const value = head.headers["content-type"];
   return typeof value === "string" ? value : "application/octet-stream";
 }
--- a/src/caller/caller_listener.ts
+++ b/src/caller/caller_listener.ts
@@ -47,12 +47,12 @@
   }
 
   getInFlight(): number {
-    return this.#listener.getInFlight();
+    return this.#listener.getInFlightCount();
   }
 
   /** Asks callers, with each answer, to go to another box. */
   setDraining(): void {
-    this.#listener.setDraining();
+    this.#listener.startDraining();
   }
 
   close(force: boolean): void {
@@ -145,7 +145,7 @@
       return this.#refuse(response, failure.failure);
     }
     const { membership } = client.getView();
-    httpServer.answerJson(
+    httpServer.respondJson(
       response,
       200,
       answerAddresses.answerAddresses(membership, addresses.keepMs),
@@ -167,7 +167,7 @@
   #getLoad(account: accounts.ClientAccount): admitCall.AdmissionLoad {
     return {
       hasLease: this.#context.client.hasLease(),
-      inFlight: this.#listener.getInFlight(),
+      inFlight: this.#listener.getInFlightCount(),
       maxInFlight: this.#context.settings.limits.maxInFlight,
       accountInFlight: this.#inFlight.get(account.id) ?? 0,
     };
@@ -179,6 +179,6 @@
 
   #refuse(response: http.ServerResponse, failure: results.Failure): void {
     this.#context.metrics.count("caller.failures");
-    httpServer.answerFailure(response, failure);
+    httpServer.respondFailure(response, failure);
   }
 }
--- a/src/caller/serve_completion.ts
+++ b/src/caller/serve_completion.ts
@@ -80,7 +80,7 @@
 ): Promise<void> {
   const parsed = parseCompletion(call.body, format);
   if (parsed.kind === "failure") {
-    return httpServer.answerFailure(call.response, parsed.failure);
+    return httpServer.respondFailure(call.response, parsed.failure);
   }
   const completion = parsed.value;
   const writer = new CompletionWriter(call.response, format, completion);
@@ -132,11 +132,11 @@
 
   end(end: results.Result<generation.GenerationEnd>): void {
     if (end.kind === "failure") {
-      return httpServer.answerFailure(this.#response, end.failure);
+      return httpServer.respondFailure(this.#response, end.failure);
     }
     if (!this.#completion.isStream) {
       const body = this.#createBody(this.#tokens, end.value.reason);
-      return httpServer.answerJson(this.#response, 200, body);
+      return httpServer.respondJson(this.#response, 200, body);
     }
     this.#begin();
     this.#writeEvent(this.#createBody([], end.value.reason));
--- a/src/caller/serve_once.ts
+++ b/src/caller/serve_once.ts
@@ -49,7 +49,7 @@
   call: callerContexts.AdmittedCall,
   result: { readonly failure: results.Failure },
 ): void {
-  httpServer.answerFailure(call.response, result.failure);
+  httpServer.respondFailure(call.response, result.failure);
 }
 
 /** One attempt at a call that must not be repeated. */
--- a/src/caller/serve_repeatable.ts
+++ b/src/caller/serve_repeatable.ts
@@ -51,7 +51,7 @@
     }
     last = mergeOutcomes(last, outcome);
   }
-  httpServer.answerFailure(call.response, createLastFailure(last).failure);
+  httpServer.respondFailure(call.response, createLastFailure(last).failure);
 }
 
 /** Once a try may have run, no later try makes "not run" true again. */
--- a/src/clock/clock.ts
+++ b/src/clock/clock.ts
@@ -1,12 +1,12 @@
-/** Stops a timer; calling it twice is harmless. */
+/** Cancels a timer. Further calls have no effect. */
 export type CancelTimer = () => void;
 
-/** The only source of time for decisions and drivers, in milliseconds. */
+/** Provides time in milliseconds; tests replace it with a fake. */
 export interface Clock {
-  /** Wall time in ms since the epoch, for records that people read. */
+  /** Returns the wall-clock time in ms since the epoch, for timestamps. */
   getWallMs(): number;
-  /** Monotonic time in ms, for leases, deadlines and durations. */
+  /** Returns the monotonic time in ms, for leases, deadlines and durations. */
   getMonotonicMs(): number;
-  /** Runs `action` once after `delayMs`. */
+  /** Runs `action` once after `delayMs`; the result cancels the timer. */
   startTimer(delayMs: number, action: () => void): CancelTimer;
 }
--- a/src/clock/fake_clock.ts
+++ b/src/clock/fake_clock.ts
@@ -6,21 +6,21 @@
   readonly action: () => void;
 }
 
-/** A clock that moves only when told to, for tests. */
+/** A clock for tests that advances only when a method is called. */
 export class FakeClock implements clocks.Clock {
   #nowMs: number;
-  /** How far the wall clock is ahead of the monotonic one. */
-  #wallAheadMs = 0;
+  /** Wall-clock time minus monotonic time, in ms. */
+  #wallOffsetMs = 0;
   #sequence = 0;
   #timers: readonly PendingTimer[] = [];
 
-  /** @param startMs First reading of both clocks. */
+  /** @param startMs Initial time of both clocks, in ms. */
   constructor(startMs = 0) {
     this.#nowMs = startMs;
   }
 
   getWallMs(): number {
-    return this.#nowMs + this.#wallAheadMs;
+    return this.#nowMs + this.#wallOffsetMs;
   }
 
   getMonotonicMs(): number {
@@ -41,23 +41,23 @@
   }
 
   /**
-   * Lets time pass while the machine is suspended: the monotonic clock stands,
-   * and so do its timers.
+   * Simulates a suspended box: advances only the wall clock, while the monotonic
+   * clock and its timers stop.
    */
-  suspend(forMs: number): void {
-    this.#wallAheadMs += forMs;
+  suspend(durationMs: number): void {
+    this.#wallOffsetMs += durationMs;
   }
 
-  /** Sets the wall clock by so much. */
-  stepWall(byMs: number): void {
-    this.#wallAheadMs += byMs;
+  /** Adjusts the wall clock by `offsetMs`, which may be negative. */
+  stepWall(offsetMs: number): void {
+    this.#wallOffsetMs += offsetMs;
   }
 
-  /** Moves time forward by `byMs`, running due timers in order. */
-  extendBy(byMs: number): void {
-    const endMs = this.#nowMs + byMs;
+  /** Advances both clocks by `durationMs`, running due timers in order. */
+  advance(durationMs: number): void {
+    const endMs = this.#nowMs + durationMs;
     for (;;) {
-      const next = this.#findNext(endMs);
+      const next = this.#findNextDueTimer(endMs);
       if (next === undefined) break;
       this.#timers = this.#timers.filter((other) => other !== next);
       this.#nowMs = next.dueMs;
@@ -66,7 +66,7 @@
     this.#nowMs = endMs;
   }
 
-  #findNext(endMs: number): PendingTimer | undefined {
+  #findNextDueTimer(endMs: number): PendingTimer | undefined {
     return this.#timers
       .filter((timer) => timer.dueMs <= endMs)
       .sort((a, b) => a.dueMs - b.dueMs || a.sequence - b.sequence)[0];
--- a/src/clock/sleep.ts
+++ b/src/clock/sleep.ts
@@ -1,10 +1,10 @@
 import type * as clocks from "./clock.ts";
 
 /**
- * Waits on a clock.
+ * Waits for a duration on the given clock.
  *
- * @param clock The clock to wait on.
- * @param delayMs How long, in ms.
+ * @param clock The clock that runs the timer.
+ * @param delayMs The duration, in ms.
  * @returns A promise that resolves after the delay.
  */
 export function sleep(clock: clocks.Clock, delayMs: number): Promise<void> {
--- /dev/null
+++ b/src/clock/suspension_detector_test.ts
@@ -0,0 +1,74 @@
+import * as chai from "chai";
+import * as fakeClocks from "./fake_clock.ts";
+import * as suspensionDetectors from "./suspension_detector.ts";
+
+describe("suspension detector", () => {
+  it("reports the time of the first check after a suspension", () => {
+    const clock = new fakeClocks.FakeClock(1_000);
+    const watch = new suspensionDetectors.SuspensionDetector(clock);
+    clock.advance(500);
+    chai.expect(watch.getResumedAtMs()).to.equal(Number.NEGATIVE_INFINITY);
+    clock.suspend(3_000);
+    chai.expect(clock.getMonotonicMs()).to.equal(1_500);
+    chai.expect(watch.getResumedAtMs()).to.equal(1_500);
+    clock.advance(10_000);
+    chai.expect(watch.getResumedAtMs()).to.equal(1_500);
+  });
+
+  it("detects a suspension after the wall clock was set back", () => {
+    const clock = new fakeClocks.FakeClock(100_000);
+    const watch = new suspensionDetectors.SuspensionDetector(clock);
+    clock.stepWall(-60_000);
+    chai.expect(watch.getResumedAtMs()).to.equal(Number.NEGATIVE_INFINITY);
+    clock.suspend(200);
+    chai.expect(watch.getResumedAtMs()).to.equal(100_000);
+  });
+
+  it("does not report a slewed wall clock as a suspension", () => {
+    const clock = new fakeClocks.FakeClock(0);
+    const watch = new suspensionDetectors.SuspensionDetector(clock);
+    for (let turn = 0; turn < 10_000; turn += 1) {
+      clock.advance(100);
+      clock.stepWall(0.05);
+      watch.getResumedAtMs();
+    }
+    chai.expect(watch.getResumedAtMs()).to.equal(Number.NEGATIVE_INFINITY);
+  });
+
+  it("does not report a pause between two readings as a suspension", () => {
+    const fake = new fakeClocks.FakeClock(0);
+    let pauses: readonly number[] = [];
+    function pause(): void {
+      const [first = 0, ...rest] = pauses;
+      pauses = rest;
+      fake.advance(first);
+    }
+    const watch = new suspensionDetectors.SuspensionDetector({
+      getMonotonicMs: () => {
+        pause();
+        return fake.getMonotonicMs();
+      },
+      getWallMs: () => {
+        pause();
+        return fake.getWallMs();
+      },
+    });
+    for (const turn of [[0, 90, 0], [0, 0, 90], [90, 0, 0], [0, 80, 80]]) {
+      pauses = turn;
+      chai.expect(watch.getResumedAtMs()).to.equal(Number.NEGATIVE_INFINITY);
+    }
+    fake.suspend(200);
+    chai.expect(watch.getResumedAtMs()).to.be.greaterThan(0);
+  });
+
+  it("detects several short suspensions by their sum", () => {
+    const clock = new fakeClocks.FakeClock(0);
+    const watch = new suspensionDetectors.SuspensionDetector(clock);
+    for (let turn = 0; turn < 6; turn += 1) {
+      clock.advance(10);
+      clock.suspend(20);
+      watch.getResumedAtMs();
+    }
+    chai.expect(watch.getResumedAtMs()).to.be.greaterThan(0);
+  });
+});
--- a/src/clock/system_clock.ts
+++ b/src/clock/system_clock.ts
@@ -1,7 +1,7 @@
 import * as perfHooks from "node:perf_hooks";
 import type * as clocks from "./clock.ts";
 
-/** The machine's own clock. */
+/** The clock of the operating system. */
 export class SystemClock implements clocks.Clock {
   getWallMs(): number {
     return Date.now();
--- a/src/consensus/feeding_watch_test.ts
+++ b/src/consensus/feeding_watch_test.ts
@@ -24,7 +24,7 @@
       fixtures.changeProgress(leader, { identity: fixtures.EMPTIED }),
       true,
     );
-    recorder.clock.extendBy(1_200);
+    recorder.clock.advance(1_200);
     recorder.observe(
       fixtures.changeProgress(leader, { identity: fixtures.EMPTIED }),
       true,
@@ -78,15 +78,15 @@
     const recorder = new fixtures.NoticeRecorder(leader);
     const fed = { identity: fixtures.EMPTIED, matchIndex: 0 };
     recorder.observe(fixtures.changeProgress(leader, fed), true);
-    recorder.clock.extendBy(999);
+    recorder.clock.advance(999);
     recorder.observe(fixtures.changeProgress(leader, fed), true);
     chai.expect(recorder.list("feeding")).to.deep.equal([]);
-    recorder.clock.extendBy(1);
+    recorder.clock.advance(1);
     const at30 = fixtures.changeProgress(leader, { ...fed, matchIndex: 30 });
     recorder.observe(at30, true);
-    recorder.clock.extendBy(999);
+    recorder.clock.advance(999);
     recorder.observe(at30, true);
-    recorder.clock.extendBy(1);
+    recorder.clock.advance(1);
     recorder.observe(
       fixtures.changeProgress(leader, { ...fed, matchIndex: 72 }),
       true,
@@ -125,7 +125,7 @@
     });
     const recorder = new fixtures.NoticeRecorder(leader);
     recorder.observe(unheard, true);
-    recorder.clock.extendBy(1_000);
+    recorder.clock.advance(1_000);
     recorder.observe(unheard, true);
     chai.expect(recorder.list("feeding").flatMap(({ followers }) => followers))
       .to
@@ -139,16 +139,16 @@
     const recorder = new fixtures.NoticeRecorder(leader);
     const fed = fixtures.changeProgress(leader, { identity: fixtures.EMPTIED });
     recorder.observe(fed, true);
-    recorder.clock.extendBy(900);
+    recorder.clock.advance(900);
     recorder.observe({ ...fed, role: { kind: "follower" } });
-    recorder.clock.extendBy(200);
+    recorder.clock.advance(200);
     recorder.observe(fed, true);
-    recorder.clock.extendBy(900);
+    recorder.clock.advance(900);
     recorder.observe(
       fixtures.changeProgress(leader, { identity: fixtures.ADMITTED }),
       true,
     );
-    recorder.clock.extendBy(2_000);
+    recorder.clock.advance(2_000);
     recorder.observe(
       fixtures.changeProgress(leader, { identity: fixtures.ADMITTED }),
       true,
--- a/src/consensus/leader_watch_test.ts
+++ b/src/consensus/leader_watch_test.ts
@@ -11,16 +11,16 @@
       role: { kind: "preCandidate", votes: new Set(["a"]) },
     };
     const recorder = new fixtures.NoticeRecorder(candidate);
-    recorder.clock.extendBy(1_500);
+    recorder.clock.advance(1_500);
     recorder.answerVote(candidate, {
       isPreVote: true,
       isGranted: false,
       refusal: "notAdmitted",
     });
-    recorder.clock.extendBy(499);
+    recorder.clock.advance(499);
     recorder.observeLeader(candidate);
     chai.expect(recorder.list("leaderless")).to.deep.equal([]);
-    recorder.clock.extendBy(1);
+    recorder.clock.advance(1);
     recorder.observeLeader(candidate, 70);
     recorder.observeLeader(candidate, 70);
     const expected: notices.ReplicaNotice = {
@@ -49,7 +49,7 @@
     };
     chai.expect(recorder.list("leaderless")).to.deep.equal([expected]);
     recorder.answerVote(candidate, { isPreVote: false, isGranted: true });
-    recorder.clock.extendBy(2_000);
+    recorder.clock.advance(2_000);
     recorder.observeLeader(candidate);
     const [, second] = recorder.list("leaderless");
     chai.expect(second?.asked[0]?.answer).to.deep.equal({
@@ -62,13 +62,13 @@
   it("tells anew from the time at which a leader was known last", () => {
     const follower = fixtures.createFollower(fixtures.ADMITTED);
     const recorder = new fixtures.NoticeRecorder(follower);
-    recorder.clock.extendBy(1_900);
+    recorder.clock.advance(1_900);
     const heard = { ...follower, heardAtMs: recorder.clock.getMonotonicMs() };
     recorder.observeLeader(heard);
-    recorder.clock.extendBy(1_900);
+    recorder.clock.advance(1_900);
     recorder.observeLeader(heard);
     chai.expect(recorder.list("leaderless")).to.deep.equal([]);
-    recorder.clock.extendBy(100);
+    recorder.clock.advance(100);
     recorder.observeLeader(heard);
     chai.expect(recorder.list("leaderless")).to.have.length(1);
   });
@@ -76,12 +76,12 @@
   it("tells of a leader that gains no authority, but not of one that has it", () => {
     const leader = fixtures.createLeader();
     const recorder = new fixtures.NoticeRecorder(leader);
-    recorder.clock.extendBy(5_000);
+    recorder.clock.advance(5_000);
     recorder.observe(leader, true);
-    recorder.clock.extendBy(1_999);
+    recorder.clock.advance(1_999);
     recorder.observe(leader);
     chai.expect(recorder.list("leaderless")).to.deep.equal([]);
-    recorder.clock.extendBy(1);
+    recorder.clock.advance(1);
     recorder.observe(leader);
     chai.expect(recorder.list("leaderless").map(({ role }) => role)).to.deep
       .equal([
@@ -97,7 +97,7 @@
     const recorder = new fixtures.NoticeRecorder(spare);
     const minutes = 10;
     for (let second = 0; second < minutes * 60; second += 1) {
-      recorder.clock.extendBy(1_000);
+      recorder.clock.advance(1_000);
       recorder.observeLeader(spare);
     }
     const told = recorder.list("leaderless").map(({ sinceMs }) =>
--- a/src/consensus/notice_teller_test.ts
+++ b/src/consensus/notice_teller_test.ts
@@ -8,7 +8,7 @@
     const recorder = new fixtures.NoticeRecorder(emptied);
     recorder.observe(emptied);
     chai.expect(recorder.list("admitted")).to.deep.equal([]);
-    recorder.clock.extendBy(250);
+    recorder.clock.advance(250);
     const admitted = {
       ...emptied,
       identity: fixtures.ADMITTED,
--- a/src/consensus/replica_driver.ts
+++ b/src/consensus/replica_driver.ts
@@ -38,7 +38,7 @@
   readonly #exchange: snapshotTransfers.SnapshotExchange;
   readonly #cutter: logCutters.LogCutter;
   readonly #teller: noticeTellers.NoticeTeller;
-  readonly #suspensions: clocks.SuspensionWatch;
+  readonly #suspensions: clocks.SuspensionDetector;
 
   private constructor(
     options: replicaOptions.ReplicaDriverOptions,
@@ -46,7 +46,7 @@
     state: replicaStates.ReplicaState,
   ) {
     this.#options = options;
-    this.#suspensions = new clocks.SuspensionWatch(options.clock);
+    this.#suspensions = new clocks.SuspensionDetector(options.clock);
     this.#writer = new durableWriters.DurableWriter(log, options.clock);
     this.#state = state;
     this.#cutter = new logCutters.LogCutter({
@@ -95,14 +95,14 @@
     if (role.kind !== "leader") return false;
     if (this.getAppliedIndex() < role.firstIndex) return false;
     const nowMs = this.#options.clock.getMonotonicMs();
-    const wokeAtMs = this.#suspensions.getWokeAtMs();
+    const wokeAtMs = this.#suspensions.getResumedAtMs();
     return authorities.hasAuthority(this.#state, nowMs, wokeAtMs);
   }
 
   /** Monotonic ms until which this replica surely leads. */
   getAuthorityUntilMs(): number {
     const nowMs = this.#options.clock.getMonotonicMs();
-    const wokeAtMs = this.#suspensions.getWokeAtMs();
+    const wokeAtMs = this.#suspensions.getResumedAtMs();
     return authorities.getAuthorityUntilMs(this.#state, nowMs, wokeAtMs);
   }
 
--- a/src/consensus/replica_driver_test.ts
+++ b/src/consensus/replica_driver_test.ts
@@ -139,7 +139,7 @@
       onNotice: (notice) => told.push(notice.kind),
       onFatal: () => {},
     });
-    clock.extendBy(6_000);
+    clock.advance(6_000);
     chai.expect(told).to.deep.equal(
       ["opened", "leaderless", "leaderless", "leaderless"],
     );
--- a/src/consensus/snapshot_reigns_test.ts
+++ b/src/consensus/snapshot_reigns_test.ts
@@ -60,7 +60,7 @@
           whole ??= taken.whole;
           sender?.takeReply("b", taken.reply, TERM + reign);
         }
-        clock.extendBy(HEARTBEAT_MS);
+        clock.advance(HEARTBEAT_MS);
       }
       sender?.drop();
       sent.length = 0;
--- a/src/consensus/snapshot_restart_test.ts
+++ b/src/consensus/snapshot_restart_test.ts
@@ -50,7 +50,7 @@
       whole ??= taken.whole;
       sender.takeReply("b", taken.reply, TERM);
     }
-    clock.extendBy(HEARTBEAT_MS);
+    clock.advance(HEARTBEAT_MS);
   }
   return { whole, parts };
 }
--- a/src/consensus/snapshot_transfer_test.ts
+++ b/src/consensus/snapshot_transfer_test.ts
@@ -46,7 +46,7 @@
         sender.takeReply("b", reply, 3);
       }
     }
-    clock.extendBy(100);
+    clock.advance(100);
   }
   return { arrived, first, most };
 }
--- a/src/consensus/snapshot_window_test.ts
+++ b/src/consensus/snapshot_window_test.ts
@@ -27,7 +27,7 @@
     let whole: messages.SnapshotRequest | undefined;
     sender.send("b", 3);
     for (let trip = 0; trip < ROUND_TRIPS; trip += 1) {
-      clock.extendBy(ROUND_TRIP_MS);
+      clock.advance(ROUND_TRIP_MS);
       const arrived = sent;
       sent = [];
       const replies = arrived.flatMap((message) => {
--- a/src/control/control_client.ts
+++ b/src/control/control_client.ts
@@ -32,7 +32,7 @@
   #leaseUntilMs = 0;
   /** When the sync was sent that gave the lease, in monotonic ms. */
   #leasedAtMs = Number.NEGATIVE_INFINITY;
-  readonly #suspensions: clocks.SuspensionWatch;
+  readonly #suspensions: clocks.SuspensionDetector;
   #leader: string | undefined;
   #turn = 0;
   #isDraining = false;
@@ -40,7 +40,7 @@
 
   constructor(options: ControlClientOptions) {
     this.#options = options;
-    this.#suspensions = new clocks.SuspensionWatch(options.clock);
+    this.#suspensions = new clocks.SuspensionDetector(options.clock);
     this.#replicas = new Map(
       options.settings.replicas.map((replica) =>
         [replica.id, new rpc.RpcClient(replica)] as const
@@ -70,7 +70,7 @@
    * was suspended is none: it may have ended for all others meanwhile.
    */
   hasLease(): boolean {
-    if (this.#leasedAtMs < this.#suspensions.getWokeAtMs()) return false;
+    if (this.#leasedAtMs < this.#suspensions.getResumedAtMs()) return false;
     return this.#options.clock.getMonotonicMs() < this.#leaseUntilMs;
   }
 
--- a/src/control/control_service.ts
+++ b/src/control/control_service.ts
@@ -175,7 +175,7 @@
       from: this.#options.settings.box.id,
       message,
     };
-    this.#peers.get(to)?.tell(protocols.METHODS.consensus, envelope);
+    this.#peers.get(to)?.notify(protocols.METHODS.consensus, envelope);
   }
 
   #createNotLeader(): protocols.NotLeader {
--- a/src/csp/cancellation.ts
+++ b/src/csp/cancellation.ts
@@ -1,4 +1,4 @@
-/** Tells those who listen, once, that work is no longer wanted. */
+/** Notifies its listeners, once, that work is cancelled. */
 export class Cancellation {
   readonly #listeners = new Set<() => void>();
   #isCancelled = false;
@@ -7,7 +7,7 @@
     return this.#isCancelled;
   }
 
-  /** Cancels; a second call does nothing. */
+  /** Cancels and calls the listeners; further calls have no effect. */
   cancel(): void {
     if (this.#isCancelled) return;
     this.#isCancelled = true;
@@ -15,13 +15,13 @@
     this.#listeners.clear();
   }
 
-  /** Adds a listener; it is not told if the work is cancelled already. */
-  add(listener: () => void): void {
+  /** Adds a listener; it is never called if already cancelled. */
+  addListener(listener: () => void): void {
     if (!this.#isCancelled) this.#listeners.add(listener);
   }
 
-  /** Removes a listener whose work has ended. */
-  remove(listener: () => void): void {
+  /** Removes a listener, as when its work has finished. */
+  removeListener(listener: () => void): void {
     this.#listeners.delete(listener);
   }
 }
--- a/src/csp/mod.ts
+++ b/src/csp/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Typed channels and processes over js-csp.
+ * Typed channels, processes, signals and cancellation over js-csp.
  *
  * @example
  * ```ts
--- a/src/csp/run_process.ts
+++ b/src/csp/run_process.ts
@@ -4,9 +4,9 @@
 /**
  * Starts a process that runs until its generator ends.
  *
- * @param body The process.
- * @param onError Told of an error thrown by the process, which then ends.
- * @returns A promise that resolves once the process has ended, either way.
+ * @param body The generator function of the process.
+ * @param onError Called with an error that the process throws, which ends it.
+ * @returns A promise that resolves when the process has ended or failed.
  */
 export function runProcess(
   body: () => channels.Step<void>,
--- a/src/csp/signal.ts
+++ b/src/csp/signal.ts
@@ -1,37 +1,37 @@
 import type * as clocks from "../clock/mod.ts";
 
-/** Wakes all who wait, each time something changed. */
+/** Wakes all waiters each time a change is notified. */
 export class Signal {
-  #waiting: readonly (() => void)[] = [];
+  #waiters: readonly (() => void)[] = [];
 
-  /** Wakes all who wait now. */
+  /** Wakes all current waiters. */
   notify(): void {
-    const waiting = this.#waiting;
-    this.#waiting = [];
-    for (const wake of waiting) wake();
+    const waiters = this.#waiters;
+    this.#waiters = [];
+    for (const wake of waiters) wake();
   }
 
   /**
-   * Waits for the next change.
+   * Waits for the next notification or the timeout, whichever is first.
    *
-   * @param clock Clock of the timeout.
+   * @param clock The clock that runs the timeout.
    * @param timeoutMs Longest wait, in ms.
    */
   wait(clock: clocks.Clock, timeoutMs: number): Promise<void> {
     return new Promise((resolve) => {
       const cancel = clock.startTimer(timeoutMs, () => {
-        this.#drop(wake);
+        this.#removeWaiter(wake);
         resolve();
       });
       function wake(): void {
         cancel();
         resolve();
       }
-      this.#waiting = [...this.#waiting, wake];
+      this.#waiters = [...this.#waiters, wake];
     });
   }
 
-  #drop(wake: () => void): void {
-    this.#waiting = this.#waiting.filter((other) => other !== wake);
+  #removeWaiter(wake: () => void): void {
+    this.#waiters = this.#waiters.filter((other) => other !== wake);
   }
 }
--- a/src/csp/wait_for.ts
+++ b/src/csp/wait_for.ts
@@ -1,18 +1,18 @@
 import * as jsCsps from "./_js_csp.ts";
 import type * as channels from "./channel.ts";
 
-interface Settled<T> {
+interface SettledPromise<T> {
   readonly value?: T;
   readonly error?: unknown;
   readonly isError: boolean;
 }
 
 /**
- * Waits for a promise inside a process.
+ * Waits in a process until a promise is settled.
  *
  * @param promise The promise.
- * @returns Its value.
- * @throws Whatever the promise rejects with.
+ * @returns The value of the promise.
+ * @throws The reason with which the promise is rejected.
  */
 export function* waitFor<T>(promise: Promise<T>): channels.Step<T> {
   const channel = jsCsps.jsCsp.chan(1);
@@ -21,7 +21,7 @@
     (error: unknown) =>
       jsCsps.jsCsp.putAsync(channel, { error, isError: true }),
   );
-  const settled = (yield jsCsps.jsCsp.take(channel)) as Settled<T>;
+  const settled = (yield jsCsps.jsCsp.take(channel)) as SettledPromise<T>;
   if (settled.isError) throw settled.error;
   return settled.value as T;
 }
--- a/src/dispatch/dispatch_test.ts
+++ b/src/dispatch/dispatch_test.ts
@@ -269,7 +269,7 @@
       for (let event = 0; event < 200; event += 1) {
         table.recordInterval(createEngine("a"), 120);
       }
-      clock.extendBy(100);
+      clock.advance(100);
       createMover().moveToFasterEngines(tasks);
       chai.expect(countMoved(tasks.slice(0, 1))).to.equal(1);
       chai.expect(countMoved(tasks.slice(1))).to.equal(0);
--- a/src/dispatch/dispatcher.ts
+++ b/src/dispatch/dispatcher.ts
@@ -188,7 +188,7 @@
       cancellation: runCancellation,
       startedAtMs: clock.getMonotonicMs(),
     });
-    cancellation.add(() => runCancellation.cancel());
+    cancellation.addListener(() => runCancellation.cancel());
     const stopWatching = servers.watch(
       engine.lifetime,
       () => {
--- a/src/dispatch/dispatcher_test.ts
+++ b/src/dispatch/dispatcher_test.ts
@@ -150,14 +150,14 @@
   async function awaitListed(): Promise<void> {
     for (let turn = 0; turn < MAX_POLLS; turn += 1) {
       if (machine.get("s-1")?.results.length !== 0) return;
-      clock.extendBy(1);
+      clock.advance(1);
       await new Promise((resolve) => setTimeout(resolve, 1));
     }
   }
 
   it("continues runs while the quorum is briefly unavailable", async () => {
     group.hasQuorum = false;
-    clock.extendBy(500);
+    clock.advance(500);
     group.hasQuorum = true;
     runs[0]?.end("id: 2\ndata: b\n\n");
     await awaitListed();
@@ -192,7 +192,7 @@
     if (run === undefined) throw new Error("No run has started");
     const closed = awaitClosed(run);
     group.isLeader = false;
-    clock.extendBy(50);
+    clock.advance(50);
     await closed;
   });
 
@@ -201,8 +201,8 @@
     if (run === undefined) throw new Error("No run has started");
     const closed = awaitClosed(run);
     group.hasQuorum = false;
-    clock.extendBy(100);
-    clock.extendBy(2_100);
+    clock.advance(100);
+    clock.advance(2_100);
     await closed;
   });
 });
--- a/src/engine/stream_completion.ts
+++ b/src/engine/stream_completion.ts
@@ -55,7 +55,7 @@
     );
   }
 
-  onHead(head: httpClient.HttpHead): void {
+  onHead(head: httpClient.ResponseHead): void {
     this.#status = head.status;
   }
 
--- a/src/fleet/_relay.ts
+++ b/src/fleet/_relay.ts
@@ -47,13 +47,13 @@
   readonly #forCore = new RefreshBatch();
   readonly #boxes = new Map<string, boxRecords.BoxRecord>();
   readonly #servers = new Map<string, registry.ServerReport>();
-  readonly #flushSoon: clocks.GatheredCall;
+  readonly #flushSoon: clocks.CoalescedCall;
   #turn = 0;
   #isStopped = false;
 
   constructor(options: RelayOptions) {
     this.#options = options;
-    this.#flushSoon = new clocks.GatheredCall({
+    this.#flushSoon = new clocks.CoalescedCall({
       clock: options.clock,
       delayMs: GATHER_MS,
       action: () => this.#flush(),
--- a/src/fleet/fleet_fixture_test.ts
+++ b/src/fleet/fleet_fixture_test.ts
@@ -51,7 +51,7 @@
 
   getPeer(to: string, from = to): rpc.Peer {
     return {
-      tell: (method, params) => {
+      notify: (method, params) => {
         if (this.#canReach(from, to)) this.#deliver(to, method, params);
       },
       call: async (method, params) => {
@@ -81,7 +81,7 @@
   /** Lets time pass, with all that is waited for in between. */
   async extendBy(ms: number): Promise<void> {
     for (let passed = 0; passed < ms; passed += STEP_MS) {
-      this.clock.extendBy(STEP_MS);
+      this.clock.advance(STEP_MS);
       await new Promise((resolve) => setImmediate(resolve));
     }
   }
--- a/src/fleet/fleet_link.ts
+++ b/src/fleet/fleet_link.ts
@@ -33,7 +33,7 @@
   readonly servers: registry.ServerRegistry;
   readonly configuration: trafficConfig.ConfigurationHolder;
   readonly peers: peerPools.Peers;
-  readonly server: rpc.MethodTable;
+  readonly server: rpc.MethodRegistry;
   /** Ids of the boxes to ask first. */
   readonly seeds: readonly string[];
   /** Record of this box; the link numbers it. */
@@ -48,7 +48,7 @@
   readonly #options: FleetLinkOptions;
   readonly #id: string;
   readonly #relay: relays.Relay;
-  readonly #tellVersionSoon: clocks.GatheredCall;
+  readonly #tellVersionSoon: clocks.CoalescedCall;
   /** Refreshes that a box without a relay of its own has to tell. */
   readonly #serverRefreshes = new Map<string, news.ServerRefresh>();
   #own: boxRecords.BoxRecord;
@@ -62,7 +62,7 @@
     this.#own = { ...options.describeSelf(), sequence: 0 };
     this.#id = this.#own.id;
     options.directory.merge(this.#own);
-    this.#tellVersionSoon = new clocks.GatheredCall({
+    this.#tellVersionSoon = new clocks.CoalescedCall({
       clock: options.clock,
       delayMs: BRIEF_MS,
       action: () => {
@@ -169,7 +169,7 @@
   }
 
   #tell(id: string, message: news.News): void {
-    this.#options.peers.get(id).tell(news.METHODS.news, message);
+    this.#options.peers.get(id).notify(news.METHODS.news, message);
   }
 
   #refreshOwn(): void {
--- a/src/fleet_daemon/_raw_listener.ts
+++ b/src/fleet_daemon/_raw_listener.ts
@@ -24,8 +24,9 @@
     headersTimeoutMs: FIRST_HEADERS_MS,
     requestTimeoutMs: 0,
     maxHeaderBytes: MAX_HEADER_BYTES,
-    onUnsent: ({ message }) => log.write("debug", "answer.unsent", { message }),
-    onThrown: (request, response, error) => {
+    onResponseError: ({ message }) =>
+      log.write("debug", "answer.unsent", { message }),
+    onHandlerError: (request, response, error) => {
       const { stack, message } = error as Error;
       log.write("error", "request.failed", {
         target: request.url,
--- a/src/fleet_daemon/box_parts.ts
+++ b/src/fleet_daemon/box_parts.ts
@@ -84,7 +84,7 @@
     servers: new registry.ServerRegistry(
       clock,
       settings.bounds.heartbeatMs,
-      ({ address, port }) => httpClient.closeIdle(address, port),
+      ({ address, port }) => httpClient.closeIdleConnections(address, port),
     ),
     configuration,
     crashTable: new crashRecords.CrashTable(),
@@ -117,7 +117,7 @@
   return new crashGuards.CrashGuard({
     ...parts,
     table: parts.crashTable,
-    findPortState: httpClient.findPortState,
+    findPortState: httpClient.probePort,
     publish: (record) => link.publishCrash(record),
     ...crashGuards.createGrantClient(stores),
   });
--- a/src/fleet_daemon/caller_calls.ts
+++ b/src/fleet_daemon/caller_calls.ts
@@ -143,7 +143,7 @@
   }
 
   #refuse(
-    code: results.CodeName,
+    code: results.ResultCodeName,
     message: string,
     options: results.FailureOptions = {},
   ): dialects.RawAnswer {
--- a/src/fleet_daemon/control_calls.ts
+++ b/src/fleet_daemon/control_calls.ts
@@ -72,7 +72,7 @@
   }
 
   #refuse(
-    code: results.CodeName,
+    code: results.ResultCodeName,
     message: string,
     options: results.FailureOptions = {},
   ): dialects.RawAnswer {
--- a/src/fleet_daemon/entry_box.ts
+++ b/src/fleet_daemon/entry_box.ts
@@ -100,14 +100,14 @@
   }
 
   getInFlight(): number {
-    return this.#callers.getInFlight();
+    return this.#callers.getInFlightCount();
   }
 
   /** Follows what the configuration says of connections. */
   followLimits(): void {
     const limits = this.#parts.configuration.get()?.limits;
     if (limits === undefined) return;
-    this.#callers.setTimes({
+    this.#callers.setConnectionTimeouts({
       headersMs: limits.headerTimeoutMs,
       idleMs: limits.idleTimeoutMs,
     });
@@ -115,8 +115,8 @@
 
   /** Hands leadership over, and asks callers to go elsewhere. */
   async setDraining(): Promise<void> {
-    this.#callers.setDraining();
-    for (const listener of this.#others) listener.setDraining();
+    this.#callers.startDraining();
+    for (const listener of this.#others) listener.startDraining();
     await this.#core?.resign();
   }
 
@@ -154,7 +154,7 @@
   /** What a round of the log brings is put in force once, not one by one. */
   #createMachine(): trafficConfig.ConfigurationMachine {
     const { clock, configuration, link } = this.#parts;
-    const followSoon = new clocks.GatheredCall({
+    const followSoon = new clocks.CoalescedCall({
       clock,
       delayMs: 0,
       action: () => {
@@ -195,7 +195,7 @@
     return Promise.resolve();
   }
 
-  #refuse(code: results.CodeName, message: string): dialects.RawAnswer {
+  #refuse(code: results.ResultCodeName, message: string): dialects.RawAnswer {
     const { failure } = results.createFailure(code, message);
     return this.#parts.dialect.formatFailure(failure);
   }
--- a/src/fleet_daemon/fleet_daemon.ts
+++ b/src/fleet_daemon/fleet_daemon.ts
@@ -108,7 +108,7 @@
     const { configuration, phase, link, clock, log, lines, metrics } =
       this.#parts;
     if (this.#isEnded) return;
-    metrics.setLogLost(lines.getLost());
+    metrics.setDroppedLogLines(lines.getDroppedCount());
     this.#entry?.followLimits();
     if (!phase.isReady && configuration.getVersion() > 0) {
       phase.isReady = true;
--- a/src/fleet_daemon/near_reader_test.ts
+++ b/src/fleet_daemon/near_reader_test.ts
@@ -60,7 +60,7 @@
 
   function getPeer(id: string): rpc.Peer {
     return {
-      tell: () => {},
+      notify: () => {},
       call: <T>(_method: string, params: object) => {
         const { mayFollow, failureDomain } = params as submissions.ReadRequest;
         chai.expect(failureDomain).to.equal("z1");
@@ -83,7 +83,7 @@
     chai.expect(await readNext()).to.equal(1);
     chai.expect(await readNext()).to.equal(2);
     chai.expect(await readNext()).to.equal(2);
-    clock.extendBy(LONG_MS);
+    clock.advance(LONG_MS);
     chai.expect(await readNext()).to.equal(1);
     chai.expect(asked).to.deep.equal(["leader", "near", "near", "leader"]);
   });
--- a/src/fleet_daemon/read_in_slices_test.ts
+++ b/src/fleet_daemon/read_in_slices_test.ts
@@ -39,7 +39,7 @@
       readOnce: (waitMs, tryMs) => {
         chai.expect(tryMs).to.be.lessThan(1_000);
         asked.push(waitMs);
-        clock.extendBy(waitMs);
+        clock.advance(waitMs);
         return Promise.resolve(answers[asked.length - 1] ?? createPage([]));
       },
     });
--- a/src/generation/generate_tokens.ts
+++ b/src/generation/generate_tokens.ts
@@ -121,7 +121,7 @@
   }
 
   #fail(
-    code: results.CodeName,
+    code: results.ResultCodeName,
     reason: string,
   ): results.Result<GenerationEnd> {
     const outcome = this.#engineCount === 0 ? "notRun" : "unknown";
--- a/src/http_client/http_request.ts
+++ b/src/http_client/http_request.ts
@@ -1,6 +1,6 @@
 import type * as csp from "../csp/mod.ts";
 
-/** Where and what to send. */
+/** An HTTP request and its limits. */
 export interface HttpRequest {
   readonly address: string;
   readonly port: number;
@@ -8,42 +8,42 @@
   readonly path: string;
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: Buffer | string;
-  /** Time for the whole exchange, in ms. */
+  /** Timeout of the whole exchange, in ms. */
   readonly timeoutMs: number;
-  /** Time to connect, in ms; default 1,000. */
+  /** Timeout to connect, in ms; default 1,000. */
   readonly connectTimeoutMs?: number;
-  /** Largest answer, in bytes; default 16 MiB. */
-  readonly maxAnswerBytes?: number;
-  /** Use a connection of its own, never one that served before. */
+  /** Largest response body, in bytes; default 16 MiB. */
+  readonly maxResponseBytes?: number;
+  /** Whether to open a new connection instead of using a pooled one. */
   readonly isFreshConnection?: boolean;
-  /** Says what is wrong with an answer's head, before its body is read. */
-  readonly checkHead?: (head: HttpHead) => string | undefined;
-  /** Gives the request up when cancelled. */
+  /** Validates a response head before the body; returns the error, if any. */
+  readonly checkHead?: (head: ResponseHead) => string | undefined;
+  /** Aborts the request when cancelled. */
   readonly cancellation?: csp.Cancellation;
 }
 
-/** Head of an answer. */
-export interface HttpHead {
+/** Status and headers of a response. */
+export interface ResponseHead {
   readonly status: number;
   readonly headers: Readonly<
     Record<string, string | readonly string[] | undefined>
   >;
 }
 
-/** What became of a request. */
+/** Outcome of a request. */
 export type HttpOutcome =
   | {
     readonly kind: "answered";
-    readonly head: HttpHead;
+    readonly head: ResponseHead;
     readonly body: Buffer;
   }
-  /** No byte of the request left this process. */
+  /** The request was not sent, so the server did not run it. */
   | { readonly kind: "notSent"; readonly message: string }
-  /** It may have run; no whole answer came. */
+  /** The request may have run, but no complete response was received. */
   | {
     readonly kind: "broken";
     readonly message: string;
-    /** Whether the server closed or reset the connection in its midst. */
+    /** Whether the server closed or reset the connection. */
     readonly isClosed: boolean;
-    readonly head?: HttpHead;
+    readonly head?: ResponseHead;
   };
--- a/src/http_client/mod.ts
+++ b/src/http_client/mod.ts
@@ -1,5 +1,5 @@
 /**
- * HTTP requests whose end is always told truly: answered, not sent, or broken.
+ * HTTP requests whose outcome states whether they were sent and answered.
  *
  * @example
  * ```ts
@@ -10,8 +10,8 @@
  * ```
  * @module
  */
-export { closeIdle } from "./_agent.ts";
-export * from "./find_port_state.ts";
+export { closeIdleConnections } from "./_agent.ts";
+export * from "./probe_port.ts";
 export * from "./http_request.ts";
 export * from "./open_exchange.ts";
 export * from "./send_json.ts";
--- a/src/http_client/find_port_state.ts
+++ b/src/http_client/probe_port.ts
@@ -1,33 +1,33 @@
 import * as net from "node:net";
 
-/** Longest wait for a sign of the port, in ms; links take some milliseconds. */
-const CHECK_MS = 250;
+/** Timeout after which the port counts as silent, in ms. */
+const PROBE_TIMEOUT_MS = 250;
 const REFUSED_CODE = "ECONNREFUSED";
 
-/** What a port shows. */
+/** Result of {@linkcode probePort}. */
 export type PortState =
-  /** Something listens there. */
+  /** A process accepts connections. */
   | "open"
-  /** Its machine answers, and nothing listens. */
+  /** The box is reachable, but nothing listens on the port. */
   | "refused"
-  /** No sign of it. */
+  /** The connection timed out or failed otherwise. */
   | "silent";
 
 /**
- * Finds out whether something listens at an address, by a connection that carries
- * nothing.
+ * Checks whether a process listens at an address, by opening a connection without
+ * sending data.
  *
  * @param address IP address.
  * @param port Port.
- * @returns What it shows; it never throws.
+ * @returns The state of the port; the promise is never rejected.
  */
-export function findPortState(
+export function probePort(
   address: string,
   port: number,
 ): Promise<PortState> {
   return new Promise((resolve) => {
     const socket = net.connect(port, address);
-    const timer = setTimeout(() => settle("silent"), CHECK_MS);
+    const timer = setTimeout(() => settle("silent"), PROBE_TIMEOUT_MS);
     function settle(state: PortState): void {
       clearTimeout(timer);
       socket.destroy();
--- a/src/http_client/send_json.ts
+++ b/src/http_client/send_json.ts
@@ -2,30 +2,30 @@
 import type * as httpRequests from "./http_request.ts";
 import * as sendRequest from "./send_request.ts";
 
-/** A request whose body and answer are JSON. */
+/** A request with a JSON body and a JSON response. */
 export interface JsonRequest
   extends Omit<httpRequests.HttpRequest, "body" | "address" | "port" | "path"> {
-  /** Base address, such as `http://127.0.0.1:8080`. */
+  /** Base URL, such as `http://127.0.0.1:8080`. */
   readonly baseUrl: string;
   readonly path: string;
   readonly json?: unknown;
 }
 
-/** A JSON answer of any status. */
-export interface JsonAnswer {
+/** A JSON response of any status; `json` is undefined for an empty body. */
+export interface JsonResponse {
   readonly status: number;
   readonly json: unknown;
 }
 
 /**
- * Sends JSON and reads JSON.
+ * Sends a request with a JSON body and parses the JSON response.
  *
  * @param options The request.
- * @returns The answer, or `connectFailed` with its outcome.
+ * @returns The response, or `connectFailed` with the outcome of the request.
  */
 export async function sendJson(
   options: JsonRequest,
-): Promise<results.Result<JsonAnswer>> {
+): Promise<results.Result<JsonResponse>> {
   const { baseUrl, json, path, ...rest } = options;
   const url = new URL(baseUrl);
   const request: httpRequests.HttpRequest = {
@@ -53,14 +53,14 @@
       },
     );
   }
-  return parseAnswer(outcome.head.status, outcome.body, target);
+  return parseResponse(outcome.head.status, outcome.body, target);
 }
 
-function parseAnswer(
+function parseResponse(
   status: number,
   body: Buffer,
   target: string,
-): results.Result<JsonAnswer> {
+): results.Result<JsonResponse> {
   if (body.length === 0) return results.createOk({ status, json: undefined });
   try {
     return results.createOk({
--- a/src/http_client/send_request.ts
+++ b/src/http_client/send_request.ts
@@ -3,17 +3,17 @@
 import * as openExchange from "./open_exchange.ts";
 
 /**
- * Sends a request and collects its whole answer.
+ * Sends a request and buffers the complete response.
  *
  * @param options The request.
- * @returns What became of it; it never throws.
+ * @returns The outcome; the promise is never rejected.
  */
 export function sendRequest(
   options: httpRequests.HttpRequest,
 ): Promise<httpRequests.HttpOutcome> {
-  const limit = options.maxAnswerBytes ?? agents.DEFAULT_ANSWER_BYTES;
+  const limit = options.maxResponseBytes ?? agents.DEFAULT_MAX_RESPONSE_BYTES;
   return new Promise((resolve) => {
-    let head: httpRequests.HttpHead | undefined;
+    let head: httpRequests.ResponseHead | undefined;
     let size = 0;
     const chunks: Buffer[] = [];
     const exchange = openExchange.openExchange(options, {
--- a/src/http_server/http_listener.ts
+++ b/src/http_server/http_listener.ts
@@ -1,53 +1,53 @@
 import * as http from "node:http";
 import * as results from "../results/mod.ts";
-import * as answers from "./answer.ts";
+import * as responses from "./respond.ts";
 
-/** Answers one request. */
+/** Handles one request and sends its response. */
 export type HttpHandler = (
   request: http.IncomingMessage,
   response: http.ServerResponse,
 ) => Promise<void>;
 
-/** Bounds of a listener, and what it tells of. */
+/** Limits and error callbacks of a listener. */
 export interface HttpListenerOptions {
-  /** Time for the head of a request, in ms. */
+  /** Timeout to receive the head of a request, in ms. */
   readonly headersTimeoutMs: number;
-  /** Time for a whole request to arrive, in ms; 0 for no bound. */
+  /** Timeout to receive a whole request, in ms; 0 for no limit. */
   readonly requestTimeoutMs: number;
-  /** Largest head, in bytes; 16 KiB unless given. */
+  /** Largest head of a request, in bytes; default 16 KiB. */
   readonly maxHeaderBytes?: number;
-  /** Ends a response whose handler threw; answers the error unless given. */
-  readonly onThrown?: (
+  /** Ends the response of a handler that threw; default is a failure response. */
+  readonly onHandlerError?: (
     request: http.IncomingMessage,
     response: http.ServerResponse,
     error: unknown,
   ) => void;
-  /** Told of an answer that could not be sent; its caller has left. */
-  readonly onUnsent?: (error: Error) => void;
+  /** Called when a response can't be sent, as after the caller disconnected. */
+  readonly onResponseError?: (error: Error) => void;
 }
 
-/** Time limits of a listener's connections, in ms. */
-export interface ConnectionTimes {
+/** Timeouts of the connections of a listener, in ms. */
+export interface ConnectionTimeouts {
   readonly headersMs: number;
   readonly idleMs: number;
 }
 
-const MAX_HEADER_BYTES = 16_384;
-const KEEP_ALIVE_MS = 30_000;
+const DEFAULT_MAX_HEADER_BYTES = 16_384;
+const KEEP_ALIVE_TIMEOUT_MS = 30_000;
 
-function answerThrown(
+function respondThrownError(
   _request: http.IncomingMessage,
   response: http.ServerResponse,
   error: unknown,
 ): void {
-  answers.answerFailure(response, results.toFailure(error));
+  responses.respondFailure(response, results.toFailure(error));
 }
 
-/** An HTTP server whose requests in flight are counted. */
+/** An HTTP server that counts requests in flight and can drain connections. */
 export class HttpListener {
   readonly #server: http.Server;
   readonly #options: HttpListenerOptions;
-  #inFlight = 0;
+  #inFlightCount = 0;
   #isDraining = false;
 
   constructor(handler: HttpHandler, options: HttpListenerOptions) {
@@ -55,33 +55,33 @@
     this.#server = http.createServer({
       headersTimeout: options.headersTimeoutMs,
       requestTimeout: options.requestTimeoutMs,
-      keepAliveTimeout: KEEP_ALIVE_MS,
-      maxHeaderSize: options.maxHeaderBytes ?? MAX_HEADER_BYTES,
+      keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
+      maxHeaderSize: options.maxHeaderBytes ?? DEFAULT_MAX_HEADER_BYTES,
       noDelay: true,
     });
     this.#server.on(
       "request",
-      (request, response) => this.#serve(handler, request, response),
+      (request, response) => this.#handleRequest(handler, request, response),
     );
   }
 
-  /** Requests that are being answered. */
-  getInFlight(): number {
-    return this.#inFlight;
+  /** Returns the number of requests in flight. */
+  getInFlightCount(): number {
+    return this.#inFlightCount;
   }
 
-  /** Sets the limits of connections anew, also of open ones. */
-  setTimes(times: ConnectionTimes): void {
-    this.#server.headersTimeout = times.headersMs;
-    this.#server.keepAliveTimeout = times.idleMs;
+  /** Changes the timeouts of connections, including those already open. */
+  setConnectionTimeouts(timeouts: ConnectionTimeouts): void {
+    this.#server.headersTimeout = timeouts.headersMs;
+    this.#server.keepAliveTimeout = timeouts.idleMs;
   }
 
-  /** From now on each answer asks its caller to use another connection. */
-  setDraining(): void {
+  /** Makes every later response close its connection. */
+  startDraining(): void {
     this.#isDraining = true;
   }
 
-  /** Starts to listen. */
+  /** Listens on an address; rejects if that fails. */
   listen(address: string, port: number): Promise<void> {
     return new Promise((resolve, reject) => {
       this.#server.once("error", reject);
@@ -89,27 +89,30 @@
     });
   }
 
-  /** Stops; with `force` open connections are cut. */
+  /** Stops listening and closes idle connections; `force` closes all. */
   close(force: boolean): void {
     this.#server.close();
     if (force) this.#server.closeAllConnections();
     else this.#server.closeIdleConnections();
   }
 
-  #serve(
+  #handleRequest(
     handler: HttpHandler,
     request: http.IncomingMessage,
     response: http.ServerResponse,
   ): void {
-    this.#inFlight += 1;
+    this.#inFlightCount += 1;
     response.once("close", () => {
-      this.#inFlight -= 1;
+      this.#inFlightCount -= 1;
     });
-    const { onThrown = answerThrown, onUnsent } = this.#options;
-    response.on("error", (error) => onUnsent?.(error));
+    const {
+      onHandlerError: onHandlerError = respondThrownError,
+      onResponseError: onResponseError,
+    } = this.#options;
+    response.on("error", (error) => onResponseError?.(error));
     if (this.#isDraining) response.setHeader("connection", "close");
     handler(request, response).catch((error: unknown) =>
-      onThrown(request, response, error)
+      onHandlerError(request, response, error)
     );
   }
 }
--- a/src/http_server/mod.ts
+++ b/src/http_server/mod.ts
@@ -1,5 +1,5 @@
 /**
- * HTTP listeners with bounds, and numbered answers.
+ * HTTP listeners with limits, request parsing, and responses with result codes.
  *
  * @example
  * ```ts
@@ -8,8 +8,8 @@
  * ```
  * @module
  */
-export * from "./answer.ts";
+export * from "./respond.ts";
 export * from "./http_listener.ts";
 export * from "./parse_fields.ts";
-export * from "./read_bearer.ts";
+export * from "./read_bearer_token.ts";
 export * from "./read_body.ts";
--- a/src/http_server/parse_fields.ts
+++ b/src/http_server/parse_fields.ts
@@ -2,11 +2,11 @@
 import * as results from "../results/mod.ts";
 
 /**
- * Checks the fields of a request.
+ * Validates the fields of a request against a schema.
  *
- * @param schema What they must be.
+ * @param schema The schema.
  * @param fields The fields.
- * @returns The checked fields, or `badParameters` naming the first wrong one.
+ * @returns The parsed fields, or `badParameters` with the first invalid field.
  */
 export function parseFields<T>(
   schema: z.ZodType<T>,
--- a/src/http_server/read_body.ts
+++ b/src/http_server/read_body.ts
@@ -1,27 +1,27 @@
 import type * as http from "node:http";
 import * as results from "../results/mod.ts";
 
-/** Bounds on a request's body. */
+/** Limits of a request body. */
 export interface BodyLimits {
   readonly maxBodyBytes: number;
-  /** Time in which the body must arrive, in ms. */
+  /** Timeout to receive the whole body, in ms. */
   readonly receiveTimeoutMs: number;
 }
 
 /**
- * Reads a request's whole body.
+ * Reads the whole body of a request.
  *
  * @param request The request.
- * @param limits Its bounds.
+ * @param limits Limits of the body.
  * @returns The body, or `bodyTooLarge`, `senderTooSlow` or `malformedBody`.
  */
 export function readBody(
   request: http.IncomingMessage,
   limits: BodyLimits,
 ): Promise<results.Result<Buffer>> {
-  const declared = Number(request.headers["content-length"] ?? 0);
-  if (declared > limits.maxBodyBytes) {
-    return Promise.resolve(refuseSize(limits));
+  const declaredBytes = Number(request.headers["content-length"] ?? 0);
+  if (declaredBytes > limits.maxBodyBytes) {
+    return Promise.resolve(createSizeFailure(limits));
   }
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
@@ -37,7 +37,7 @@
     request.on("data", (chunk: Buffer) => {
       size += chunk.length;
       if (size <= limits.maxBodyBytes) chunks.push(chunk);
-      else resolve(refuseSize(limits));
+      else resolve(createSizeFailure(limits));
     });
     request.on("end", () => resolve(results.createOk(Buffer.concat(chunks))));
     request.on("close", () => {
@@ -52,7 +52,7 @@
   });
 }
 
-function refuseSize(limits: BodyLimits): results.Result<Buffer> {
+function createSizeFailure(limits: BodyLimits): results.Result<Buffer> {
   return results.createFailure(
     "bodyTooLarge",
     `Cannot read the request: its body is over ${limits.maxBodyBytes} bytes`,
@@ -60,11 +60,12 @@
 }
 
 /**
- * Reads a request's body as a JSON object.
+ * Reads the body of a request as a JSON object.
  *
  * @param request The request.
- * @param limits Its bounds.
- * @returns The object, or a failure as {@linkcode readBody} gives.
+ * @param limits Limits of the body.
+ * @returns The object, or a failure of {@linkcode readBody} or
+ * {@linkcode parseObject}.
  */
 export async function readJson(
   request: http.IncomingMessage,
--- a/src/http_server/answer.ts
+++ b/src/http_server/respond.ts
@@ -3,7 +3,7 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** A failure as callers see it. */
+/** JSON body of a failure response. */
 export interface FailureBody {
   readonly error: {
     readonly code: number;
@@ -15,7 +15,7 @@
 }
 
 /**
- * Gives a failure as a JSON body.
+ * Converts a failure to a response body.
  *
  * @param failure The failure.
  * @returns The body.
@@ -30,13 +30,13 @@
 }
 
 /**
- * Answers with JSON.
+ * Sends a JSON response, unless headers were sent or the connection is closed.
  *
- * @param response Where to.
+ * @param response The response.
  * @param status HTTP status.
- * @param value The body.
+ * @param value The body, before it is serialized.
  */
-export function answerJson(
+export function respondJson(
   response: http.ServerResponse,
   status: number,
   value: unknown,
@@ -51,13 +51,13 @@
 }
 
 /**
- * Answers with a numbered failure. Once part of an answer was sent, the
- * connection is cut instead, so that it can't look whole.
+ * Sends a failure response. If headers were already sent, it destroys the
+ * connection instead, so that the truncated response can't look complete.
  *
- * @param response Where to.
+ * @param response The response.
  * @param failure The failure.
  */
-export function answerFailure(
+export function respondFailure(
   response: http.ServerResponse,
   failure: results.Failure,
 ): void {
@@ -75,5 +75,5 @@
   if (failure.code === "bodyTooLarge" || failure.code === "senderTooSlow") {
     response.setHeader("connection", "close");
   }
-  answerJson(response, entry.httpStatus, createFailureBody(failure));
+  respondJson(response, entry.httpStatus, createFailureBody(failure));
 }
--- a/src/item_run/item_run_test.ts
+++ b/src/item_run/item_run_test.ts
@@ -220,7 +220,7 @@
     const closed = new Promise((resolve) => {
       script = (request) => {
         request.socket.once("close", resolve);
-        clock.extendBy(60);
+        clock.advance(60);
       };
     });
     const end = await run(new textProgresses.TextProgress(), {
--- a/src/item_run/run_item.ts
+++ b/src/item_run/run_item.ts
@@ -106,7 +106,7 @@
     this.#scheduleStall();
   }
 
-  onHead(head: httpClient.HttpHead): void {
+  onHead(head: httpClient.ResponseHead): void {
     const parsed = this.#options.dialect.parseAnswerHead(head.headers);
     this.#status = head.status;
     this.#isNotRun = parsed.isNotRun || head.status === OTHER_SERVER_STATUS;
--- a/src/log/line_buffer.ts
+++ b/src/log/line_buffer.ts
@@ -1,49 +1,52 @@
 import * as fs from "node:fs";
 
-/** Between two writes, in ms; one system call then carries many lines. */
-const FLUSH_MS = 200;
-/** Most text that waits for a slow reader, in characters. */
-const MAX_WAITING = 512 * 1024;
-const STANDARD_OUTPUT = 1;
+/** Delay of a write, in ms, to combine many lines in one system call. */
+const FLUSH_INTERVAL_MS = 200;
+/** Largest size of the buffered lines, in characters. */
+const MAX_BUFFERED_CHARS = 512 * 1024;
+const STDOUT_FD = 1;
 
-/** Gathers log lines and writes them without ever waiting for the reader. */
+/**
+ * Buffers log lines and writes them asynchronously. Lines are dropped while the
+ * buffer is full, so a slow reader never blocks the process.
+ */
 export class LineBuffer {
   readonly #write: (text: string, done: () => void) => void;
   #lines: string[] = [];
-  #size = 0;
-  #lost = 0;
+  #bufferedChars = 0;
+  #droppedCount = 0;
   #isWriting = false;
   #timer: NodeJS.Timeout | undefined;
 
-  /** @param write Writes a text and tells when it is done. */
-  constructor(write = writeOutput) {
+  /** @param write Writes a text and calls `done` when finished. */
+  constructor(write = writeStdout) {
     this.#write = write;
   }
 
-  /** Adds a line with its newline; dropped when too much waits. */
+  /** Adds a line that ends in a newline; drops it if the buffer is full. */
   add(line: string): void {
-    if (this.#size + line.length > MAX_WAITING) {
-      this.#lost += 1;
+    if (this.#bufferedChars + line.length > MAX_BUFFERED_CHARS) {
+      this.#droppedCount += 1;
       return;
     }
     this.#lines.push(line);
-    this.#size += line.length;
-    this.#timer ??= setTimeout(() => this.flush(), FLUSH_MS).unref();
+    this.#bufferedChars += line.length;
+    this.#timer ??= setTimeout(() => this.flush(), FLUSH_INTERVAL_MS).unref();
   }
 
-  /** Lines that were dropped so far. */
-  getLost(): number {
-    return this.#lost;
+  /** Returns the number of lines dropped so far. */
+  getDroppedCount(): number {
+    return this.#droppedCount;
   }
 
-  /** Writes what waits now, unless a write is under way. */
+  /** Writes the buffered lines, unless a write is in progress. */
   flush(): void {
     clearTimeout(this.#timer);
     this.#timer = undefined;
     if (this.#isWriting || this.#lines.length === 0) return;
     const text = this.#lines.join("");
     this.#lines = [];
-    this.#size = 0;
+    this.#bufferedChars = 0;
     this.#isWriting = true;
     this.#write(text, () => {
       this.#isWriting = false;
@@ -52,6 +55,6 @@
   }
 }
 
-function writeOutput(text: string, done: () => void): void {
-  fs.write(STANDARD_OUTPUT, text, () => done());
+function writeStdout(text: string, done: () => void): void {
+  fs.write(STDOUT_FD, text, () => done());
 }
--- a/src/log/log.ts
+++ b/src/log/log.ts
@@ -1,20 +1,19 @@
 import bunyan from "bunyan";
 
-/** A field of a log line. */
+/** Value of a field in a log line; undefined omits the field. */
 export type LogValue = string | number | boolean | undefined;
 
-/** The fields of one event. */
+/** Fields of one event by their key. */
 export interface LogFields {
   readonly [key: string]: LogValue;
 }
 
-/** Levels, from most to least talkative. */
+/** Log levels, from most to least verbose. */
 export const LOG_LEVELS = ["trace", "debug", "info", "warn", "error"] as const;
 
-/** A log level. */
 export type LogLevel = typeof LOG_LEVELS[number];
 
-const HIDDEN_FIELDS = new Set([
+const OMITTED_FIELDS = new Set([
   "v",
   "hostname",
   "name",
@@ -32,21 +31,21 @@
 function formatLine(record: Readonly<Record<string, unknown>>): string {
   const time = (record["time"] as Date).toISOString();
   const level = bunyan.nameFromLevel[record["level"] as number];
-  const head = `time=${time} level=${level} event=${record["msg"]}`;
-  const rest = Object.entries(record)
-    .filter(([key, value]) => !HIDDEN_FIELDS.has(key) && value !== undefined)
+  const prefix = `time=${time} level=${level} event=${record["msg"]}`;
+  const fields = Object.entries(record)
+    .filter(([key, value]) => !OMITTED_FIELDS.has(key) && value !== undefined)
     .map(([key, value]) => ` ${key}=${formatValue(value)}`);
-  return `${head}${rest.join("")}\n`;
+  return `${prefix}${fields.join("")}\n`;
 }
 
-/** Writes one line of key=value pairs an event. */
+/** Writes each event as one line of key=value pairs. */
 export class Log {
   readonly #logger: bunyan;
 
   /**
-   * @param box The box's id, on every line.
-   * @param level First level; `setLevel` changes it while running.
-   * @param write Receives each line with its newline.
+   * @param box Id of the box, written on every line.
+   * @param level Initial level; `setLevel` changes it.
+   * @param write Writes a line, which includes its newline.
    */
   constructor(
     box: string,
@@ -69,12 +68,12 @@
     });
   }
 
-  /** Records one event; its name is a lower-case word or words with dots. */
+  /** Logs an event; its name is lower-case words separated by dots. */
   write(level: LogLevel, event: string, fields: LogFields = {}): void {
     this.#logger[level](fields, event);
   }
 
-  /** Changes the level of a running process. */
+  /** Changes the level of the following events. */
   setLevel(level: LogLevel): void {
     this.#logger.level(level);
   }
--- a/src/log/log_test.ts
+++ b/src/log/log_test.ts
@@ -2,7 +2,7 @@
 import * as logs from "./log.ts";
 
 describe("log", () => {
-  it("writes one line of key=value pairs an event, quoted where needed", () => {
+  it("writes one line of key=value pairs per event, quoted where needed", () => {
     const lines: string[] = [];
     const log = new logs.Log("box-1", "info", (line) => lines.push(line));
     log.write("info", "lease.granted", {
@@ -16,7 +16,7 @@
     );
   });
 
-  it("follows a change of level while running", () => {
+  it("applies a changed level to later events", () => {
     const lines: string[] = [];
     const log = new logs.Log("box-1", "warn", (line) => lines.push(line));
     log.write("info", "hidden");
--- a/src/log/mod.ts
+++ b/src/log/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Logs: one line of key=value pairs an event.
+ * Logging: one line of key=value pairs per event.
  *
  * @example
  * ```ts
--- a/src/metrics/metrics.ts
+++ b/src/metrics/metrics.ts
@@ -1,6 +1,6 @@
 import * as hotShots from "hot-shots";
 
-/** Names of every metric; docs/metrics.md lists them. */
+/** Names of the StatsD metrics, without their prefix; see docs/metrics.md. */
 export type MetricName =
   | "caller.requests"
   | "caller.failures"
@@ -11,14 +11,14 @@
   | "sample.bound"
   | "sample.discarded";
 
-/** Where metrics go. */
+/** The StatsD server that receives the metrics. */
 export interface MetricsOptions {
   readonly host: string;
   readonly port: number;
   readonly enabled: boolean;
 }
 
-/** Sends counters and timings over UDP. */
+/** Sends counters and timings to a StatsD server over UDP. */
 export class Metrics {
   readonly #client: hotShots.StatsD | undefined;
 
@@ -34,7 +34,7 @@
     });
   }
 
-  /** Counts one event, or `by` of them. */
+  /** Increments a counter. */
   count(name: MetricName, by = 1): void {
     this.#client?.increment(name, by);
   }
--- a/src/metrics/mod.ts
+++ b/src/metrics/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Metrics over UDP by hot-shots.
+ * Metrics for StatsD over UDP and for Prometheus over HTTP.
  *
  * @example
  * ```ts
--- a/src/metrics/replica_metrics.ts
+++ b/src/metrics/replica_metrics.ts
@@ -1,33 +1,33 @@
 import * as prometheus from "prom-client";
 
-/** What a replica tells of its group. */
-export interface ReplicaFigures {
-  /** Time since a leader that may act was known, in ms. */
+/** Statistics of a replica. */
+export interface ReplicaStatistics {
+  /** Time since the replica knew a leader with authority, in ms. */
   readonly leaderlessMs: number;
-  /** What a leader knows of its followers; undefined without the lead. */
-  readonly followers: FollowerFigures | undefined;
+  /** Statistics of the followers; undefined unless the replica leads. */
+  readonly followers: FollowerStatistics | undefined;
 }
 
-/** What a leader tells of its followers. */
-export interface FollowerFigures {
-  /** Voters that answer and count in a quorum, the leader among them. */
+/** Statistics that a leader has of its followers. */
+export interface FollowerStatistics {
+  /** Number of voters, including the leader, that respond and can vote. */
   readonly presentVoters: number;
   readonly quorum: number;
-  /** How long the follower that is fed longest has not counted, in ms. */
+  /** Longest time for which a follower has been catching up, in ms. */
   readonly fedMs: number;
 }
 
-/** Figures of the replica groups that a box takes part in. */
+/** Metrics of the replica groups of a box. */
 export class ReplicaMetrics {
-  readonly #present: prometheus.Gauge<"group">;
+  readonly #presentVoters: prometheus.Gauge<"group">;
   readonly #lossesLeft: prometheus.Gauge<"group">;
   readonly #fedMs: prometheus.Gauge<"group">;
   readonly #leaderlessMs: prometheus.Gauge<"group">;
-  readonly #refused: prometheus.Counter<"group" | "reason">;
+  readonly #refusedVotes: prometheus.Counter<"group" | "reason">;
 
   constructor(registry: prometheus.Registry) {
     const registers = [registry];
-    this.#present = new prometheus.Gauge({
+    this.#presentVoters = new prometheus.Gauge({
       name: "hoistscale_voters_present",
       help: "Voters that answer the leader and count; at the leader only",
       labelNames: ["group"],
@@ -51,7 +51,7 @@
       labelNames: ["group"],
       registers,
     });
-    this.#refused = new prometheus.Counter({
+    this.#refusedVotes = new prometheus.Counter({
       name: "hoistscale_votes_refused_total",
       help: "Votes refused to this replica, by reason",
       labelNames: ["group", "reason"],
@@ -59,23 +59,23 @@
     });
   }
 
-  /** Sets what a replica tells now; what only a leader tells goes with the lead. */
-  setFigures(group: string, figures: ReplicaFigures): void {
-    const { leaderlessMs, followers } = figures;
+  /** Sets the gauges of a group; removes those of the leader on a follower. */
+  setStatistics(group: string, statistics: ReplicaStatistics): void {
+    const { leaderlessMs, followers } = statistics;
     this.#leaderlessMs.set({ group }, leaderlessMs);
     if (followers === undefined) {
-      this.#present.remove({ group });
+      this.#presentVoters.remove({ group });
       this.#lossesLeft.remove({ group });
       this.#fedMs.remove({ group });
       return;
     }
     const { presentVoters, quorum, fedMs } = followers;
-    this.#present.set({ group }, presentVoters);
+    this.#presentVoters.set({ group }, presentVoters);
     this.#lossesLeft.set({ group }, presentVoters - quorum);
     this.#fedMs.set({ group }, fedMs);
   }
 
   countRefusedVote(group: string, reason: string): void {
-    this.#refused.inc({ group, reason });
+    this.#refusedVotes.inc({ group, reason });
   }
 }
--- a/src/metrics/replica_metrics_test.ts
+++ b/src/metrics/replica_metrics_test.ts
@@ -2,7 +2,7 @@
 import * as prometheus from "prom-client";
 import * as replicaMetrics from "./replica_metrics.ts";
 
-describe("metrics of a replica", () => {
+describe("replica metrics", () => {
   let registry = new prometheus.Registry();
   let metrics = new replicaMetrics.ReplicaMetrics(registry);
 
@@ -11,7 +11,7 @@
     metrics = new replicaMetrics.ReplicaMetrics(registry);
   });
 
-  /** Lines of the served text, without comments. */
+  /** Lists the lines of the metrics text, without comments. */
   async function listValues(): Promise<readonly string[]> {
     const text = await registry.metrics();
     return text.split("\n").filter((line) =>
@@ -19,8 +19,8 @@
     );
   }
 
-  it("tell how many voters may be lost, at the leader", async () => {
-    metrics.setFigures("stores", {
+  it("report at the leader how many voters may be lost", async () => {
+    metrics.setStatistics("stores", {
       leaderlessMs: 0,
       followers: { presentVoters: 2, quorum: 2, fedMs: 1_500 },
     });
@@ -32,8 +32,8 @@
     ]);
   });
 
-  it("tell less than none left where the leader has no quorum", async () => {
-    metrics.setFigures("stores", {
+  it("report a negative number if the leader has no quorum", async () => {
+    metrics.setStatistics("stores", {
       leaderlessMs: 300,
       followers: { presentVoters: 1, quorum: 2, fedMs: 0 },
     });
@@ -42,18 +42,21 @@
     );
   });
 
-  it("tell nothing of voters once the lead is lost", async () => {
-    metrics.setFigures("stores", {
+  it("remove the gauges of voters when the replica stops leading", async () => {
+    metrics.setStatistics("stores", {
       leaderlessMs: 0,
       followers: { presentVoters: 3, quorum: 2, fedMs: 0 },
     });
-    metrics.setFigures("stores", { leaderlessMs: 800, followers: undefined });
+    metrics.setStatistics("stores", {
+      leaderlessMs: 800,
+      followers: undefined,
+    });
     chai.expect(await listValues()).to.deep.equal([
       'hoistscale_leaderless_ms{group="stores"} 800',
     ]);
   });
 
-  it("count refused votes by their reason", async () => {
+  it("count refused votes by reason", async () => {
     metrics.countRefusedVote("stores", "notAdmitted");
     metrics.countRefusedVote("stores", "notAdmitted");
     metrics.countRefusedVote("core", "logBehind");
--- a/src/operator/operator_listener.ts
+++ b/src/operator/operator_listener.ts
@@ -59,17 +59,17 @@
       client.getView(),
     );
     if (operator.kind === "failure") {
-      return httpServer.answerFailure(response, operator.failure);
+      return httpServer.respondFailure(response, operator.failure);
     }
     const access = accesses.checkAccess(operator.value, route);
     if (access.kind === "failure") {
-      return httpServer.answerFailure(response, access.failure);
+      return httpServer.respondFailure(response, access.failure);
     }
     const answer = await this.#answer(request, operator.value, route);
     if (answer.kind === "failure") {
-      return httpServer.answerFailure(response, answer.failure);
+      return httpServer.respondFailure(response, answer.failure);
     }
-    httpServer.answerJson(response, 200, answer.value);
+    httpServer.respondJson(response, 200, answer.value);
   }
 
   async #answer(
--- a/src/replica_group/explained_loss_test.ts
+++ b/src/replica_group/explained_loss_test.ts
@@ -16,7 +16,7 @@
 const POLL_MS = 20;
 const METHOD = "stores.consensus";
 
-type Handler = Parameters<rpc.MethodTable["add"]>[1];
+type Handler = Parameters<rpc.MethodRegistry["add"]>[1];
 
 /** A box with a replica, which keeps its log lines over restarts. */
 class StoreBox {
@@ -53,7 +53,7 @@
 
   function getPeer(id: string): rpc.Peer {
     return {
-      tell: (method, params) => {
+      notify: (method, params) => {
         const handle = getBox(id).handlers.get(method);
         setImmediate(() => handle?.(params as never));
       },
--- a/src/replica_group/founding_desk.ts
+++ b/src/replica_group/founding_desk.ts
@@ -70,7 +70,7 @@
   constructor(options: {
     readonly clock: clocks.Clock;
     readonly log: logs.Log;
-    readonly server: rpc.MethodTable;
+    readonly server: rpc.MethodRegistry;
     readonly isFirstStart: boolean;
   }) {
     this.#clock = options.clock;
--- a/src/replica_group/founding_desk_test.ts
+++ b/src/replica_group/founding_desk_test.ts
@@ -23,14 +23,14 @@
       return desk.apply(createApplicant(id));
     }
     chai.expect(apply("a").kind).to.equal("wait");
-    clock.extendBy(5_000);
+    clock.advance(5_000);
     chai.expect(apply("b").kind).to.equal("wait");
     chai.expect(apply("c").kind).to.equal("wait");
-    clock.extendBy(1_100);
+    clock.advance(1_100);
     const founded = { kind: "founded", voters: ["a", "b", "c"] };
     chai.expect(apply("a")).to.deep.equal(founded);
     chai.expect(apply("d")).to.deep.equal(founded);
-    clock.extendBy(60_000);
+    clock.advance(60_000);
     chai.expect(apply("b")).to.deep.equal(founded);
   });
 
--- a/src/replica_group/leader_caller_test.ts
+++ b/src/replica_group/leader_caller_test.ts
@@ -41,7 +41,7 @@
 
   function getClient(id: string): rpc.Peer {
     return {
-      tell: () => {},
+      notify: () => {},
       call: <T>() => {
         asked.push(id);
         if (dead.includes(id)) {
@@ -75,7 +75,7 @@
     for (;;) {
       await new Promise((resolve) => setImmediate(resolve));
       if (answer !== undefined) return answer;
-      clock.extendBy(STEP_MS);
+      clock.advance(STEP_MS);
     }
   }
 
--- a/src/replica_group/read_barrier.ts
+++ b/src/replica_group/read_barrier.ts
@@ -22,7 +22,7 @@
   /** Woken when the replica's state changed. */
   readonly changed: csp.Signal;
   readonly peers: fleet.Peers;
-  readonly server: rpc.MethodTable;
+  readonly server: rpc.MethodRegistry;
 }
 
 /** How far the leader's state is. */
--- a/src/replica_group/read_barrier_test.ts
+++ b/src/replica_group/read_barrier_test.ts
@@ -53,7 +53,7 @@
     others: ReadonlyMap<string, () => unknown> = own,
   ): readBarriers.ReadBarrier {
     const peer: rpc.Peer = {
-      tell: () => {},
+      notify: () => {},
       call: async <T>(method: string) => {
         await Promise.resolve();
         if (isLeaderDown) throw new Error("the connection closed");
@@ -103,7 +103,7 @@
     leader.applied = 7;
     const passing = barrier.awaitLeaderState(TIMEOUT_MS);
     await settle();
-    clock.extendBy(TIMEOUT_MS);
+    clock.advance(TIMEOUT_MS);
     chai.expect(await passing).to.equal(false);
   });
 
--- a/src/replica_group/replica_group.ts
+++ b/src/replica_group/replica_group.ts
@@ -59,7 +59,7 @@
   readonly machine: consensus.Machine;
   readonly directory: fleet.BoxDirectory;
   readonly peers: fleet.Peers;
-  readonly server: rpc.MethodTable;
+  readonly server: rpc.MethodRegistry;
   /** Whether a box may keep a replica of this group. */
   readonly canVote: (box: fleet.BoxRecord) => boolean;
   /** Ids of boxes that are to be emptied. */
@@ -232,7 +232,7 @@
       machine,
       snapshotEntries,
       send: (to, message) =>
-        peers.get(to).tell(this.#getMethod(), this.#wrap(message)),
+        peers.get(to).notify(this.#getMethod(), this.#wrap(message)),
       onNotice: (notice) => this.#writeNotice(notice),
       onFatal,
     });
@@ -255,7 +255,7 @@
     if (known !== undefined) return known;
     const envelope: ConsensusEnvelope = { from: this.#options.id, message };
     this.#envelopes.set(message, envelope);
-    if (isBulk(message)) rpc.markPlain(envelope);
+    if (isBulk(message)) rpc.disableCompression(envelope);
     return envelope;
   }
 
@@ -269,7 +269,7 @@
   #measure(): void {
     const { metrics, name } = this.#options;
     const health = this.#driver?.getHealth();
-    if (health !== undefined) metrics.replicas.setFigures(name, health);
+    if (health !== undefined) metrics.replicas.setStatistics(name, health);
   }
 
   #plan(): void {
--- a/src/replica_group/simulated_stores_test.ts
+++ b/src/replica_group/simulated_stores_test.ts
@@ -201,7 +201,7 @@
   async run(ms: number, isDone: () => boolean = () => false): Promise<boolean> {
     for (let left = ms; left > 0; left -= 1) {
       if (isDone()) return true;
-      this.clock.extendBy(1);
+      this.clock.advance(1);
       this.#limitProcesses();
       this.#propose();
       for (let turn = 0; turn < TURNS; turn += 1) {
@@ -261,7 +261,7 @@
 
   #createPeer(from: string, to: string): rpc.Peer {
     return {
-      tell: (method, params) => this.#tell(from, to, method, params),
+      notify: (method, params) => this.#tell(from, to, method, params),
       call: () => Promise.reject(new Error("no calls here")),
     };
   }
--- a/src/results/failure_error.ts
+++ b/src/results/failure_error.ts
@@ -1,6 +1,6 @@
 import type * as results from "./result.ts";
 
-/** Carries a failure through code that throws. */
+/** An error that carries a failure. */
 export class FailureError extends Error {
   readonly failure: results.Failure;
 
@@ -12,10 +12,10 @@
 }
 
 /**
- * Gives any thrown value as a failure.
+ * Converts a thrown value to a failure.
  *
  * @param error The thrown value.
- * @returns Its failure, or an internal one of unknown outcome.
+ * @returns The failure that it carries, or `internal` with an unknown outcome.
  */
 export function toFailure(error: unknown): results.Failure {
   if (error instanceof FailureError) return error.failure;
--- a/src/results/mod.ts
+++ b/src/results/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Numbered results and tagged failures.
+ * Results that are a value or a failure, and the result codes.
  *
  * @example
  * ```ts
--- a/src/results/result.ts
+++ b/src/results/result.ts
@@ -1,15 +1,15 @@
-import type * as resultCode from "./result_code.ts";
+import type * as resultCodes from "./result_code.ts";
 
-/** Whether the thing asked for ran, as far as can be said truly. */
+/** Whether the requested operation ran. */
 export type Outcome = "notRun" | "ran" | "unknown";
 
-/** A numbered error. */
+/** A failure with a result code. */
 export interface Failure {
-  readonly code: resultCode.CodeName;
+  readonly code: resultCodes.ResultCodeName;
   /** What failed and why. */
   readonly message: string;
   readonly outcome: Outcome;
-  /** When to come back, in ms from now, where that can help. */
+  /** Delay in ms after which a retry may succeed; undefined if unknown. */
   readonly retryAfterMs?: number;
 }
 
@@ -26,25 +26,25 @@
 }
 
 /**
- * Wraps a value.
+ * Creates a successful result.
  *
  * @param value The value.
- * @returns An ok result.
+ * @returns The result.
  */
 export function createOk<T>(value: T): Result<T> {
   return { kind: "ok", value };
 }
 
 /**
- * Builds a failed result.
+ * Creates a failed result.
  *
- * @param code The result's name.
+ * @param code Name of the result code.
  * @param message What failed and why.
- * @param options Outcome and time to come back.
- * @returns A failed result.
+ * @param options Outcome and retry delay.
+ * @returns The result.
  */
 export function createFailure(
-  code: resultCode.CodeName,
+  code: resultCodes.ResultCodeName,
   message: string,
   options: FailureOptions = {},
 ): { readonly kind: "failure"; readonly failure: Failure } {
--- a/src/results/result_code.ts
+++ b/src/results/result_code.ts
@@ -1,5 +1,5 @@
-/** One numbered result: its number, HTTP status, exit code and meaning. */
-export interface CodeEntry {
+/** A result code: its number, HTTP status, exit code, meaning and remedy. */
+export interface ResultCodeEntry {
   readonly number: number;
   readonly httpStatus: number;
   readonly exitCode: number;
@@ -12,10 +12,11 @@
   httpStatus: number,
   meaning: string,
   action: string,
-): CodeEntry {
+): ResultCodeEntry {
   return { number, httpStatus, meaning, action, exitCode: toExitCode(number) };
 }
 
+/** Exit codes reserved for each thousand of result numbers. */
 const EXIT_CODES_PER_GROUP = 20;
 
 function toExitCode(number: number): number {
@@ -23,7 +24,7 @@
   return Math.floor(number / 1000) * EXIT_CODES_PER_GROUP + number % 1000;
 }
 
-/** Every result that hoistscale reports, by name. */
+/** All result codes by name. */
 export const RESULT_CODES = {
   ok: createEntry(0, 200, "Done", "Nothing to do"),
   badSettings: createEntry(
@@ -230,7 +231,7 @@
     "An internal error",
     "Report it with the log line",
   ),
-} as const satisfies Readonly<Record<string, CodeEntry>>;
+} as const satisfies Readonly<Record<string, ResultCodeEntry>>;
 
-/** The name of a numbered result. */
-export type CodeName = keyof typeof RESULT_CODES;
+/** Name of a result code. */
+export type ResultCodeName = keyof typeof RESULT_CODES;
--- a/src/routing/server_table_test.ts
+++ b/src/routing/server_table_test.ts
@@ -84,7 +84,7 @@
 
     async function poll(): Promise<void> {
       const before = pair.map(({ polls }) => polls);
-      clock.extendBy(POLL_MS);
+      clock.advance(POLL_MS);
       for (let turn = 0; turn < MAX_TURNS; turn += 1) {
         await new Promise((resolve) => setTimeout(resolve, 1));
         if (pair.every(({ polls }, at) => polls > before[at]!)) break;
@@ -118,6 +118,6 @@
     await poll();
     for (const prompt of fresh) chai.expect(isAtFirst(prompt)).to.equal(true);
     table.stop();
-    clock.extendBy(POLL_MS);
+    clock.advance(POLL_MS);
   });
 });
--- a/src/rpc/_shared_text.ts
+++ b/src/rpc/_compression_dictionary.ts
@@ -1,9 +1,9 @@
 /**
- * Text that the most frequent messages between boxes have in common, the most
- * frequent last. Messages that look otherwise are only compressed less. It must
- * be the same on both sides, so a changed text needs a new frame format.
+ * Preset DEFLATE dictionary with samples of the most frequent messages between
+ * boxes, the most frequent last. Other messages compress less well. Both sides
+ * must use the same dictionary, so a change requires a new frame format.
  */
-export const SHARED_TEXT = Buffer.from([
+export const COMPRESSION_DICTIONARY = Buffer.from([
   `{"id":"i-","service":"","address":"10.","port":8080,"failureDomain":"","slots":12,"phase":"ready","coldMs":0,"sequence":1,"models":[{"name":"","version":1}]}`,
   `{"id":"10.","name":"frontend-","failureDomain":"","region":"","peerPort":7720,"callerAddress":"10.","isCore":false,"isStore":false,"isReady":true,"isLeaving":false,"ledTerm":0,"startedAtMs":17,"sequence":0}`,
   `{"jsonrpc":"2.0","id":1,"method":"submission.read","params":{"id":"","after":0,"waitMs":400}}`,
--- a/src/rpc/mod.ts
+++ b/src/rpc/mod.ts
@@ -1,5 +1,5 @@
 /**
- * JSON-RPC 2.0 between boxes, one JSON text a frame over TCP.
+ * JSON-RPC 2.0 between boxes over TCP, with one message per frame.
  *
  * @example
  * ```ts
@@ -8,6 +8,6 @@
  * ```
  * @module
  */
-export { markPlain } from "./_private.ts";
+export { disableCompression } from "./_framing.ts";
 export * from "./rpc_client.ts";
 export * from "./rpc_server.ts";
--- a/src/rpc/rpc_client.ts
+++ b/src/rpc/rpc_client.ts
@@ -1,123 +1,122 @@
 import * as net from "node:net";
 import * as jsonRpc from "json-rpc-2.0";
 import * as results from "../results/mod.ts";
-import * as internals from "./_private.ts";
+import * as framing from "./_framing.ts";
 
-/** Where a box listens for its peers. */
+/** Address on which a box listens for its peers. */
 export interface PeerAddress {
   readonly address: string;
   readonly port: number;
 }
 
-/** Largest number of bytes that wait for one slow peer. */
-const MAX_BUFFERED_BYTES = 32 * 1024 * 1024;
+/** Write buffer size in bytes above which a connection is closed. */
+const MAX_WRITE_BUFFER_BYTES = 32 * 1024 * 1024;
 const CONNECT_TIMEOUT_MS = 1_000;
-/** Time after a notification at which the peer is asked for a sign of life, in ms. */
-const PING_MS = 1_000;
-/** Reason given to calls whose connection was never made. */
-const NOT_CONNECTED = "the connection was not made";
+/** Delay between a notification and the ping that follows it, in ms. */
+const PING_INTERVAL_MS = 1_000;
+/** Reason with which calls fail if no connection was established. */
+const NOT_CONNECTED_REASON = "the connection was not made";
 
-/** Another box that can be called. */
+/** Sends notifications and calls to another box. */
 export interface Peer {
-  /** Sends a message that has no answer; it may be lost. */
-  tell(method: string, params: object): void;
+  /** Sends a notification without a response; it may be lost. */
+  notify(method: string, params: object): void;
   /** Calls a method and waits for its result. */
   call<T>(method: string, params: object, timeoutMs: number): Promise<T>;
 }
 
-/** Calls another box by JSON-RPC over one TCP connection, made on demand. */
+/** Calls another box by JSON-RPC over one TCP connection, opened on demand. */
 export class RpcClient implements Peer {
   readonly #peer: PeerAddress;
-  readonly #pingMs: number;
+  readonly #pingIntervalMs: number;
   readonly #client: jsonRpc.JSONRPCClient;
   #socket: net.Socket | undefined;
-  #ping: NodeJS.Timeout | undefined;
+  #pingTimer: NodeJS.Timeout | undefined;
   #isClosed = false;
 
   /**
-   * @param peer Where the box listens.
-   * @param pingMs How soon a box that was told something must show that it
-   * hears, in ms.
+   * @param peer Address of the box.
+   * @param pingIntervalMs Delay between a notification and its ping, and the
+   * timeout of the ping, in ms.
    */
-  constructor(peer: PeerAddress, pingMs = PING_MS) {
+  constructor(peer: PeerAddress, pingIntervalMs = PING_INTERVAL_MS) {
     this.#peer = peer;
-    this.#pingMs = pingMs;
+    this.#pingIntervalMs = pingIntervalMs;
     this.#client = new jsonRpc.JSONRPCClient((message) =>
       this.#sendMessage(message)
     );
   }
 
-  /** Sends a message that has no answer; it may be lost. */
-  tell(method: string, params: object): void {
+  notify(method: string, params: object): void {
     if (this.#isClosed) return;
     try {
       this.#client.notify(method, params);
       this.#schedulePing();
     } catch {
-      // A lost message is repeated by the protocol above.
+      // Callers tolerate lost notifications.
     }
   }
 
   /**
-   * Notifications have no answer, so that a connection which went silent without
-   * a reset would swallow them for ever; a ping without an answer ends it.
+   * Pings the peer after a notification. Notifications have no response, so a
+   * connection that silently stopped working would lose them until it is closed.
    */
   #schedulePing(): void {
-    if (this.#ping !== undefined) return;
-    this.#ping = setTimeout(() => {
-      this.call(internals.PING_METHOD, {}, this.#pingMs)
-        // The failed call has ended a silent connection; nothing else is owed.
+    if (this.#pingTimer !== undefined) return;
+    this.#pingTimer = setTimeout(() => {
+      this.call(framing.PING_METHOD, {}, this.#pingIntervalMs)
+        // The failed call has already closed a silent connection.
         .catch(() => {})
         .finally(() => {
-          this.#ping = undefined;
+          this.#pingTimer = undefined;
         });
-    }, this.#pingMs);
-    this.#ping.unref();
+    }, this.#pingIntervalMs);
+    this.#pingTimer.unref();
   }
 
   /**
    * Calls a method and waits for its result.
    *
-   * @throws FailureError `connectFailed`; its outcome is `notRun` where no
-   * connection was made, and unknown otherwise.
+   * @throws FailureError `connectFailed`; its outcome is `notRun` if no
+   * connection was established, and `unknown` otherwise.
    */
   async call<T>(method: string, params: object, timeoutMs: number): Promise<T> {
-    const readBefore = this.#countRead();
+    const bytesReadBefore = this.#getBytesRead();
     try {
       return await this.#client.timeout(timeoutMs).request(method, params) as T;
     } catch (error) {
       const { message } = error as Error;
-      this.#dropSilent(readBefore);
+      this.#closeIfSilent(bytesReadBefore);
       throw new results.FailureError({
         code: "connectFailed",
         message: `Cannot call ${method} at ${this.#peer.address}: ${message}`,
-        outcome: message === NOT_CONNECTED ? "notRun" : "unknown",
+        outcome: message === NOT_CONNECTED_REASON ? "notRun" : "unknown",
       });
     }
   }
 
   close(): void {
     this.#isClosed = true;
-    clearTimeout(this.#ping);
+    clearTimeout(this.#pingTimer);
     this.#socket?.destroy();
   }
 
-  #countRead(): number {
+  #getBytesRead(): number {
     return this.#socket?.bytesRead ?? 0;
   }
 
-  /** Gives up a connection that brought nothing during a whole failed call. */
-  #dropSilent(readBefore: number): void {
-    if (this.#countRead() === readBefore) this.#socket?.destroy();
+  /** Closes a connection that received nothing during a failed call. */
+  #closeIfSilent(bytesReadBefore: number): void {
+    if (this.#getBytesRead() === bytesReadBefore) this.#socket?.destroy();
   }
 
   #sendMessage(message: unknown): void {
     const socket = this.#openSocket();
-    if (socket.writableLength > MAX_BUFFERED_BYTES) {
+    if (socket.writableLength > MAX_WRITE_BUFFER_BYTES) {
       socket.destroy();
       throw new Error("the connection is full");
     }
-    internals.writeMessage(socket, message);
+    framing.writeMessage(socket, message);
   }
 
   #openSocket(): net.Socket {
@@ -136,11 +135,11 @@
     });
     socket.on("error", () => socket.destroy());
     socket.on("close", () =>
-      this.#dropSocket(
+      this.#handleSocketClose(
         socket,
-        isConnected ? "the connection closed" : NOT_CONNECTED,
+        isConnected ? "the connection closed" : NOT_CONNECTED_REASON,
       ));
-    internals.readMessages(
+    framing.readMessages(
       socket,
       (message) => this.#client.receive(message as jsonRpc.JSONRPCResponse),
     );
@@ -148,7 +147,7 @@
     return socket;
   }
 
-  #dropSocket(socket: net.Socket, reason: string): void {
+  #handleSocketClose(socket: net.Socket, reason: string): void {
     if (this.#socket !== socket) return;
     this.#socket = undefined;
     this.#client.rejectAllPendingRequests(reason);
--- a/src/settings/load_settings.ts
+++ b/src/settings/load_settings.ts
@@ -4,10 +4,10 @@
 import type * as settingsSchemas from "./settings_schema.ts";
 
 /**
- * Reads and checks a settings file.
+ * Reads and validates a settings file.
  *
  * @param file Path of the YAML file.
- * @returns The settings, or a failure that says what is wrong and where.
+ * @returns The settings, or `badSettings` with every error and its line.
  */
 export function loadSettings(
   file: string,
--- a/src/settings/mod.ts
+++ b/src/settings/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of a box: YAML, checked before anything starts.
+ * Settings of a box: a YAML file, validated before the box starts.
  *
  * @example
  * ```ts
--- a/src/settings/parse_settings.ts
+++ b/src/settings/parse_settings.ts
@@ -28,11 +28,11 @@
 }
 
 /**
- * Reads settings from YAML text and checks them.
+ * Parses settings from YAML text and validates them.
  *
  * @param text The YAML text.
- * @param file The file's name, for messages.
- * @returns The settings, or a failure naming every error with its line.
+ * @param file Name of the file, for messages.
+ * @returns The settings, or `badSettings` with every error and its line.
  */
 export function parseSettings(
   text: string,
@@ -42,12 +42,12 @@
 }
 
 /**
- * Reads YAML text and checks it against a schema.
+ * Parses YAML text and validates it against a schema.
  *
  * @param text The YAML text.
- * @param file The file's name, for messages.
+ * @param file Name of the file, for messages.
  * @param schema The schema.
- * @returns The value, or a failure naming every error with its line.
+ * @returns The value, or `badSettings` with every error and its line.
  */
 export function parseYaml<T extends z.ZodType>(
   text: string,
@@ -59,16 +59,16 @@
   const syntax = document.errors.map((error) =>
     `line ${lines.linePos(error.pos[0]).line}: ${error.message.split("\n")[0]}`
   );
-  if (syntax.length > 0) return refuseSettings(file, syntax);
+  if (syntax.length > 0) return createSettingsFailure(file, syntax);
   const checked = schema.safeParse(document.toJS());
   if (checked.success) return results.createOk(checked.data);
-  return refuseSettings(
+  return createSettingsFailure(
     file,
     checked.error.issues.map((issue) => formatIssue(issue, document, lines)),
   );
 }
 
-function refuseSettings(
+function createSettingsFailure(
   file: string,
   errors: readonly string[],
 ): results.Result<never> {
--- a/src/settings/settings_schema.ts
+++ b/src/settings/settings_schema.ts
@@ -88,7 +88,7 @@
   ),
 }).readonly();
 
-/** The schema of a settings file. */
+/** Schema of a settings file. */
 export const settingsSchema = z.strictObject({
   box,
   listen: listen.prefault({}),
@@ -140,14 +140,14 @@
   }).readonly().prefault({}),
 }).readonly();
 
-/** Checked settings of a box. */
+/** Validated settings of a box. */
 export type Settings = z.infer<typeof settingsSchema>;
 
-/** How a service may be called. */
+/** Settings of a service and its operations. */
 export type ServiceSettings = Settings["services"][number];
 
-/** One operation of a plain service. */
+/** Settings of one operation of a plain service. */
 export type OperationSettings = ServiceSettings["operations"][number];
 
-/** The control part of the settings. */
+/** Settings of a box that holds the replicated state. */
 export type ControlSettings = NonNullable<Settings["control"]>;
--- a/src/submission/submission_service.ts
+++ b/src/submission/submission_service.ts
@@ -26,7 +26,7 @@
 export interface SubmissionServiceOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
-  readonly server: rpc.MethodTable;
+  readonly server: rpc.MethodRegistry;
   readonly group: replicaGroups.ReplicaGroup;
   readonly barrier: replicaGroups.ReadBarrier;
   /** Failure domain of each known box, by id. */
--- a/src/traffic_config/configuration_service.ts
+++ b/src/traffic_config/configuration_service.ts
@@ -33,7 +33,7 @@
 
 /** Dependencies of a `ConfigurationService`. */
 export interface ConfigurationServiceOptions {
-  readonly server: rpc.MethodTable;
+  readonly server: rpc.MethodRegistry;
   readonly group: replicaGroups.ReplicaGroup;
   readonly machine: configurationMachines.ConfigurationMachine;
 }
--- a/src/trainer/trainer_service.ts
+++ b/src/trainer/trainer_service.ts
@@ -81,7 +81,7 @@
   ): Promise<void> {
     const body = httpServer.parseObject(call.body);
     if (body.kind === "failure") {
-      return httpServer.answerFailure(call.response, body.failure);
+      return httpServer.respondFailure(call.response, body.failure);
     }
     const { trainer, action } = route;
     const request = {
@@ -92,9 +92,9 @@
     };
     const answer = await this.#answer(request, true);
     if (answer.kind === "failure") {
-      return httpServer.answerFailure(call.response, answer.failure);
+      return httpServer.respondFailure(call.response, answer.failure);
     }
-    httpServer.answerJson(call.response, 200, answer.value);
+    httpServer.respondJson(call.response, 200, answer.value);
   }
 
   async #answer(
--- a/src/usage/clock_ahead_test.ts
+++ b/src/usage/clock_ahead_test.ts
@@ -63,7 +63,7 @@
     reporter.start();
     async function run(ms: number): Promise<void> {
       for (let left = ms; left > 0; left -= 100) {
-        clock.extendBy(100);
+        clock.advance(100);
         for (let turn = 0; turn < 4; turn += 1) {
           await new Promise((resolve) => setImmediate(resolve));
         }
--- a/src/usage/usage_reporter.ts
+++ b/src/usage/usage_reporter.ts
@@ -36,7 +36,7 @@
   readonly log: logs.Log;
   readonly metrics: metricTypes.FleetMetrics;
   readonly dialect: dialects.Dialect;
-  readonly server: rpc.MethodTable;
+  readonly server: rpc.MethodRegistry;
   readonly group: replicaGroups.ReplicaGroup;
   readonly duty: duties.DutyLease;
   readonly book: usageBooks.UsageBook;
@@ -122,7 +122,7 @@
     const ageMs = oldest === undefined
       ? 0
       : clock.getWallMs() - (oldest.window + 1) * times.windowMs;
-    metrics.setUnreportedMs(ageMs);
+    metrics.setUnreportedUsageMs(ageMs);
   }
 
   async #closeDue(): Promise<void> {
--- a/src/weight_orders/engine_restart_test.ts
+++ b/src/weight_orders/engine_restart_test.ts
@@ -127,7 +127,7 @@
   async function waitUntil(isDone: () => boolean): Promise<number> {
     const startMs = clock.getMonotonicMs();
     for (let attempt = 0; attempt < MAX_WAITS && !isDone(); attempt += 1) {
-      clock.extendBy(STEP_MS);
+      clock.advance(STEP_MS);
       await new Promise((resolve) => setTimeout(resolve, 1));
     }
     return clock.getMonotonicMs() - startMs;
