--- a/src/clock/suspension_detector.ts
+++ b/src/clock/suspension_detector.ts
@@ -4,7 +4,7 @@
  * Largest advance of the wall clock over the monotonic clock that does not count
  * as a suspension, in ms: the clocks can't be read at the same instant.
  */
-const MAX_DRIFT_MS = 50;
+const DRIFT_TOLERANCE_MS = 50;
 /** Largest rate at which slewing (as by NTP) advances the wall clock. */
 const MAX_SLEW_RATIO = 0.001;
 
@@ -43,7 +43,7 @@
     const maxDriftMs = wallMs - beforeMs - this.#offsetMs;
     const maxSlewMs = (nowMs - this.#checkedAtMs) * MAX_SLEW_RATIO;
     this.#checkedAtMs = nowMs;
-    if (minDriftMs > MAX_DRIFT_MS) {
+    if (minDriftMs > DRIFT_TOLERANCE_MS) {
       this.#resumedAtMs = nowMs;
       this.#offsetMs += minDriftMs;
     } else if (maxDriftMs < 0) this.#offsetMs += maxDriftMs;
--- a/src/http_client/open_exchange.ts
+++ b/src/http_client/open_exchange.ts
@@ -86,7 +86,7 @@
       (socket) => this.#trackConnection(socket, connectTimeoutMs),
     );
     this.#request.on("error", (error) => this.#failWithError(error));
-    this.#request.on("response", (answer) => this.#readResponse(answer));
+    this.#request.on("response", (response) => this.#readResponse(response));
     this.#cancellation?.addListener(this.#onCancel);
     if (this.#cancellation?.isCancelled() === true) this.#onCancel();
   }
@@ -152,7 +152,7 @@
   }
 }
 
-/** Reports a request whose port, path or headers are invalid as not sent. */
+/** A request with an invalid port, path or header; fails as not sent. */
 class InvalidExchange implements Exchange {
   #isCancelled = false;
 
--- a/src/rpc/_framing.ts
+++ b/src/rpc/_framing.ts
@@ -80,26 +80,27 @@
     }
     const format = bytes.readUInt8(offset + HEADER_BYTES - 1);
     const payload = bytes.subarray(offset + HEADER_BYTES, end);
-    if (!decodePayload(format, payload, onMessage)) return undefined;
+    if (!deliverMessage(format, payload, onMessage)) return undefined;
     offset = end;
   }
   return { remainder: bytes.subarray(offset), neededBytes: HEADER_BYTES };
 }
 
-function decodePayload(
+/** Decodes a payload for `onMessage`; false if either throws. */
+function deliverMessage(
   format: number,
   payload: Buffer,
   onMessage: (message: unknown) => void,
 ): boolean {
   try {
-    onMessage(JSON.parse(decompressPayload(format, payload).toString("utf8")));
+    onMessage(JSON.parse(decodePayload(format, payload).toString("utf8")));
     return true;
   } catch {
     return false;
   }
 }
 
-function decompressPayload(format: number, payload: Buffer): Buffer {
+function decodePayload(format: number, payload: Buffer): Buffer {
   switch (format) {
     case DEFLATE_FORMAT:
       return zlib.inflateRawSync(payload, {
@@ -125,8 +126,8 @@
 const uncompressedParams = new WeakSet<object>();
 
 /**
- * Sends a notification uncompressed. For bulk data, whose compression costs the
- * sender more time than it saves in traffic.
+ * Marks a notification to be sent uncompressed. For bulk data, where the CPU time
+ * of the sender matters more than the saved traffic.
  *
  * @param params The parameters object of the notification.
  */
