--- a/src/rpc/rpc_test.ts
+++ b/src/rpc/rpc_test.ts
@@ -58,7 +58,7 @@
   });
 
   it("replaces a silent connection that carries only notifications", async () => {
-    const heard = await listen("127.0.0.1");
+    const received = await listen("127.0.0.1");
     const sockets: net.Socket[] = [];
     // The first connection stays open and forwards nothing; later ones work.
     const proxy = net.createServer((socket) => {
@@ -76,11 +76,11 @@
       20,
     );
     clients.push(client);
-    for (let poll = 0; poll < MAX_POLLS && heard.length === 0; poll += 1) {
+    for (let poll = 0; poll < MAX_POLLS && received.length === 0; poll += 1) {
       client.notify("note", { text: "heard" });
       await new Promise((resolve) => setTimeout(resolve, 5));
     }
-    chai.expect(heard[0]).to.equal("heard");
+    chai.expect(received[0]).to.equal("heard");
     for (const socket of sockets) socket.destroy();
     proxy.close();
   });
