--- a/src/metrics/replica_metrics.ts
+++ b/src/metrics/replica_metrics.ts
@@ -10,7 +10,7 @@
 
 /** Statistics that a leader has of its followers. */
 export interface FollowerStatistics {
-  /** Number of voters, including the leader, that respond and can vote. */
+  /** Voters that respond and count towards a quorum, including the leader. */
   readonly presentVoters: number;
   readonly quorum: number;
   /** Longest time for which a follower has been catching up, in ms. */
