--- a/src/dispatch/dispatch_test.ts
+++ b/src/dispatch/dispatch_test.ts
@@ -152,13 +152,13 @@
     const task = taskFixtures.createTask("a", { minimumVersion: 2 });
     task.restore(texts, false);
     chai.expect(task.progress.getLastId()).to.equal(4);
-    chai.expect(task.progress.getKeptLastId()).to.equal(undefined);
+    chai.expect(task.progress.getStoredLastId()).to.equal(undefined);
     const whole = taskFixtures.createTask("a", { minimumVersion: 1 });
     whole.restore(texts, false);
     chai.expect(whole.phase).to.equal("scoring");
     const none = taskFixtures.createTask("a", { minimumVersion: 3 });
     none.restore(texts, false);
-    chai.expect(none.progress.countEvents()).to.equal(0);
+    chai.expect(none.progress.countLocalEvents()).to.equal(0);
   });
 
   describe("placement round", () => {
--- a/src/dispatch/dispatcher_test.ts
+++ b/src/dispatch/dispatcher_test.ts
@@ -21,7 +21,7 @@
   versionField: "version",
   createForwardHeaders: (
     headers: dialects.HeaderMap,
-    marks: dialects.ForwardMarks,
+    marks: dialects.ForwardMetadata,
   ) => ({ ...headers, id: marks.requestId }),
   parseAnswerHead: (headers: dialects.HeaderMap) => ({
     requestId: headers["id"],
@@ -62,11 +62,11 @@
 
 /** A single-replica group whose role and quorum are set by the test. */
 class FakeGroup {
-  readonly #machine: submissions.SubmissionMachine;
+  readonly #machine: submissions.SubmissionStateMachine;
   isLeader = true;
   hasQuorum = true;
 
-  constructor(machine: submissions.SubmissionMachine) {
+  constructor(machine: submissions.SubmissionStateMachine) {
     this.#machine = machine;
   }
 
@@ -85,7 +85,7 @@
 
 describe("dispatcher", () => {
   let clock = new clocks.FakeClock();
-  let machine = new submissions.SubmissionMachine(() => {});
+  let machine = new submissions.SubmissionStateMachine(() => {});
   let group = new FakeGroup(machine);
   let dispatcher: dispatchers.Dispatcher;
   let servers = new registry.ServerRegistry(clock, 60_000);
@@ -111,7 +111,7 @@
   beforeEach(async () => {
     runs = [];
     clock = new clocks.FakeClock();
-    machine = new submissions.SubmissionMachine(() => {});
+    machine = new submissions.SubmissionStateMachine(() => {});
     machine.apply({ kind: "acceptSubmission", submission: SUBMISSION });
     group = new FakeGroup(machine);
     engines = new engineTables.EngineTable(clock);
--- a/src/dispatch/waiting_order_test.ts
+++ b/src/dispatch/waiting_order_test.ts
@@ -125,7 +125,7 @@
 });
 
 describe("task table", () => {
-  const machine = new submissions.SubmissionMachine(() => {});
+  const machine = new submissions.SubmissionStateMachine(() => {});
   const draft = taskFixtures.createTask("x").submission;
 
   function accept(step: number, model: string, items: readonly string[]): void {
--- a/src/forwarding/_job_run.ts
+++ b/src/forwarding/_job_run.ts
@@ -286,7 +286,7 @@
     const { priority, targetAtMs } = this.#job;
     const giveUpAtMs = this.#slotWait.start();
     this.#leaveQueue = this.#queue.enqueue(
-      { priority, targetAtMs, giveUpAtMs },
+      { priority, targetAtMs, deadlineAtMs: giveUpAtMs },
       {
         onTurn: () => {
           this.#picker.startTurn();
--- a/src/weight_orders/engine_restart_test.ts
+++ b/src/weight_orders/engine_restart_test.ts
@@ -91,7 +91,7 @@
     clock = new clocks.FakeClock();
     servers = new registry.ServerRegistry(clock, 60_000);
     engines = new dispatch.EngineTable(clock);
-    const machine = new submissions.SubmissionMachine(() => {});
+    const machine = new submissions.SubmissionStateMachine(() => {});
     machine.apply({ kind: "nameVersion", model: "m", version: 2 });
     scheduler = new weightOrderSchedulers.WeightOrderScheduler({
       clock,
@@ -144,7 +144,7 @@
     servers.merge(createProcess(2_000));
     chai.expect(getVersion()).to.equal(1);
     await waitUntil(() => getVersion() === 2);
-    chai.expect(orders.map((order) => order.expectedOrders)).to.deep.equal([
+    chai.expect(orders.map((order) => order.expectedOrderCount)).to.deep.equal([
       0,
       0,
     ]);
--- a/src/weight_orders/engine_tracker_test.ts
+++ b/src/weight_orders/engine_tracker_test.ts
@@ -31,7 +31,7 @@
   let states: Readonly<Record<string, boolean>> = {};
   let probed: readonly string[] = [];
   let clock = new clocks.FakeClock();
-  let machine = new submissions.SubmissionMachine(() => {});
+  let machine = new submissions.SubmissionStateMachine(() => {});
   let servers = new registry.ServerRegistry(clock, 1_000);
   let discoveries = 0;
   let tracker: engineTrackers.EngineTracker | undefined;
@@ -68,7 +68,7 @@
     discoveries = 0;
     term = 1;
     clock = new clocks.FakeClock();
-    machine = new submissions.SubmissionMachine(() => {});
+    machine = new submissions.SubmissionStateMachine(() => {});
     servers = new registry.ServerRegistry(clock, 1_000);
     tracker = new engineTrackers.EngineTracker({
       clock,
