--- a/src/caller/caller_path_test.ts
+++ b/src/caller/caller_path_test.ts
@@ -19,8 +19,8 @@
   after(() => box.stop());
 
   beforeEach(() => {
-    box.manner = "answer";
-    box.runs = [];
+    box.responseMode = "answer";
+    box.receivedUrls = [];
   });
 
   it("answers a lookup through the live server though another refuses connections", async () => {
@@ -68,20 +68,20 @@
       chai.expect(answer.status).to.equal(status);
       chai.expect(answer.json.error).to.include({ name, outcome: "notRun" });
     }
-    chai.expect(box.runs).to.deep.equal([]);
+    chai.expect(box.receivedUrls).to.deep.equal([]);
   });
 
   it("gives a half-sent request up in time and runs nothing", async () => {
     const socket = net.connect(8080, box.address);
     socket.write(
-      `POST /services/app/sync HTTP/1.1\r\nhost: b\r\nauthorization: Bearer ${oneBoxes.TOKEN}\r\nidempotency-key: h\r\ncontent-length: 50\r\n\r\nhalf`,
+      `POST /services/app/sync HTTP/1.1\r\nhost: b\r\nauthorization: Bearer ${oneBoxes.ACCOUNT_TOKEN}\r\nidempotency-key: h\r\ncontent-length: 50\r\n\r\nhalf`,
     );
     const text = await new Promise<string>((resolve) =>
       socket.once("data", (chunk) => resolve(chunk.toString("utf8")))
     );
     socket.destroy();
     chai.expect(text).to.contain("408");
-    chai.expect(box.runs).to.deep.equal([]);
+    chai.expect(box.receivedUrls).to.deep.equal([]);
   });
 
   it("runs a call that must not be repeated once and gives a resend the first answer", async () => {
@@ -94,14 +94,14 @@
       name: "keyReused",
       outcome: "notRun",
     });
-    chai.expect(box.runs.length).to.equal(1);
+    chai.expect(box.receivedUrls.length).to.equal(1);
   });
 
   for (const broken of ["truncate", "reset", "swap", "silent"] as const) {
     it(`says unknown when a server does ${broken} to a call that must not be repeated, and never runs it again`, async () => {
-      box.manner = broken;
+      box.responseMode = broken;
       const first = await sync(`k-${broken}`);
-      box.manner = "answer";
+      box.responseMode = "answer";
       const again = await sync(`k-${broken}`);
       chai.expect(first.json.error).to.include({
         name: "backendFailed",
@@ -111,22 +111,22 @@
         name: "unknownOutcome",
         outcome: "unknown",
       });
-      chai.expect(box.runs.length).to.equal(1);
+      chai.expect(box.receivedUrls.length).to.equal(1);
     });
   }
 
   for (const broken of ["truncate", "swap"] as const) {
     it(`says unknown, whatever a later try met, to a lookup's caller when a server did ${broken}`, async () => {
-      box.manner = broken;
+      box.responseMode = broken;
       for (let count = 0; count < 12; count += 1) {
-        const before = box.runs.length;
+        const before = box.receivedUrls.length;
         const answer = await box.send("GET", "/services/app/stock");
-        const hasRun = box.runs.length > before;
+        const hasRun = box.receivedUrls.length > before;
         chai.expect(answer.json.error.outcome).to.equal(
           hasRun ? "unknown" : "notRun",
         );
       }
-      chai.expect(box.runs.length).to.be.greaterThan(0);
+      chai.expect(box.receivedUrls.length).to.be.greaterThan(0);
     });
   }
 
--- a/src/cli/_report.ts
+++ b/src/cli/_report.ts
@@ -1,6 +1,6 @@
 import * as results from "../results/mod.ts";
 
-/** Prints a failure and gives the exit code of its result. */
+/** Prints a failure to stderr and returns the exit code of its result. */
 export function reportFailure(failure: results.Failure): number {
   const entry = results.RESULT_CODES[failure.code];
   process.stderr.write(`${failure.message}\n`);
@@ -10,7 +10,7 @@
   return entry.exitCode;
 }
 
-/** Prints a value: as JSON for scripts, or through a text form for people. */
+/** Prints a value to stdout, as JSON or formatted as text, and returns 0. */
 export function reportValue(
   value: unknown,
   isJson: boolean,
@@ -21,7 +21,7 @@
   return 0;
 }
 
-/** Lays rows out in columns. */
+/** Formats rows as left-aligned columns, as wide as their longest cells. */
 export function formatTable(rows: readonly (readonly string[])[]): string {
   const widths = (rows[0] ?? []).map((_, column) =>
     Math.max(...rows.map((row) => row[column]?.length ?? 0))
--- a/src/cli/admin_client.ts
+++ b/src/cli/admin_client.ts
@@ -1,16 +1,16 @@
 import * as httpClient from "../http_client/mod.ts";
 import * as results from "../results/mod.ts";
 
-/** Where and as whom the administration API is asked. */
+/** Address of the administration API and the operator's token. */
 export interface AdminOptions {
   readonly baseUrl: string;
   readonly token: string;
 }
 
-const TIMEOUT_MS = 70_000;
+const REQUEST_TIMEOUT_MS = 70_000;
 
-/** The part of an error answer that is read. */
-interface ErrorAnswer {
+/** The fields of an error response that are read. */
+interface ErrorBody {
   readonly error?: {
     readonly name?: string;
     readonly message?: string;
@@ -19,15 +19,16 @@
 }
 
 /**
- * Asks the administration API of a box.
+ * Sends a request to the administration API of a box.
  *
- * @param options Where and as whom.
+ * @param options Address of the API and token.
  * @param method HTTP method.
  * @param path Path and query.
- * @param json Body, if any.
- * @returns The answer, or the failure that the box told.
+ * @param json Request body, if any.
+ * @returns The response's JSON, or the failure that the box or the connection
+ * reported.
  */
-export async function sendAdmin(
+export async function sendAdminRequest(
   options: AdminOptions,
   method: string,
   path: string,
@@ -37,16 +38,16 @@
     baseUrl: options.baseUrl,
     method,
     path,
-    timeoutMs: TIMEOUT_MS,
+    timeoutMs: REQUEST_TIMEOUT_MS,
     headers: { authorization: `Bearer ${options.token}` },
     ...(json === undefined ? {} : { json }),
   });
   if (answer.kind === "failure") return answer;
   if (answer.value.status === 200) return results.createOk(answer.value.json);
-  return readFailure(answer.value.json as ErrorAnswer);
+  return parseFailure(answer.value.json as ErrorBody);
 }
 
-function readFailure(answer: ErrorAnswer): results.Result<unknown> {
+function parseFailure(answer: ErrorBody): results.Result<unknown> {
   const name = answer.error?.name ?? "internal";
   const code = name in results.RESULT_CODES
     ? name as results.CodeName
--- a/src/cli/admin_commands.ts
+++ b/src/cli/admin_commands.ts
@@ -5,36 +5,39 @@
 import * as results from "../results/mod.ts";
 import type * as templates from "../rollout_template/mod.ts";
 import * as reports from "./_report.ts";
-import * as adminClients from "./admin_client.ts";
+import * as adminClient from "./admin_client.ts";
 
-/** Options of every command that asks a box. */
+/** Options of every command that sends a request to a box. */
 export interface AdminArguments {
   readonly admin: string;
   readonly token: string;
   readonly json: boolean;
 }
 
-/** Options of a change. */
+/** Options of every command that changes configuration. */
 export interface ChangeArguments extends AdminArguments {
   readonly account: string;
-  /** `name=value` pairs. */
+  /** New values as `name=value` pairs. */
   readonly values: readonly string[];
+  /** Revision that the change is based on; undefined for the current one. */
   readonly revision: number | undefined;
+  /** Id that identifies resends of a change; undefined for a random one. */
   readonly requestId: string | undefined;
+  /** Maximum time to wait until the change is in force, in ms. */
   readonly waitMs: number;
 }
 
-function ask(
+function sendRequest(
   args: AdminArguments,
   method: string,
   path: string,
   json?: unknown,
 ): Promise<results.Result<unknown>> {
   const options = { baseUrl: args.admin, token: args.token };
-  return adminClients.sendAdmin(options, method, path, json);
+  return adminClient.sendAdminRequest(options, method, path, json);
 }
 
-function report(
+function reportReply(
   args: AdminArguments,
   answer: results.Result<unknown>,
   format: (value: never) => string,
@@ -43,20 +46,23 @@
   return reports.reportValue(answer.value, args.json, format);
 }
 
-/** Reads `name=value` pairs; values are JSON where they parse, else text. */
+/** Parses `name=value` pairs; values that are not valid JSON are strings. */
 function parseValues(
   pairs: readonly string[],
 ): results.Result<Readonly<Record<string, unknown>>> {
-  const bad = pairs.find((pair) => !pair.includes("="));
-  if (bad !== undefined) {
+  const malformed = pairs.find((pair) => !pair.includes("="));
+  if (malformed !== undefined) {
     return results.createFailure(
       "badArguments",
-      `Cannot read '${bad}': it is not name=value`,
+      `Cannot read '${malformed}': it is not name=value`,
     );
   }
   const entries = pairs.map((pair) => {
-    const at = pair.indexOf("=");
-    return [pair.slice(0, at), parseValue(pair.slice(at + 1))] as const;
+    const separator = pair.indexOf("=");
+    return [
+      pair.slice(0, separator),
+      parseValue(pair.slice(separator + 1)),
+    ] as const;
   });
   return results.createOk(Object.fromEntries(entries));
 }
@@ -70,10 +76,10 @@
 }
 
 function formatChange(answer: operators.ChangeAnswer): string {
-  const force = answer.isInForce
+  const status = answer.isInForce
     ? `in force everywhere after ${answer.inForceMs} ms`
     : "not yet known to be in force everywhere";
-  return `accepted as revision ${answer.revision}, ${force}`;
+  return `accepted as revision ${answer.revision}, ${status}`;
 }
 
 function formatTemplate(template: templates.RolloutTemplate): string {
@@ -92,12 +98,12 @@
 export async function listTemplates(
   args: AdminArguments & { readonly account: string },
 ): Promise<number> {
-  const answer = await ask(
+  const answer = await sendRequest(
     args,
     "GET",
     `/v1/accounts/${args.account}/templates`,
   );
-  return report(
+  return reportReply(
     args,
     answer,
     (value: { readonly templates: readonly templates.RolloutTemplate[] }) =>
@@ -118,10 +124,14 @@
   args: AdminArguments & { readonly account: string; readonly name: string },
 ): Promise<number> {
   const path = `/v1/accounts/${args.account}/templates/${args.name}`;
-  return report(args, await ask(args, "GET", path), formatTemplate);
+  return reportReply(
+    args,
+    await sendRequest(args, "GET", path),
+    formatTemplate,
+  );
 }
 
-/** Sets parameters of a template against its current or a stated revision. */
+/** Sets parameters of a template, based on its current or a given revision. */
 export function setTemplate(
   args: ChangeArguments & { readonly name: string },
 ): Promise<number> {
@@ -152,21 +162,21 @@
   if (typeof baseRevision !== "number") {
     return reports.reportFailure(baseRevision);
   }
-  const answer = await ask(args, "PUT", path, {
+  const answer = await sendRequest(args, "PUT", path, {
     ...build(values.value),
     baseRevision,
     requestId: args.requestId ?? crypto.randomUUID(),
     waitMs: args.waitMs,
   });
-  return report(args, answer, formatChange);
+  return reportReply(args, answer, formatChange);
 }
 
-/** Reads the revision that stands; 0 for what does not exist yet. */
+/** Reads the current revision; 0 if the template or account does not exist. */
 async function readRevision(
   args: AdminArguments,
   path: string,
 ): Promise<number | results.Failure> {
-  const current = await ask(args, "GET", path);
+  const current = await sendRequest(args, "GET", path);
   if (current.kind === "ok") {
     return (current.value as { readonly revision: number }).revision;
   }
@@ -191,8 +201,8 @@
 export async function showAccount(
   args: AdminArguments & { readonly account: string },
 ): Promise<number> {
-  const answer = await ask(args, "GET", `/v1/accounts/${args.account}`);
-  return report(
+  const answer = await sendRequest(args, "GET", `/v1/accounts/${args.account}`);
+  return reportReply(
     args,
     answer,
     (
@@ -212,9 +222,13 @@
   );
 }
 
-/** Shows the leader, replicas, boxes and backend servers. */
+/** Shows the leader, weights, replicas, boxes and backend server counts. */
 export async function showStatus(args: AdminArguments): Promise<number> {
-  return report(args, await ask(args, "GET", "/v1/status"), formatStatus);
+  return reportReply(
+    args,
+    await sendRequest(args, "GET", "/v1/status"),
+    formatStatus,
+  );
 }
 
 function formatStatus(
@@ -256,7 +270,7 @@
   ].join("\n\n");
 }
 
-/** Filters of the audit trail. */
+/** Filters of the `audit` command. */
 export interface AuditArguments extends AdminArguments {
   readonly account: string | undefined;
   readonly template: string | undefined;
@@ -265,15 +279,15 @@
   readonly limit: number;
 }
 
-/** Lists accepted changes. */
+/** Lists accepted changes that match the filters. */
 export async function listAudit(args: AuditArguments): Promise<number> {
   const { account, template, operator, after, limit } = args;
-  const wanted = Object.entries({ account, template, operator, after, limit })
+  const filters = Object.entries({ account, template, operator, after, limit })
     .filter(([, value]) => value !== undefined)
     .map(([name, value]) => [name, String(value)] as [string, string]);
-  const query = new URLSearchParams(wanted);
-  const answer = await ask(args, "GET", `/v1/audit?${query}`);
-  return report(
+  const query = new URLSearchParams(filters);
+  const answer = await sendRequest(args, "GET", `/v1/audit?${query}`);
+  return reportReply(
     args,
     answer,
     (value: { readonly records: readonly audit.AuditRecord[] }) =>
@@ -290,19 +304,21 @@
     `  before ${record.before ?? "(none)"}\n  after  ${record.after}`;
 }
 
-/** Begins the planned stop of the asked box. */
+/** Starts draining the box that receives the request. */
 export async function startDrain(args: AdminArguments): Promise<number> {
-  return report(
+  return reportReply(
     args,
-    await ask(args, "POST", "/v1/drain"),
+    await sendRequest(args, "POST", "/v1/drain"),
     () => "the box is being stopped",
   );
 }
 
-/** Changes the log level of the asked box. */
+/** Changes the log level of the box that receives the request. */
 export async function setLogLevel(
   args: AdminArguments & { readonly level: string },
 ): Promise<number> {
-  const answer = await ask(args, "PUT", "/v1/log-level", { level: args.level });
-  return report(args, answer, () => `the log level is ${args.level}`);
+  const answer = await sendRequest(args, "PUT", "/v1/log-level", {
+    level: args.level,
+  });
+  return reportReply(args, answer, () => `the log level is ${args.level}`);
 }
--- a/src/cli/run_serve.ts
+++ b/src/cli/run_serve.ts
@@ -3,14 +3,14 @@
 import * as settings from "../settings/mod.ts";
 import * as reports from "./_report.ts";
 
-/** Exit code after a second stop signal. */
-const CUT_EXIT_CODE = 130;
+/** Exit code after a second SIGTERM or SIGINT: 128 + SIGINT. */
+const FORCED_STOP_EXIT_CODE = 130;
 
 /**
- * Runs the daemon of a box until it is stopped. The first SIGTERM or SIGINT
- * begins the planned stop, a second one ends the process at once.
+ * Runs the daemon of a box until it has stopped. The first SIGTERM or SIGINT
+ * starts draining; a second one exits the process immediately.
  *
- * @param file Settings file.
+ * @param file Path of the settings file.
  * @returns The exit code.
  */
 export async function runServe(file: string): Promise<number> {
@@ -42,7 +42,7 @@
   for (const signal of ["SIGTERM", "SIGINT"] as const) {
     process.on(signal, () => {
       count += 1;
-      if (count > 1) process.exit(CUT_EXIT_CODE);
+      if (count > 1) process.exit(FORCED_STOP_EXIT_CODE);
       daemon.drain();
     });
   }
--- a/src/daemon/mod.ts
+++ b/src/daemon/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The daemon of a box: every part, started and stopped in order.
+ * The daemon of a box, which starts and stops its components in order.
  *
  * @example
  * ```ts
--- a/src/daemon/one_box_test.ts
+++ b/src/daemon/one_box_test.ts
@@ -8,17 +8,18 @@
 import * as settings from "../settings/mod.ts";
 import * as daemons from "./daemon.ts";
 
-/** Tokens of the account `cascade` and of the root operator. */
-export const TOKEN = "token-of-cascade";
-export const ROOT = "token-of-root";
+/** Token of the client account `cascade`. */
+export const ACCOUNT_TOKEN = "token-of-cascade";
+/** Token of the root operator. */
+export const ROOT_TOKEN = "token-of-root";
 
-/** Bound on a whole test file's start, in ms. */
+/** Mocha timeout of each test and hook, in ms. */
 export const TEST_TIMEOUT_MS = 30_000;
 
-/** How the stand-in backend server treats a call. */
-export type Manner = "answer" | "truncate" | "reset" | "swap" | "silent";
+/** How the fake backend server responds to a request. */
+export type ResponseMode = "answer" | "truncate" | "reset" | "swap" | "silent";
 
-/** An answer with a numbered error. */
+/** A response; `error` is present unless the request succeeded. */
 export interface Answer {
   readonly status: number;
   readonly json: {
@@ -30,7 +31,7 @@
   };
 }
 
-/** What a request may hold besides method and path. */
+/** Optional parts of a request. */
 export interface SendOptions {
   readonly headers?: Readonly<Record<string, string>>;
   readonly json?: unknown;
@@ -39,27 +40,30 @@
 }
 
 const PORT = 8390;
-const START_MS = 15_000;
+const START_TIMEOUT_MS = 15_000;
 
-/** One real daemon with a backend server that can lie, for tests. */
+/** A real daemon with a fake platform and a fake backend server, for tests. */
 export class OneBox {
   readonly address: string;
-  /** A listed backend server where nothing listens. */
+  /** URL of a registered backend server whose port is closed. */
   readonly deadUrl: string;
-  manner: Manner = "answer";
-  runs: readonly string[] = [];
+  /** How the fake backend server responds from now on. */
+  responseMode: ResponseMode = "answer";
+  /** URLs of the requests that reached the fake backend server. */
+  receivedUrls: readonly string[] = [];
   readonly #network: string;
   readonly #folder = fs.mkdtempSync(path.join(os.tmpdir(), "hoistscale-box-"));
   #servers: readonly http.Server[] = [];
   #daemon: daemons.Daemon | undefined;
 
-  /** @param network Third number of the loopback addresses. */
+  /** @param network Third octet of the loopback addresses: 127.0.`network`.x. */
   constructor(network: number) {
     this.#network = `127.0.${network}`;
     this.address = `${this.#network}.1`;
     this.deadUrl = `http://${this.#network}.3:${PORT}`;
   }
 
+  /** Starts everything and waits until a request succeeds. */
   async start(): Promise<void> {
     this.#servers = [
       await startServer(
@@ -78,23 +82,23 @@
     });
     this.#daemon = new daemons.Daemon(this.#createSettings(), () => {});
     await this.#daemon.start();
-    const endMs = Date.now() + START_MS;
+    const endMs = Date.now() + START_TIMEOUT_MS;
     for (;;) {
       const change = {
         baseRevision: 0,
         requestId: "create",
-        tokens: [TOKEN],
+        tokens: [ACCOUNT_TOKEN],
         waitMs: 5_000,
       };
       await this.send("PUT", "/v1/accounts/cascade", {
         json: change,
         port: 8081,
-        token: ROOT,
+        token: ROOT_TOKEN,
       });
-      const tried = await this.send("GET", "/services/app/stock");
-      if (tried.status === 200) return;
+      const lookup = await this.send("GET", "/services/app/stock");
+      if (lookup.status === 200) return;
       if (Date.now() > endMs) {
-        throw new Error(`Cannot start the box: ${JSON.stringify(tried)}`);
+        throw new Error(`Cannot start the box: ${JSON.stringify(lookup)}`);
       }
     }
   }
@@ -113,7 +117,8 @@
     target: string,
     options: SendOptions = {},
   ): Promise<Answer> {
-    const { token = TOKEN, port = 8080, headers = {}, ...rest } = options;
+    const { token = ACCOUNT_TOKEN, port = 8080, headers = {}, ...rest } =
+      options;
     const answer = await httpClient.sendJson({
       ...rest,
       baseUrl: `http://${this.address}:${port}`,
@@ -150,17 +155,17 @@
       response.end(JSON.stringify({ active: 0, queued: 0, slots: 4 }));
       return;
     }
-    this.runs = [...this.runs, request.url ?? ""];
+    this.receivedUrls = [...this.receivedUrls, request.url ?? ""];
     request.resume();
-    this.#answerInManner(request, response);
+    this.#respond(request, response);
   }
 
-  #answerInManner(
+  #respond(
     request: http.IncomingMessage,
     response: http.ServerResponse,
   ): void {
     const body = JSON.stringify({ url: request.url });
-    switch (this.manner) {
+    switch (this.responseMode) {
       case "silent":
         return;
       case "reset":
@@ -194,7 +199,7 @@
         electionTimeoutMs: 400,
         heartbeatMs: 80,
       },
-      administration: { rootTokenSha256: accounts.hashToken(ROOT) },
+      administration: { rootTokenSha256: accounts.hashToken(ROOT_TOKEN) },
       boxList: { url, pollMs: 50 },
       weightStore: { url },
       scorer: { url },
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * Entry of the one binary.
+ * Entry point of the `hoistscale` binary.
  *
  * @example `hoistscale serve --settings box.yaml`
  * @module
--- a/src/step_schedule/step_replay_test.ts
+++ b/src/step_schedule/step_replay_test.ts
@@ -1,6 +1,6 @@
 import * as chai from "chai";
 import type * as stepLoads from "../fixtures/step_load.ts";
-import * as stepReplays from "../fixtures/step_replay.ts";
+import * as stepReplays from "../fixtures/step_simulation.ts";
 import * as situations from "./situation.ts";
 
 /**
@@ -10,7 +10,7 @@
  * its groups became whole together at its end. `steps` had medians of 7.7, 8.1
  * and 9.6 s, and 0.28 of the worth of all groups was earned.
  */
-const TRAINERS: readonly stepLoads.ReplayedTrainer[] = [
+const TRAINERS: readonly stepLoads.SimulatedTrainer[] = [
   createTrainer({ name: "few long groups", groups: 6, size: 16 }),
   createTrainer({ name: "many short groups", groups: 10, meanEvents: 12 }),
   createTrainer({ name: "many groups", groups: 12, priority: 1 }),
@@ -22,8 +22,8 @@
 const LATEST_START: situations.SchedulePolicy = { kind: "latestStart" };
 
 function createTrainer(
-  changes: Partial<stepLoads.ReplayedTrainer>,
-): stepLoads.ReplayedTrainer {
+  changes: Partial<stepLoads.SimulatedTrainer>,
+): stepLoads.SimulatedTrainer {
   return {
     name: "t",
     priority: 0,
@@ -48,10 +48,10 @@
     engines: createEngines(NEEDED_ENGINES / load),
     slots: SLOTS,
     durationMs: 28_000,
-    everyMs: 4_000,
+    stepIntervalMs: 4_000,
     dueMs: 7_500,
-    limitMs: 12_000,
-    desired: 0.9,
+    stepTimeoutMs: 12_000,
+    desiredShare: 0.9,
     losses: [],
     knowsLengths: false,
     ...changes,
@@ -69,8 +69,8 @@
 
 function compare(load: stepLoads.StepLoad): readonly Comparison[] {
   return SEEDS.map((seed) => ({
-    before: stepReplays.replaySteps(load, LATEST_START, seed),
-    now: stepReplays.replaySteps(load, situations.DEFAULT_POLICY, seed),
+    before: stepReplays.simulateSteps(load, LATEST_START, seed),
+    now: stepReplays.simulateSteps(load, situations.DEFAULT_POLICY, seed),
   }));
 }
 
--- a/tools/bench/bench_load.ts
+++ b/tools/bench/bench_load.ts
@@ -1,7 +1,7 @@
 import * as admission from "../../src/admission/mod.ts";
 import * as clocks from "../../src/clock/mod.ts";
 import * as forwarding from "../../src/forwarding/mod.ts";
-import * as loadReplays from "../../src/fixtures/load_replay.ts";
+import * as loadReplays from "../../src/fixtures/load_simulation.ts";
 import * as serverFixtures from "../../src/fixtures/create_server.ts";
 
 const SEEDS = [1, 2, 3] as const;
@@ -28,7 +28,7 @@
   weighed: boolean,
 ): Promise<LoadRow> {
   const outcomes = await Promise.all(
-    SEEDS.map((seed) => loadReplays.replayLoad(pattern, seed, weighed)),
+    SEEDS.map((seed) => loadReplays.simulateLoad(pattern, seed, weighed)),
   );
   const asked = sum(outcomes, "asked");
   return {
--- a/tools/deployment/child.ts
+++ b/tools/deployment/child.ts
@@ -8,17 +8,22 @@
   readonly signal: NodeJS.Signals | null;
 }
 
-/** What to start. */
+/** Options of a child process. */
 export interface ChildOptions {
+  /** Name of the process and of its log file. */
   readonly name: string;
   readonly command: string;
   readonly args: readonly string[];
   readonly logFolder: string;
 }
 
+// Every child adds an exit listener.
 process.setMaxListeners(0);
 
-/** A process that the tools started; only such are ever ended by them. */
+/**
+ * A child process with its output in a log file. It is killed when this process
+ * exits.
+ */
 export class Child {
   readonly name: string;
   readonly ended: Promise<ChildEnd>;
@@ -49,17 +54,18 @@
     return this.#process.pid ?? 0;
   }
 
+  /** Returns how the process ended; undefined while it runs. */
   getEnd(): ChildEnd | undefined {
     return this.#end;
   }
 
-  /** Sends a signal, if the process still runs. */
+  /** Sends a signal if the process still runs. */
   kill(signal: NodeJS.Signals): void {
     if (this.#end === undefined) this.#process.kill(signal);
   }
 }
 
-/** Ends every child, at once. */
+/** Kills all children and waits until they have ended. */
 export async function stopChildren(children: readonly Child[]): Promise<void> {
   for (const child of children) child.kill("SIGKILL");
   await Promise.all(children.map((child) => child.ended));
--- a/tools/deployment/link_relay.ts
+++ b/tools/deployment/link_relay.ts
@@ -1,6 +1,6 @@
 import * as net from "node:net";
 
-/** Where a relay listens and where it leads. */
+/** Listening address of a relay, and the address that it connects to. */
 export interface LinkRelayOptions {
   readonly listenAddress: string;
   readonly listenPort: number;
@@ -8,7 +8,7 @@
   readonly targetPort: number;
 }
 
-/** A TCP relay that counts bytes and can cut its link, for benches and tests. */
+/** A TCP relay that counts bytes and can simulate a network partition. */
 export class LinkRelay {
   readonly #options: LinkRelayOptions;
   readonly #server: net.Server;
@@ -29,22 +29,23 @@
     });
   }
 
-  /** Bytes that went through, both ways. */
+  /** Returns the number of bytes forwarded, in both directions. */
   getBytes(): number {
     return this.#bytes;
   }
 
-  /** Swallows all from now on without closing: a silent cut. */
+  /** Starts discarding all data while connections stay open. */
   cut(): void {
     this.#isCut = true;
   }
 
-  /** Lets new connections through again; cut ones are closed. */
+  /** Forwards data again, and closes all existing connections. */
   restore(): void {
     this.#isCut = false;
     for (const socket of this.#sockets) socket.destroy();
   }
 
+  /** Stops listening and closes all connections. */
   stop(): void {
     this.#server.close();
     for (const socket of this.#sockets) socket.destroy();
@@ -53,11 +54,11 @@
   #accept(socket: net.Socket): void {
     const { targetAddress, targetPort } = this.#options;
     const target = net.connect(targetPort, targetAddress);
-    this.#join(socket, target);
-    this.#join(target, socket);
+    this.#forwardData(socket, target);
+    this.#forwardData(target, socket);
   }
 
-  #join(from: net.Socket, to: net.Socket): void {
+  #forwardData(from: net.Socket, to: net.Socket): void {
     this.#sockets.add(from);
     from.setNoDelay(true);
     from.on("data", (chunk) => {
--- a/tools/deployment/ask_admin.ts
+++ b/tools/deployment/send_admin_request.ts
@@ -1,9 +1,9 @@
 import * as httpClient from "../../src/http_client/mod.ts";
-import * as cascades from "./cascade.ts";
+import * as topologies from "./topology.ts";
 import * as deployments from "./deployment.ts";
 
-/** A question to the administration API of a box. */
-export interface AdminQuestion {
+/** A request to the administration API of a box. */
+export interface AdminRequest {
   readonly method: string;
   readonly path: string;
   readonly timeoutMs: number;
@@ -11,19 +11,20 @@
 }
 
 /**
- * Asks a box as root operator.
+ * Sends a request to a box's administration API as root operator.
  *
- * @param address IP number of the box.
- * @param question What is asked.
- * @returns The answer's JSON, or undefined unless it was 200.
+ * @param address IP address of the box.
+ * @param request The request to send.
+ * @returns The response's JSON, or undefined if the status is not 200 or the
+ * request failed.
  */
-export async function askAdmin(
+export async function sendAdminRequest(
   address: string,
-  question: AdminQuestion,
+  request: AdminRequest,
 ): Promise<unknown> {
   const answer = await httpClient.sendJson({
-    ...question,
-    baseUrl: `http://${address}:${cascades.ADMIN_PORT}`,
+    ...request,
+    baseUrl: `http://${address}:${topologies.ADMIN_PORT}`,
     headers: { authorization: `Bearer ${deployments.ROOT_TOKEN}` },
   });
   if (answer.kind === "failure" || answer.value.status !== 200) {
--- a/tools/deployment/cascade.ts
+++ b/tools/deployment/topology.ts
@@ -1,7 +1,7 @@
 import type * as runPlatforms from "../stand_ins/run_platform.ts";
 import type * as addressBooks from "../stand_ins/address_book.ts";
 
-/** A backend server of the deployment. */
+/** A backend server of a deployment. */
 export interface DeployedServer extends runPlatforms.ListedServer {
   readonly service: string;
   readonly kind: "language" | "plain";
@@ -11,22 +11,31 @@
   readonly checksFence: boolean;
 }
 
-/** An entry box of the deployment. */
+/** An entry box of a deployment. */
 export interface DeployedBox extends addressBooks.KnownAddress {
   readonly failureDomain: string;
+  /** Whether the box runs a replica of the replicated log. */
   readonly hasState: boolean;
 }
 
-/** Ports and addresses of the deployment; all on loopback. */
+/** Port of the callers' API on each box. */
 export const CALLER_PORT = 8080;
+/** Port of the administration API on each box. */
 export const ADMIN_PORT = 8081;
+/** Port for RPC between boxes. */
 export const PEER_PORT = 8082;
+/** Port of the relays in front of the replicas. */
 export const RELAY_PORT = 8092;
+/** Port of the backend servers. */
 export const SERVER_PORT = 8090;
+/** Port of the box list, the weight store and the scorer. */
 export const PLATFORM_PORT = 8095;
 
+/** Loopback address of the box list. */
 export const BOX_LIST_ADDRESS = "127.0.4.1";
+/** Loopback address of the weight store. */
 export const WEIGHT_STORE_ADDRESS = "127.0.4.2";
+/** Loopback address of the scorer. */
 export const SCORER_ADDRESS = "127.0.4.3";
 
 const FAILURE_DOMAINS = [
@@ -41,22 +50,23 @@
 }
 
 /**
- * Lists entry boxes, the first ones with a disk.
+ * Lists the entry boxes, spread over the failure domains. The first ones run
+ * replicas.
  *
- * @param count How many boxes.
- * @param stateCount How many of them hold the state.
- * @returns The boxes, spread over the failure domains.
+ * @param count Number of boxes.
+ * @param replicaCount Number of boxes that run a replica.
+ * @returns The boxes.
  */
 export function listBoxes(
   count: number,
-  stateCount: number,
+  replicaCount: number,
 ): readonly DeployedBox[] {
   return Array.from({ length: count }, (_, index) => ({
     box: `box-${index + 1}`,
     address: `127.0.1.${index + 1}`,
     port: CALLER_PORT,
     failureDomain: getFailureDomain(index),
-    hasState: index < stateCount,
+    hasState: index < replicaCount,
   }));
 }
 
@@ -79,11 +89,11 @@
 }
 
 /**
- * Lists the backend servers.
+ * Lists the backend servers, spread over the failure domains.
  *
- * @param engineCount How many sommelier-lm engines.
- * @param plainCount How many cellar-app servers.
- * @returns The servers.
+ * @param engineCount Number of `sommelier-lm` engines.
+ * @param plainCount Number of `cellar-app` servers.
+ * @returns The backend servers.
  */
 export function listServers(
   engineCount: number,
