--- a/tools/build/build_binary.ts
+++ b/tools/build/build_binary.ts
@@ -1,5 +1,6 @@
 /**
- * Builds `dist/hoistscale`: one bundle inside a copy of the Node executable.
+ * Builds `dist/hoistscale`, a single executable application: a bundle inside a
+ * copy of the Node.js executable.
  *
  * @example `npm run build`
  * @module
@@ -11,8 +12,11 @@
 const BUNDLE = "dist/hoistscale.cjs";
 const BLOB = "dist/hoistscale.blob";
 const BINARY = "dist/hoistscale";
+/** Copy of the Node.js executable that the blob is inserted into. */
 const STAGED_BINARY = "dist/hoistscale.new";
+/** Marker that Node.js checks to detect an inserted application. */
 const SEA_FUSE = "NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2";
+
 function buildBlob(): void {
   const config = "dist/sea.json";
   fs.writeFileSync(
--- a/tools/build/build_platform.ts
+++ b/tools/build/build_platform.ts
@@ -1,5 +1,5 @@
 /**
- * Builds `target/hoistscale.cjs`, the program that `deploy/system.toml` runs.
+ * Builds `target/hoistscale.cjs`, the program that `deploy/system.toml` starts.
  *
  * @example `tsx tools/build/build_platform.ts`
  * @module
--- a/tools/build/bundle.ts
+++ b/tools/build/bundle.ts
@@ -6,15 +6,16 @@
   "mv",
   "safe-json-stringify",
 ];
+/** Replaces `import.meta.url`, and suppresses process warnings. */
 const BANNER =
   `var importMetaUrl = require("node:url").pathToFileURL(__filename).href;
 process.removeAllListeners("warning");`;
 
 /**
- * Bundles a program and its libraries into one file.
+ * Bundles a program and its dependencies into one minified CommonJS file.
  *
- * @param entry The program's main module.
- * @param file The file to write.
+ * @param entry Path of the program's main module.
+ * @param file Path of the file to write.
  */
 export async function buildBundle(entry: string, file: string): Promise<void> {
   await esbuild.build({
--- a/tools/check/format.ts
+++ b/tools/check/format.ts
@@ -1,5 +1,6 @@
 /**
- * Formats the repository's TypeScript in deno fmt style, or checks it.
+ * Checks that the TypeScript sources are formatted like `deno fmt` does it.
+ * `--write` formats them instead.
  *
  * @example `tsx tools/check/format.ts --write`
  * @module
--- a/tools/check/run_checks.ts
+++ b/tools/check/run_checks.ts
@@ -1,6 +1,6 @@
 /**
- * Runs every check that decides a landing: format, lint, types, tests. Tests
- * listed in KNOWN-RED.txt are passed over, and printed.
+ * Runs the format, lint, type and test checks. Failures of the tests listed in
+ * KNOWN-RED.txt are printed but do not fail the run.
  *
  * @example `npm test`
  * @module
@@ -8,7 +8,7 @@
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs";
 
-/** What mocha's JSON reporter says, as far as it is read here. */
+/** The fields of Mocha's JSON report that are read. */
 interface TestReport {
   readonly stats: { readonly passes: number; readonly pending: number };
   readonly passes: readonly TestEntry[];
@@ -23,6 +23,7 @@
 }
 
 const REPORT_FILE = "out/tests.json";
+/** Maximum number of entries in KNOWN-RED.txt. */
 const MAX_KNOWN_RED = 3;
 
 function runStep(name: string, args: readonly string[]): boolean {
--- a/tools/demo/config_watcher.ts
+++ b/tools/demo/config_watcher.ts
@@ -1,13 +1,13 @@
 import * as httpClient from "../../src/http_client/mod.ts";
 import * as sleeps from "../stand_ins/sleep.ts";
 
-/** Where the administration API of a box is. */
+/** A box and the URL of its administration API. */
 export interface WatchedBox {
   readonly box: string;
   readonly baseUrl: string;
 }
 
-/** What a box served as the template's revision and parameters. */
+/** Revision and parameters of a template as served by a box. */
 export interface ServedTemplate {
   readonly revision: number;
   readonly parameters: Readonly<Record<string, unknown>>;
@@ -16,18 +16,19 @@
 const POLL_MS = 10;
 const READ_TIMEOUT_MS = 500;
 
-/** What the watch needs. */
+/** Options of a configuration watcher. */
 export interface ConfigWatcherOptions {
   readonly boxes: readonly WatchedBox[];
+  /** Path of the watched template in the administration API. */
   readonly path: string;
   readonly token: string;
-  /** Whether a box is expected to answer now. */
+  /** Whether a box is expected to respond now. */
   readonly isUp: (box: string) => boolean;
 }
 
 /**
- * Asks every box for a template, again and again, from outside: notes when
- * each revision is served everywhere, and any revision that goes back.
+ * Polls a template on every box to find when a revision is served everywhere,
+ * and whether a box ever goes back to an older one.
  */
 export class ConfigWatcher {
   readonly #options: ConfigWatcherOptions;
@@ -47,12 +48,18 @@
     this.#isStopped = true;
   }
 
-  /** Boxes that served an older revision, or other values under the same. */
+  /** Returns how often a box reverted; see `isReverted`. */
   countReverted(): number {
     return this.#revertedCount;
   }
 
-  /** Waits until every box that is up serves a revision or a later one. */
+  /**
+   * Waits until every box that is up serves a revision or a later one.
+   *
+   * @param revision The revision.
+   * @param timeoutMs Maximum time to wait, in ms.
+   * @returns Whether they did before the timeout.
+   */
   async waitFor(revision: number, timeoutMs: number): Promise<boolean> {
     const endMs = Date.now() + timeoutMs;
     while (Date.now() < endMs) {
@@ -67,6 +74,7 @@
     return false;
   }
 
+  /** Returns what a box served last; undefined if nothing yet. */
   getLastServed(box: string): ServedTemplate | undefined {
     return this.#lastServed.get(box);
   }
@@ -97,12 +105,12 @@
 }
 
 /**
- * Tells whether a box went back: an older revision, or the same revision with
- * other values.
+ * Checks whether a box reverted to an older revision, or serves the same
+ * revision with other parameters.
  *
- * @param previous What it served before.
- * @param current What it serves now.
- * @returns Whether that is a reversal.
+ * @param previous The value that the box served before.
+ * @param current The value that the box serves now.
+ * @returns Whether the box reverted.
  */
 export function isReverted(
   previous: ServedTemplate,
--- a/tools/demo/demo_operator.ts
+++ b/tools/demo/demo_operator.ts
@@ -4,14 +4,15 @@
 const execFile = util.promisify(childProcess.execFile);
 const BINARY = "dist/hoistscale";
 
-/** The answer of the command line to an accepted change. */
+/** JSON output of the command line for an accepted change. */
 export interface AcceptedChange {
   readonly revision: number;
   readonly isInForce: boolean;
 }
 
-/** An operator at the command line. */
+/** An operator that uses the command line. */
 export class DemoOperator {
+  /** Administration APIs, used in turn. */
   readonly #baseUrls: readonly string[];
   readonly #token: string;
   #attemptCount = 0;
@@ -22,14 +23,14 @@
   }
 
   /**
-   * Runs a change, asking another box when one does not answer. Request id
-   * and revision stay the same, so that a resend is never a second change.
+   * Sends a change, and retries it at another box after a failure. Retries use
+   * the same request id and revision, so the change is applied at most once.
    *
    * @param args The command, without address and token.
-   * @param requestId Marks a resend.
-   * @param revision The revision that the change is made against.
-   * @returns What was accepted.
-   * @throws When no box accepted it in time.
+   * @param requestId Id that identifies resends of the change.
+   * @param revision Revision that the change is based on.
+   * @returns The accepted change.
+   * @throws {Error} If every attempt failed.
    */
   async sendChange(
     args: readonly string[],
@@ -40,7 +41,13 @@
     return await this.runCommand([...args, ...options]) as AcceptedChange;
   }
 
-  /** Runs a command that may be sent again and gives its JSON. */
+  /**
+   * Runs an idempotent command, and retries it at another box after a failure.
+   *
+   * @param args The command, without address and token.
+   * @returns The command's JSON output.
+   * @throws {Error} If every attempt failed.
+   */
   async runCommand(args: readonly string[]): Promise<unknown> {
     const errors: unknown[] = [];
     for (let attempt = 0; attempt < this.#baseUrls.length * 2; attempt += 1) {
--- a/tools/demo/demo_report.ts
+++ b/tools/demo/demo_report.ts
@@ -1,9 +1,10 @@
 import * as ledgerVerification from "./verify_ledgers.ts";
 
-/** The demo's result: the verdict and what the operator saw. */
+/** The demo's result: the ledger report and the operator's changes. */
 export interface DemoResult extends ledgerVerification.LedgerReport {
   readonly configChanges: number;
   readonly revertedChanges: number;
+  /** Time from sending a change until every box serves it, in ms. */
   readonly inForceMs: { readonly p50: number; readonly max: number };
 }
 
@@ -13,11 +14,11 @@
 ];
 
 /**
- * Lists the counts of a result that should be 0 and are not, and work that
- * should have been done and was not.
+ * Lists the fault counts of a result that are not 0, and the kinds of work of
+ * which none was done.
  *
- * @param result The result.
- * @returns Their names.
+ * @param result The demo's result.
+ * @returns Names of the faults.
  */
 export function listFaults(result: DemoResult): readonly string[] {
   const missingWork =
@@ -32,9 +33,9 @@
 /**
  * Prints a result as a table and as one line of JSON.
  *
- * @param result The result.
- * @param faults Faults that were noticed while it ran.
- * @returns Whether there is no fault.
+ * @param result The demo's result.
+ * @param faults Descriptions of faults that occurred during the run.
+ * @returns Whether there are no faults.
  */
 export function reportResult(
   result: DemoResult,
--- a/tools/demo/fault_plan.ts
+++ b/tools/demo/fault_plan.ts
@@ -4,19 +4,22 @@
 import type * as demoOperators from "./demo_operator.ts";
 import * as sleeps from "../stand_ins/sleep.ts";
 
+/** Maximum time until an engine reports a new role, in ms. */
 const ROLE_TIMEOUT_MS = 3_000;
-/** Index of servers that start again, which seeds what they do by chance. */
+/** Index of restarted servers, which seeds an engine's random choices. */
 const RESTARTED_INDEX = 2;
 
-/** What the plan works on. */
+/** Options of a fault plan. */
 export interface FaultPlanOptions {
   readonly deployment: deployments.Deployment;
   readonly operator: demoOperators.DemoOperator;
+  /** Prints a progress message. */
   readonly print: (message: string) => void;
+  /** Records a fault of the deployment, which fails the demo. */
   readonly addFault: (message: string) => void;
 }
 
-/** The faults of the demo, each at its time. */
+/** Injects crashes, restarts and planned stops at fixed times of the demo. */
 export class FaultPlan {
   readonly #options: FaultPlanOptions;
   readonly #events: ledgers.LedgerWriter;
@@ -28,12 +31,16 @@
     this.#events = new ledgers.LedgerWriter(file);
   }
 
-  /** Whether a box was stopped or killed and not started again. */
+  /** Whether a box was stopped or killed and has not been restarted. */
   isDown(box: string): boolean {
     return this.#downBoxes.has(box);
   }
 
-  /** Runs every fault; ends when the last is over. */
+  /**
+   * Runs the plan and waits until all planned stops have ended.
+   *
+   * @param startMs Start of the run, in ms since the epoch.
+   */
   async run(startMs: number): Promise<void> {
     const engine = this.#options.deployment.options
       .servers[2] as topologies.DeployedServer;
@@ -78,7 +85,7 @@
     this.#options.deployment.getChild(engine.id).kill("SIGKILL");
   }
 
-  /** It crashes and starts again under its id, between two looks of the boxes. */
+  /** Kills a server and restarts it at once, before boxes see that it is gone. */
   async #restartServer(server: topologies.DeployedServer): Promise<void> {
     this.#options.print(`server ${server.id} crashes and starts again at once`);
     const child = this.#options.deployment.getChild(server.id);
@@ -87,7 +94,7 @@
     this.#options.deployment.startServer(server, RESTARTED_INDEX);
   }
 
-  /** The box's disk was lost: it comes back as a new replica. */
+  /** Restarts a box without its data folder, so that it joins as a new replica. */
   #startWithoutDisk(box: string): void {
     this.#options.print(`entry box ${box} lost its disk`);
     this.#options.deployment.removeDataFolder(box);
@@ -102,7 +109,7 @@
     );
   }
 
-  /** Sets an engine's role and asks the engine itself whether it took it. */
+  /** Sets an engine's role and waits until the engine reports it. */
   async #setRole(server: topologies.DeployedServer): Promise<void> {
     this.#options.print(`engine ${server.id} is set to take rollouts only`);
     await this.#options.operator.sendChange(
--- a/tools/demo/run_demo.ts
+++ b/tools/demo/run_demo.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the main job on a deployment shaped like Cascade's, with faults, and
- * judges it by the ledgers of stand-ins, trainers and callers.
+ * Runs trainers and callers on a deployment while faults are injected, and
+ * verifies the run by the ledgers of all processes.
  *
  * @example `npm run demo`
  * @module
@@ -18,7 +18,7 @@
 import * as ledgerVerification from "./verify_ledgers.ts";
 import * as sleeps from "../stand_ins/sleep.ts";
 
-/** One run of the demo. */
+/** A run of the demo. */
 class Demo {
   readonly #boxes = topologies.listBoxes(9, 5);
   readonly #servers = topologies.listServers(8, 4);
@@ -71,6 +71,7 @@
     });
   }
 
+  /** Runs the demo; returns whether there were no faults. */
   async run(): Promise<boolean> {
     try {
       this.#print(
--- a/tools/demo/token_index.ts
+++ b/tools/demo/token_index.ts
@@ -1,16 +1,17 @@
 import type * as ledgers from "../stand_ins/ledger.ts";
 
+/** Size of the block of token ids that each segment draws from. */
 const TOKENS_PER_SEGMENT = 100_000;
 
-/** Segments by the block that their token ids come from. */
+/** Segments by the number of their block of token ids. */
 export interface TokenIndex {
   readonly segments: ReadonlyMap<number, ledgers.SegmentEntry>;
 }
 
 /**
- * Builds an index from token ids to what an engine really ran.
+ * Builds an index from token ids to the segments that engines recorded.
  *
- * @param segments The engines' own entries.
+ * @param segments Segments from the engines' ledgers.
  * @returns The index.
  */
 export function buildTokenIndex(
@@ -26,7 +27,7 @@
 }
 
 /**
- * Finds the segment that a token came from.
+ * Finds the segment that a token belongs to.
  *
  * @param index The index.
  * @param token Id of the token.
--- a/tools/demo/verify_ledgers.ts
+++ b/tools/demo/verify_ledgers.ts
@@ -2,39 +2,46 @@
 import type * as ledgers from "../stand_ins/ledger.ts";
 import * as tokenIndexes from "./token_index.ts";
 
-/** Time after its mark in which a leaving server may still get work, in ms. */
+/** Time in which a server may still receive work after it is marked, in ms. */
 const LEAVE_GRACE_MS = 3_000;
 
-/** What the judge must know besides the ledgers. */
+/** Settings of the run that determine the expected answer lengths. */
 export interface VerificationOptions {
   readonly lengths: answerLengths.LengthShape;
-  /** Longest sample of a rollout, in tokens. */
+  /** Maximum tokens of a sample. */
   readonly sampleTokens: number;
-  /** Longest completion of a caller, in tokens. */
+  /** Maximum tokens of a caller's completion. */
   readonly completionTokens: number;
 }
 
-/** Violations and figures, counted from what really happened. */
+/** Violations and statistics of a run, computed from its ledgers. */
 export interface LedgerReport {
   readonly steps: number;
   readonly samples: number;
   readonly missingSamples: number;
+  /** Extra samples for a slot, and extra slots for a sample. */
   readonly duplicateSamples: number;
   readonly staleSamples: number;
+  /** Samples whose tokens or weight versions differ from the engines' ledgers. */
   readonly wrongProvenance: number;
   readonly requests: number;
   readonly failedRequests: number;
   readonly truncatedAnswers: number;
+  /** Requests that received the answer to another request. */
   readonly crossedAnswers: number;
   readonly doubledNonRepeatable: number;
+  /** Requests that ran although every attempt was reported as not run. */
   readonly falseNotRun: number;
   readonly workAfterLeave: number;
+  /** Attempts that a box's planned stop broke off. */
   readonly cutOffByPlannedStop: number;
+  /** Share of the trainers' time spent waiting for samples. */
   readonly trainerIdleFraction: number;
+  /** Age of the oldest segment of each sample at its receipt, in ms. */
   readonly stalenessMs: Quantiles;
 }
 
-/** Three points of a distribution. */
+/** Median, 99th percentile and maximum of a distribution. */
 export interface Quantiles {
   readonly p50: number;
   readonly p99: number;
@@ -56,10 +63,10 @@
 }
 
 /**
- * Gives three points of a distribution.
+ * Computes quantiles, rounded to integers.
  *
- * @param values The values.
- * @returns Median, 99th percentile and maximum; zeros when there are none.
+ * @param values The values, in any order.
+ * @returns The quantiles; all 0 if there are no values.
  */
 export function computeQuantiles(values: readonly number[]): Quantiles {
   const sorted = [...values].sort((a, b) => a - b);
@@ -135,7 +142,7 @@
   });
 }
 
-function listSampleSegments(
+function listSegments(
   sample: ledgers.SampleEntry,
   index: tokenIndexes.TokenIndex,
 ): readonly ledgers.SegmentEntry[] {
@@ -150,7 +157,7 @@
 ): number {
   return sample.atMs -
     Math.min(
-      ...listSampleSegments(sample, index).map((segment) => segment.atMs),
+      ...listSegments(sample, index).map((segment) => segment.atMs),
     );
 }
 
@@ -159,9 +166,7 @@
   index: tokenIndexes.TokenIndex,
 ): boolean {
   const oldest = Math.min(
-    ...listSampleSegments(sample, index).map((segment) =>
-      segment.weightVersion
-    ),
+    ...listSegments(sample, index).map((segment) => segment.weightVersion),
   );
   return sample.trainerVersion - oldest > sample.maxVersionsBehind ||
     getAgeMs(sample, index) > sample.maxAgeMs;
@@ -275,11 +280,11 @@
 }
 
 /**
- * Judges a run by the ledgers of stand-ins, trainers and callers.
+ * Verifies a run by the ledgers of engines, plain servers, trainers and callers.
  *
- * @param entries All entries.
- * @param options What the judge must know besides.
- * @returns Violations and figures.
+ * @param entries Entries of all ledgers.
+ * @param options Settings of the run.
+ * @returns Violations and statistics of the run.
  */
 export function verifyLedgers(
   entries: readonly ledgers.LedgerEntry[],
@@ -321,7 +326,7 @@
   };
 }
 
-/** Counts that must be 0. */
+/** Names of the counts that must be 0. */
 export const FAULT_COUNTS = [
   "missingSamples",
   "duplicateSamples",
--- a/tools/demo/verify_ledgers_test.ts
+++ b/tools/demo/verify_ledgers_test.ts
@@ -16,7 +16,7 @@
 const ADDRESS = "127.0.5.1";
 const PORT = 8190;
 
-/** Has an engine generate one sample and judges what the trainer received. */
+/** Generates one sample on an engine and verifies it against its ledger. */
 async function verifyEngine(
   misbehaviour: engineCores.Misbehaviour,
 ): Promise<ledgerVerification.LedgerReport> {
@@ -136,8 +136,8 @@
   atMs: 9_000,
 };
 
-describe("judge", () => {
-  it("finds nothing wrong with an honest engine", async () => {
+describe("verifyLedgers", () => {
+  it("reports no violation for a correct engine", async () => {
     const verdict = await verifyEngine("none");
     chai.expect(verdict).to.include({
       samples: 1,
@@ -149,14 +149,14 @@
   for (
     const misbehaviour of ["falseVersion", "dropToken", "swapPrompt"] as const
   ) {
-    it(`catches an engine that does ${misbehaviour}`, async () => {
+    it(`reports wrong provenance for an engine with ${misbehaviour}`, async () => {
       chai.expect(await verifyEngine(misbehaviour)).to.include({
         wrongProvenance: 1,
       });
     });
   }
 
-  it("counts samples that are missing, doubled or stale", () => {
+  it("counts missing, duplicate and stale samples", () => {
     const segment: ledgers.SegmentEntry = {
       kind: "segment",
       engine: "e",
@@ -199,7 +199,7 @@
     });
   });
 
-  it("counts calls that failed, were cut short, crossed, doubled or falsely called not run", () => {
+  it("counts failed, truncated, crossed, doubled and falsely not-run calls", () => {
     const calls = [
       createCall({ isAnswered: false }),
       createCall({ isWhole: false }),
@@ -223,7 +223,7 @@
     });
   });
 
-  it("counts work after a leave and requests cut off by a planned stop", () => {
+  it("counts work on leaving servers and requests cut off by planned stops", () => {
     const verdict = ledgerVerification.verifyLedgers([
       { kind: "event", event: "leave", target: "s", atMs: 5_000 },
       SYNC_RUN,
--- a/tools/reference/reference_test.ts
+++ b/tools/reference/reference_test.ts
@@ -6,7 +6,7 @@
 import * as renderReference from "./render_reference.ts";
 
 describe("reference", () => {
-  it("matches the generated pages", () => {
+  it("has pages that match the code", () => {
     chai.expect(fs.readFileSync("docs/codes.md", "utf8")).to.equal(
       renderReference.renderCodes(),
     );
@@ -15,7 +15,7 @@
     );
   });
 
-  it("names every figure that a box serves", () => {
+  it("documents every metric that a box exports", () => {
     const page = fs.readFileSync("docs/OPERATIONS.md", "utf8");
     const listed = [...page.matchAll(/^\| `(hoistscale_\w+)/gm)];
     chai.expect(listed.map(([, name]) => name)).to.have.members(
@@ -23,7 +23,7 @@
     );
   });
 
-  it("gives each result its own number and exit code", () => {
+  it("has a distinct number and exit code for each result", () => {
     const entries = Object.values(results.RESULT_CODES);
     chai.expect(new Set(entries.map((entry) => entry.number)).size).to.equal(
       entries.length,
@@ -33,7 +33,7 @@
     );
   });
 
-  it("accepts every example", () => {
+  it("has only examples with valid settings", () => {
     for (const name of fs.readdirSync("examples")) {
       chai.expect(settings.loadSettings(`examples/${name}`).kind).to.equal(
         "ok",
@@ -41,7 +41,7 @@
     }
   });
 
-  it("names every error of a wrong settings file with its line", () => {
+  it("reports every error of an invalid settings file with its line", () => {
     const text = "box: { id: B, address: x }\nreplicas: []\nnonsense: 1\n";
     const parsed = settings.parseSettings(text, "box.yaml");
     const message = parsed.kind === "failure" ? parsed.failure.message : "";
--- a/tools/reference/write_reference.ts
+++ b/tools/reference/write_reference.ts
@@ -1,5 +1,5 @@
 /**
- * Writes the generated reference pages.
+ * Writes the generated reference pages `docs/codes.md` and `docs/settings.md`.
  *
  * @example `npm run reference`
  * @module
