--- a/tools/demo/verify_ledgers.ts
+++ b/tools/demo/verify_ledgers.ts
@@ -33,9 +33,7 @@
   /** Requests that ran although every attempt was reported as not run. */
   readonly falseNotRun: number;
   readonly workAfterLeave: number;
-  /** Attempts that a box's planned stop broke off. */
   readonly cutOffByPlannedStop: number;
-  /** Share of the trainers' time spent waiting for samples. */
   readonly trainerIdleFraction: number;
   /** Age of the oldest segment of each sample at its receipt, in ms. */
   readonly stalenessMs: Quantiles;
