--- a/tools/demo/demo_operator.ts
+++ b/tools/demo/demo_operator.ts
@@ -57,7 +57,9 @@
         errors.push(error);
       }
     }
-    throw new Error(`Cannot ask the boxes: ${errors.map(String).join("; ")}`);
+    throw new Error(
+      `Cannot run the command on any box: ${errors.map(String).join("; ")}`,
+    );
   }
 
   async #runOnce(args: readonly string[]): Promise<string> {
