--- a/src/caller/caller_path_test.ts
+++ b/src/caller/caller_path_test.ts
@@ -5,7 +5,10 @@
 
 const box = new oneBoxes.OneBox(8);
 
-function sync(key: string, json: unknown = { key }): Promise<oneBoxes.Answer> {
+function sendSync(
+  key: string,
+  json: unknown = { key },
+): Promise<oneBoxes.Answer> {
   return box.send("POST", "/services/app/sync", {
     headers: { "idempotency-key": key },
     json,
@@ -24,7 +27,7 @@
   });
 
   it("answers a lookup through the live server though another refuses connections", async () => {
-    for (let count = 0; count < 10; count += 1) {
+    for (let attempt = 0; attempt < 10; attempt += 1) {
       chai.expect((await box.send("GET", "/services/app/stock?sku=1")).status)
         .to
         .equal(200);
@@ -85,12 +88,12 @@
   });
 
   it("runs a call that must not be repeated once and gives a resend the first answer", async () => {
-    const first = await sync("k1");
-    const again = await sync("k1");
-    const other = await sync("k1", { key: "other" });
+    const first = await sendSync("k1");
+    const resent = await sendSync("k1");
+    const changed = await sendSync("k1", { key: "other" });
     chai.expect(first.status).to.equal(200);
-    chai.expect(again).to.deep.equal(first);
-    chai.expect(other.json.error).to.include({
+    chai.expect(resent).to.deep.equal(first);
+    chai.expect(changed.json.error).to.include({
       name: "keyReused",
       outcome: "notRun",
     });
@@ -100,9 +103,9 @@
   for (const broken of ["truncate", "reset", "swap", "silent"] as const) {
     it(`says unknown when a server does ${broken} to a call that must not be repeated, and never runs it again`, async () => {
       box.responseMode = broken;
-      const first = await sync(`k-${broken}`);
+      const first = await sendSync(`k-${broken}`);
       box.responseMode = "answer";
-      const again = await sync(`k-${broken}`);
+      const again = await sendSync(`k-${broken}`);
       chai.expect(first.json.error).to.include({
         name: "backendFailed",
         outcome: "unknown",
@@ -118,10 +121,10 @@
   for (const broken of ["truncate", "swap"] as const) {
     it(`says unknown, whatever a later try met, to a lookup's caller when a server did ${broken}`, async () => {
       box.responseMode = broken;
-      for (let count = 0; count < 12; count += 1) {
-        const before = box.receivedUrls.length;
+      for (let attempt = 0; attempt < 12; attempt += 1) {
+        const runsBefore = box.receivedUrls.length;
         const answer = await box.send("GET", "/services/app/stock");
-        const hasRun = box.receivedUrls.length > before;
+        const hasRun = box.receivedUrls.length > runsBefore;
         chai.expect(answer.json.error.outcome).to.equal(
           hasRun ? "unknown" : "notRun",
         );
--- a/src/cli/admin_client.ts
+++ b/src/cli/admin_client.ts
@@ -50,7 +50,7 @@
 function parseFailure(answer: ErrorBody): results.Result<unknown> {
   const name = answer.error?.name ?? "internal";
   const code = name in results.RESULT_CODES
-    ? name as results.CodeName
+    ? name as results.ResultCodeName
     : "internal";
   const message = answer.error?.message ?? "Cannot read the box's answer";
   return results.createFailure(code, message, {
--- a/src/cli/run_cli.ts
+++ b/src/cli/run_cli.ts
@@ -240,7 +240,7 @@
       outcome: "notRun",
     });
   }
-  const made = await consensus.makeDataFolder({
+  const made = await consensus.initializeDataFolder({
     folder: control.dataFolder,
     owner: box.id,
     wallMs: new clocks.SystemClock().getWallMs(),
--- a/src/daemon/one_box_test.ts
+++ b/src/daemon/one_box_test.ts
@@ -75,7 +75,7 @@
         (request, response) => this.#serveBackend(request, response),
       ),
     ];
-    await consensus.makeDataFolder({
+    await consensus.initializeDataFolder({
       folder: this.#folder,
       owner: "box-1",
       wallMs: 1,
--- a/tools/bench/bench_load.ts
+++ b/tools/bench/bench_load.ts
@@ -82,21 +82,21 @@
 
 /** Time to let one request wait and to give one its turn, in us. */
 function measureTurn(count: number): number {
-  const line = new admission.WaitingLine();
+  const line = new admission.AdmissionQueue();
   let nowMs = 0;
   function enterNext(): void {
     nowMs += 1;
-    line.enter({
+    line.enqueue({
       id: `${nowMs}`,
       priority: nowMs % 3,
       targetAtMs: nowMs + 100,
-      giveUpAtMs: Number.POSITIVE_INFINITY,
+      deadlineAtMs: Number.POSITIVE_INFINITY,
     }, nowMs);
   }
   for (let index = 0; index < count; index += 1) enterNext();
   return measureUs(() => {
-    line.noteFreed(nowMs);
-    line.takeNext(nowMs);
+    line.recordFreedSlot(nowMs);
+    line.dequeue(nowMs);
     enterNext();
   });
 }
--- a/tools/demo/verify_ledgers_test.ts
+++ b/tools/demo/verify_ledgers_test.ts
@@ -72,7 +72,7 @@
     cancellation: new csp.Cancellation(),
     onToken(token) {
       tokens.push(token.tokenId);
-      spans = steps.addToken(spans, token.weightVersion);
+      spans = steps.appendToken(spans, token.weightVersion);
     },
   });
   server.close();
--- a/tools/soak/soak_client.ts
+++ b/tools/soak/soak_client.ts
@@ -28,7 +28,7 @@
   }
 
   /** Asks the next entry box; undefined where no whole answer came. */
-  async ask(call: EntryCall): Promise<httpClient.JsonAnswer | undefined> {
+  async ask(call: EntryCall): Promise<httpClient.JsonResponse | undefined> {
     const entry = this.#entries[this.#turn % this.#entries.length];
     this.#turn += 1;
     const answer = await httpClient.sendJson({
@@ -38,7 +38,7 @@
       headers: { host: HOST, ...call.headers },
       ...(call.json === undefined ? {} : { json: call.json }),
       timeoutMs: CALL_TIMEOUT_MS,
-      maxAnswerBytes: MAX_PAGE_BYTES,
+      maxResponseBytes: MAX_PAGE_BYTES,
       isFreshConnection: true,
     });
     return answer.kind === "ok" ? answer.value : undefined;
@@ -56,7 +56,7 @@
     call: EntryCall,
     endMs: number,
     statuses: readonly number[],
-  ): Promise<httpClient.JsonAnswer | undefined> {
+  ): Promise<httpClient.JsonResponse | undefined> {
     while (Date.now() < endMs) {
       const answer = await this.ask(call);
       if (answer !== undefined && statuses.includes(answer.status)) {
