--- a/src/caller/_forward.ts
+++ b/src/caller/_forward.ts
@@ -92,7 +92,7 @@
 }
 
 /** Returns the content type of a response, or the default for binary data. */
-export function getContentType(head: httpClient.HttpHead): string {
+export function getContentType(head: httpClient.ResponseHead): string {
   const value = head.headers["content-type"];
   return typeof value === "string" ? value : "application/octet-stream";
 }
--- a/src/caller/caller_listener.ts
+++ b/src/caller/caller_listener.ts
@@ -47,12 +47,12 @@
   }
 
   getInFlight(): number {
-    return this.#listener.getInFlight();
+    return this.#listener.getInFlightCount();
   }
 
   /** Tells callers with each response to use another box. */
   setDraining(): void {
-    this.#listener.setDraining();
+    this.#listener.startDraining();
   }
 
   close(force: boolean): void {
@@ -148,7 +148,7 @@
       return this.#refuse(response, failure.failure);
     }
     const { membership } = client.getView();
-    httpServer.answerJson(
+    httpServer.respondJson(
       response,
       200,
       addressLists.listAddresses(membership, addresses.keepMs),
@@ -173,7 +173,7 @@
   #getLoad(account: accounts.ClientAccount): admitCall.AdmissionLoad {
     return {
       hasLease: this.#context.client.hasLease(),
-      inFlight: this.#listener.getInFlight(),
+      inFlight: this.#listener.getInFlightCount(),
       maxInFlight: this.#context.settings.limits.maxInFlight,
       accountInFlight: this.#inFlight.get(account.id) ?? 0,
     };
@@ -185,6 +185,6 @@
 
   #refuse(response: http.ServerResponse, failure: results.Failure): void {
     this.#context.metrics.count("caller.failures");
-    httpServer.answerFailure(response, failure);
+    httpServer.respondFailure(response, failure);
   }
 }
--- a/src/caller/caller_path_test.ts
+++ b/src/caller/caller_path_test.ts
@@ -22,8 +22,8 @@
   after(() => box.stop());
 
   beforeEach(() => {
-    box.manner = "answer";
-    box.runs = [];
+    box.responseMode = "answer";
+    box.receivedUrls = [];
   });
 
   it("answers a lookup from a live server while another refuses connections", async () => {
@@ -71,20 +71,20 @@
       chai.expect(answer.status).to.equal(status);
       chai.expect(answer.json.error).to.include({ name, outcome: "notRun" });
     }
-    chai.expect(box.runs).to.deep.equal([]);
+    chai.expect(box.receivedUrls).to.deep.equal([]);
   });
 
   it("times out an incomplete request without running it", async () => {
     const socket = net.connect(8080, box.address);
     socket.write(
-      `POST /services/app/sync HTTP/1.1\r\nhost: b\r\nauthorization: Bearer ${oneBoxes.TOKEN}\r\nidempotency-key: h\r\ncontent-length: 50\r\n\r\nhalf`,
+      `POST /services/app/sync HTTP/1.1\r\nhost: b\r\nauthorization: Bearer ${oneBoxes.ACCOUNT_TOKEN}\r\nidempotency-key: h\r\ncontent-length: 50\r\n\r\nhalf`,
     );
     const text = await new Promise<string>((resolve) =>
       socket.once("data", (chunk) => resolve(chunk.toString("utf8")))
     );
     socket.destroy();
     chai.expect(text).to.contain("408");
-    chai.expect(box.runs).to.deep.equal([]);
+    chai.expect(box.receivedUrls).to.deep.equal([]);
   });
 
   it("runs a non-repeatable call once and answers a resend with the stored response", async () => {
@@ -97,14 +97,14 @@
       name: "keyReused",
       outcome: "notRun",
     });
-    chai.expect(box.runs.length).to.equal(1);
+    chai.expect(box.receivedUrls.length).to.equal(1);
   });
 
   for (const fault of ["truncate", "reset", "swap", "silent"] as const) {
     it(`reports an unknown outcome when a server fails a non-repeatable call (${fault}) and never runs it again`, async () => {
-      box.manner = fault;
+      box.responseMode = fault;
       const first = await sendSync(`k-${fault}`);
-      box.manner = "answer";
+      box.responseMode = "answer";
       const resent = await sendSync(`k-${fault}`);
       chai.expect(first.json.error).to.include({
         name: "backendFailed",
@@ -114,22 +114,22 @@
         name: "unknownOutcome",
         outcome: "unknown",
       });
-      chai.expect(box.runs.length).to.equal(1);
+      chai.expect(box.receivedUrls.length).to.equal(1);
     });
   }
 
   for (const fault of ["truncate", "swap"] as const) {
     it(`reports an unknown outcome exactly for lookups that ran before a server failed (${fault})`, async () => {
-      box.manner = fault;
+      box.responseMode = fault;
       for (let attempt = 0; attempt < 12; attempt += 1) {
-        const runsBefore = box.runs.length;
+        const runsBefore = box.receivedUrls.length;
         const answer = await box.send("GET", "/services/app/stock");
-        const hasRun = box.runs.length > runsBefore;
+        const hasRun = box.receivedUrls.length > runsBefore;
         chai.expect(answer.json.error.outcome).to.equal(
           hasRun ? "unknown" : "notRun",
         );
       }
-      chai.expect(box.runs.length).to.be.greaterThan(0);
+      chai.expect(box.receivedUrls.length).to.be.greaterThan(0);
     });
   }
 
--- a/src/caller/serve_completion.ts
+++ b/src/caller/serve_completion.ts
@@ -80,7 +80,7 @@
 ): Promise<void> {
   const parsed = parseCompletion(call.body, format);
   if (parsed.kind === "failure") {
-    return httpServer.answerFailure(call.response, parsed.failure);
+    return httpServer.respondFailure(call.response, parsed.failure);
   }
   const completion = parsed.value;
   const writer = new CompletionWriter(call.response, format, completion);
@@ -132,11 +132,11 @@
 
   finish(result: results.Result<generation.GenerationResult>): void {
     if (result.kind === "failure") {
-      return httpServer.answerFailure(this.#response, result.failure);
+      return httpServer.respondFailure(this.#response, result.failure);
     }
     if (!this.#completion.isStream) {
       const body = this.#createBody(this.#bufferedTokens, result.value.reason);
-      return httpServer.answerJson(this.#response, 200, body);
+      return httpServer.respondJson(this.#response, 200, body);
     }
     this.#writeHead();
     this.#writeEvent(this.#createBody([], result.value.reason));
--- a/src/caller/serve_repeatable.ts
+++ b/src/caller/serve_repeatable.ts
@@ -51,7 +51,7 @@
     }
     lastOutcome = mergeOutcomes(lastOutcome, outcome);
   }
-  httpServer.answerFailure(
+  httpServer.respondFailure(
     call.response,
     createFinalFailure(lastOutcome).failure,
   );
--- a/src/consensus/catch_up_monitor_test.ts
+++ b/src/consensus/catch_up_monitor_test.ts
@@ -24,7 +24,7 @@
       fixtures.changeProgress(leader, { identity: fixtures.UNADMITTED }),
       true,
     );
-    recorder.clock.extendBy(1_200);
+    recorder.clock.advance(1_200);
     recorder.observe(
       fixtures.changeProgress(leader, { identity: fixtures.UNADMITTED }),
       true,
@@ -78,18 +78,18 @@
     const recorder = new fixtures.NoticeRecorder(leader);
     const unadmitted = { identity: fixtures.UNADMITTED, matchIndex: 0 };
     recorder.observe(fixtures.changeProgress(leader, unadmitted), true);
-    recorder.clock.extendBy(999);
+    recorder.clock.advance(999);
     recorder.observe(fixtures.changeProgress(leader, unadmitted), true);
     chai.expect(recorder.listByKind("feeding")).to.deep.equal([]);
-    recorder.clock.extendBy(1);
+    recorder.clock.advance(1);
     const at30 = fixtures.changeProgress(leader, {
       ...unadmitted,
       matchIndex: 30,
     });
     recorder.observe(at30, true);
-    recorder.clock.extendBy(999);
+    recorder.clock.advance(999);
     recorder.observe(at30, true);
-    recorder.clock.extendBy(1);
+    recorder.clock.advance(1);
     recorder.observe(
       fixtures.changeProgress(leader, { ...unadmitted, matchIndex: 72 }),
       true,
@@ -130,7 +130,7 @@
     });
     const recorder = new fixtures.NoticeRecorder(leader);
     recorder.observe(unanswered, true);
-    recorder.clock.extendBy(1_000);
+    recorder.clock.advance(1_000);
     recorder.observe(unanswered, true);
     chai.expect(
       recorder.listByKind("feeding").flatMap(({ followers }) => followers),
@@ -148,16 +148,16 @@
       identity: fixtures.UNADMITTED,
     });
     recorder.observe(unadmitted, true);
-    recorder.clock.extendBy(900);
+    recorder.clock.advance(900);
     recorder.observe({ ...unadmitted, role: { kind: "follower" } });
-    recorder.clock.extendBy(200);
+    recorder.clock.advance(200);
     recorder.observe(unadmitted, true);
-    recorder.clock.extendBy(900);
+    recorder.clock.advance(900);
     recorder.observe(
       fixtures.changeProgress(leader, { identity: fixtures.ADMITTED }),
       true,
     );
-    recorder.clock.extendBy(2_000);
+    recorder.clock.advance(2_000);
     recorder.observe(
       fixtures.changeProgress(leader, { identity: fixtures.ADMITTED }),
       true,
--- a/src/consensus/leader_monitor_test.ts
+++ b/src/consensus/leader_monitor_test.ts
@@ -11,16 +11,16 @@
       role: { kind: "preCandidate", votes: new Set(["a"]) },
     };
     const recorder = new fixtures.NoticeRecorder(candidate);
-    recorder.clock.extendBy(1_500);
+    recorder.clock.advance(1_500);
     recorder.receiveVoteReply(candidate, {
       isPreVote: true,
       isGranted: false,
       refusal: "notAdmitted",
     });
-    recorder.clock.extendBy(499);
+    recorder.clock.advance(499);
     recorder.observeLeader(candidate);
     chai.expect(recorder.listByKind("leaderless")).to.deep.equal([]);
-    recorder.clock.extendBy(1);
+    recorder.clock.advance(1);
     recorder.observeLeader(candidate, 70);
     recorder.observeLeader(candidate, 70);
     const expected: notices.ReplicaNotice = {
@@ -49,7 +49,7 @@
     };
     chai.expect(recorder.listByKind("leaderless")).to.deep.equal([expected]);
     recorder.receiveVoteReply(candidate, { isPreVote: false, isGranted: true });
-    recorder.clock.extendBy(2_000);
+    recorder.clock.advance(2_000);
     recorder.observeLeader(candidate);
     const [, second] = recorder.listByKind("leaderless");
     chai.expect(second?.asked[0]?.answer).to.deep.equal({
@@ -62,16 +62,16 @@
   it("measures from the last contact with a leader", () => {
     const follower = fixtures.createFollower(fixtures.ADMITTED);
     const recorder = new fixtures.NoticeRecorder(follower);
-    recorder.clock.extendBy(1_900);
+    recorder.clock.advance(1_900);
     const withContact = {
       ...follower,
       leaderContactAtMs: recorder.clock.getMonotonicMs(),
     };
     recorder.observeLeader(withContact);
-    recorder.clock.extendBy(1_900);
+    recorder.clock.advance(1_900);
     recorder.observeLeader(withContact);
     chai.expect(recorder.listByKind("leaderless")).to.deep.equal([]);
-    recorder.clock.extendBy(100);
+    recorder.clock.advance(100);
     recorder.observeLeader(withContact);
     chai.expect(recorder.listByKind("leaderless")).to.have.length(1);
   });
@@ -79,12 +79,12 @@
   it("reports a leader without authority, but not one that has it", () => {
     const leader = fixtures.createLeader();
     const recorder = new fixtures.NoticeRecorder(leader);
-    recorder.clock.extendBy(5_000);
+    recorder.clock.advance(5_000);
     recorder.observe(leader, true);
-    recorder.clock.extendBy(1_999);
+    recorder.clock.advance(1_999);
     recorder.observe(leader);
     chai.expect(recorder.listByKind("leaderless")).to.deep.equal([]);
-    recorder.clock.extendBy(1);
+    recorder.clock.advance(1);
     recorder.observe(leader);
     chai.expect(recorder.listByKind("leaderless").map(({ role }) => role)).to
       .deep
@@ -101,7 +101,7 @@
     const recorder = new fixtures.NoticeRecorder(nonVoter);
     const minutes = 10;
     for (let second = 0; second < minutes * 60; second += 1) {
-      recorder.clock.extendBy(1_000);
+      recorder.clock.advance(1_000);
       recorder.observeLeader(nonVoter);
     }
     const noticeSeconds = recorder.listByKind("leaderless").map(({ sinceMs }) =>
--- a/src/consensus/notice_reporter_test.ts
+++ b/src/consensus/notice_reporter_test.ts
@@ -8,7 +8,7 @@
     const recorder = new fixtures.NoticeRecorder(unadmitted);
     recorder.observe(unadmitted);
     chai.expect(recorder.listByKind("admitted")).to.deep.equal([]);
-    recorder.clock.extendBy(250);
+    recorder.clock.advance(250);
     const admitted = {
       ...unadmitted,
       identity: fixtures.ADMITTED,
--- a/src/consensus/replica_driver.ts
+++ b/src/consensus/replica_driver.ts
@@ -38,7 +38,7 @@
   readonly #snapshots: snapshotTransfers.SnapshotExchange;
   readonly #compactor: logCutters.LogCompactor;
   readonly #notices: noticeTellers.NoticeReporter;
-  readonly #suspensions: clocks.SuspensionWatch;
+  readonly #suspensions: clocks.SuspensionDetector;
 
   private constructor(
     options: replicaOptions.ReplicaDriverOptions,
@@ -46,7 +46,7 @@
     state: replicaStates.ReplicaState,
   ) {
     this.#options = options;
-    this.#suspensions = new clocks.SuspensionWatch(options.clock);
+    this.#suspensions = new clocks.SuspensionDetector(options.clock);
     this.#writer = new durableWriters.DurableWriter(log, options.clock);
     this.#state = state;
     this.#compactor = new logCutters.LogCompactor({
@@ -94,14 +94,14 @@
     if (role.kind !== "leader") return false;
     if (this.getAppliedIndex() < role.termStartIndex) return false;
     const nowMs = this.#options.clock.getMonotonicMs();
-    const resumedAtMs = this.#suspensions.getWokeAtMs();
+    const resumedAtMs = this.#suspensions.getResumedAtMs();
     return leaderLeases.hasAuthority(this.#state, nowMs, resumedAtMs);
   }
 
   /** Returns the monotonic time at which the leader's lease expires, in ms. */
   getLeaseExpiryMs(): number {
     const nowMs = this.#options.clock.getMonotonicMs();
-    const resumedAtMs = this.#suspensions.getWokeAtMs();
+    const resumedAtMs = this.#suspensions.getResumedAtMs();
     return leaderLeases.getLeaseExpiryMs(this.#state, nowMs, resumedAtMs);
   }
 
--- a/src/consensus/replica_driver_test.ts
+++ b/src/consensus/replica_driver_test.ts
@@ -145,7 +145,7 @@
       onNotice: (notice) => reportedKinds.push(notice.kind),
       onFatal: () => {},
     });
-    clock.extendBy(6_000);
+    clock.advance(6_000);
     chai.expect(reportedKinds).to.deep.equal(
       ["opened", "leaderless", "leaderless", "leaderless"],
     );
--- a/src/consensus/snapshot_leadership_test.ts
+++ b/src/consensus/snapshot_leadership_test.ts
@@ -65,7 +65,7 @@
           complete ??= result.whole;
           sender?.handleReply("b", result.reply, FIRST_TERM + leadership);
         }
-        clock.extendBy(HEARTBEAT_MS);
+        clock.advance(HEARTBEAT_MS);
       }
       sender?.pause();
       sent.length = 0;
--- a/src/consensus/snapshot_restart_test.ts
+++ b/src/consensus/snapshot_restart_test.ts
@@ -48,7 +48,7 @@
       complete ??= result.whole;
       sender.handleReply("b", result.reply, TERM);
     }
-    clock.extendBy(HEARTBEAT_MS);
+    clock.advance(HEARTBEAT_MS);
   }
   return { complete, sentParts };
 }
--- a/src/consensus/snapshot_transfer_test.ts
+++ b/src/consensus/snapshot_transfer_test.ts
@@ -49,7 +49,7 @@
         sender.handleReply("b", reply, 3);
       }
     }
-    clock.extendBy(100);
+    clock.advance(100);
   }
   return { arrived, initialInFlight, maxInFlight };
 }
--- a/src/consensus/snapshot_window_test.ts
+++ b/src/consensus/snapshot_window_test.ts
@@ -26,7 +26,7 @@
     let complete: messages.SnapshotRequest | undefined;
     sender.send("b", 3);
     for (let trip = 0; trip < ROUND_TRIPS; trip += 1) {
-      clock.extendBy(ROUND_TRIP_MS);
+      clock.advance(ROUND_TRIP_MS);
       const arrived = sent;
       sent = [];
       const replies = arrived.flatMap((message) => {
--- a/src/control/control_client.ts
+++ b/src/control/control_client.ts
@@ -33,7 +33,7 @@
   #leaseUntilMs = 0;
   /** Monotonic time at which the last granted lease was requested, in ms. */
   #leaseRequestedAtMs = Number.NEGATIVE_INFINITY;
-  readonly #suspensions: clocks.SuspensionWatch;
+  readonly #suspensions: clocks.SuspensionDetector;
   #leader: string | undefined;
   #failedAttempts = 0;
   #isDraining = false;
@@ -41,7 +41,7 @@
 
   constructor(options: ControlClientOptions) {
     this.#options = options;
-    this.#suspensions = new clocks.SuspensionWatch(options.clock);
+    this.#suspensions = new clocks.SuspensionDetector(options.clock);
     this.#replicas = new Map(
       options.settings.replicas.map((replica) =>
         [replica.id, new rpc.RpcClient(replica)] as const
@@ -72,7 +72,7 @@
    * still meanwhile, and the lease may have expired for the leader.
    */
   hasLease(): boolean {
-    if (this.#leaseRequestedAtMs < this.#suspensions.getWokeAtMs()) {
+    if (this.#leaseRequestedAtMs < this.#suspensions.getResumedAtMs()) {
       return false;
     }
     return this.#options.clock.getMonotonicMs() < this.#leaseUntilMs;
--- a/src/fleet/_relay.ts
+++ b/src/fleet/_relay.ts
@@ -45,13 +45,13 @@
   readonly #coreRefreshes = new RefreshBatch();
   readonly #queuedBoxes = new Map<string, boxRecords.BoxRecord>();
   readonly #queuedServers = new Map<string, registry.ServerReport>();
-  readonly #delayedFlush: clocks.GatheredCall;
+  readonly #delayedFlush: clocks.CoalescedCall;
   #round = 0;
   #isStopped = false;
 
   constructor(options: RelayOptions) {
     this.#options = options;
-    this.#delayedFlush = new clocks.GatheredCall({
+    this.#delayedFlush = new clocks.CoalescedCall({
       clock: options.clock,
       delayMs: BATCH_DELAY_MS,
       action: () => this.#flush(),
--- a/src/fleet/box_directory_test.ts
+++ b/src/fleet/box_directory_test.ts
@@ -27,19 +27,19 @@
   });
 
   it("accepts a record with an earlier start time once the former process is silent", () => {
-    clock.extendBy(boxDirectories.BOX_TIMEOUT_MS + 1);
+    clock.advance(boxDirectories.BOX_TIMEOUT_MS + 1);
     chai.expect(directory.merge(LATER)).to.equal("changed");
     chai.expect(directory.listAlive()).to.deep.equal([LATER]);
   });
 
   it("rejects a record with an earlier start time while the box is alive", () => {
-    clock.extendBy(boxDirectories.BOX_TIMEOUT_MS - 1);
+    clock.advance(boxDirectories.BOX_TIMEOUT_MS - 1);
     chai.expect(directory.merge(LATER)).to.equal("old");
     chai.expect(directory.listAlive()).to.deep.equal([FORMER]);
   });
 
   it("rejects an older record of the same process even after the timeout", () => {
-    clock.extendBy(boxDirectories.BOX_TIMEOUT_MS + 1);
+    clock.advance(boxDirectories.BOX_TIMEOUT_MS + 1);
     chai.expect(directory.merge({ ...FORMER, sequence: 39 })).to.equal("old");
     chai.expect(directory.listAlive()).to.deep.equal([]);
   });
--- a/src/fleet/fleet_fixture_test.ts
+++ b/src/fleet/fleet_fixture_test.ts
@@ -53,7 +53,7 @@
 
   getPeer(to: string, from = to): rpc.Peer {
     return {
-      tell: (method, params) => {
+      notify: (method, params) => {
         if (this.#canReach(from, to)) this.#deliver(to, method, params);
       },
       call: async (method, params) => {
@@ -83,7 +83,7 @@
   /** Advances the clock in small steps and runs pending callbacks after each. */
   async advanceBy(ms: number): Promise<void> {
     for (let passed = 0; passed < ms; passed += STEP_MS) {
-      this.clock.extendBy(STEP_MS);
+      this.clock.advance(STEP_MS);
       await new Promise((resolve) => setImmediate(resolve));
     }
   }
--- a/src/fleet/fleet_gossip.ts
+++ b/src/fleet/fleet_gossip.ts
@@ -33,7 +33,7 @@
   readonly servers: registry.ServerRegistry;
   readonly configuration: trafficConfig.ConfigurationHolder;
   readonly peers: peerPools.Peers;
-  readonly server: rpc.MethodTable;
+  readonly server: rpc.MethodRegistry;
   /** Ids of the boxes to contact at startup. */
   readonly seeds: readonly string[];
   /** Returns the current record of this box, without its sequence number. */
@@ -49,7 +49,7 @@
   readonly #options: FleetGossipOptions;
   readonly #id: string;
   readonly #relay: relays.Relay;
-  readonly #versionAnnouncement: clocks.GatheredCall;
+  readonly #versionAnnouncement: clocks.CoalescedCall;
   /** On non-core boxes: refreshes to send with the next round, by server id. */
   readonly #serverRefreshes = new Map<string, protocol.ServerRefresh>();
   #self: boxRecords.BoxRecord;
@@ -63,7 +63,7 @@
     this.#self = { ...options.describeSelf(), sequence: 0 };
     this.#id = this.#self.id;
     options.directory.merge(this.#self);
-    this.#versionAnnouncement = new clocks.GatheredCall({
+    this.#versionAnnouncement = new clocks.CoalescedCall({
       clock: options.clock,
       delayMs: VERSION_DELAY_MS,
       action: () => {
@@ -170,7 +170,7 @@
   }
 
   #send(id: string, message: protocol.GossipMessage): void {
-    this.#options.peers.get(id).tell(protocol.METHODS.news, message);
+    this.#options.peers.get(id).notify(protocol.METHODS.news, message);
   }
 
   #updateOwnRecord(): void {
--- a/src/fleet_daemon/box_components.ts
+++ b/src/fleet_daemon/box_components.ts
@@ -90,7 +90,7 @@
     servers: new registry.ServerRegistry(
       clock,
       settings.bounds.heartbeatMs,
-      ({ address, port }) => httpClient.closeIdle(address, port),
+      ({ address, port }) => httpClient.closeIdleConnections(address, port),
     ),
     configuration,
     crashTable: new crashRecords.CrashTable(),
@@ -123,7 +123,7 @@
   return new crashGuards.CrashGuard({
     ...components,
     table: components.crashTable,
-    findPortState: httpClient.findPortState,
+    findPortState: httpClient.probePort,
     publish: (record) => link.publishCrash(record),
     ...crashGuards.createGrantClient(storeLeader),
   });
--- a/src/fleet_daemon/caller_handler.ts
+++ b/src/fleet_daemon/caller_handler.ts
@@ -144,7 +144,7 @@
   }
 
   #refuse(
-    code: results.CodeName,
+    code: results.ResultCodeName,
     message: string,
     options: results.FailureOptions = {},
   ): dialects.RawAnswer {
--- a/src/fleet_daemon/control_handler.ts
+++ b/src/fleet_daemon/control_handler.ts
@@ -74,7 +74,7 @@
   }
 
   #refuse(
-    code: results.CodeName,
+    code: results.ResultCodeName,
     message: string,
     options: results.FailureOptions = {},
   ): dialects.RawAnswer {
--- a/src/fleet_daemon/entry_box.ts
+++ b/src/fleet_daemon/entry_box.ts
@@ -115,14 +115,14 @@
 
   /** Returns the number of caller requests in flight. */
   getInFlight(): number {
-    return this.#callerListener.getInFlight();
+    return this.#callerListener.getInFlightCount();
   }
 
   /** Applies the connection timeouts of the configuration in force. */
   applyLimits(): void {
     const limits = this.#components.configuration.get()?.limits;
     if (limits === undefined) return;
-    this.#callerListener.setTimes({
+    this.#callerListener.setConnectionTimeouts({
       headersMs: limits.headerTimeoutMs,
       idleMs: limits.idleTimeoutMs,
     });
@@ -130,8 +130,8 @@
 
   /** Closes connections after their next answer; transfers the leadership. */
   async setDraining(): Promise<void> {
-    this.#callerListener.setDraining();
-    for (const listener of this.#otherListeners) listener.setDraining();
+    this.#callerListener.startDraining();
+    for (const listener of this.#otherListeners) listener.startDraining();
     await this.#core?.resign();
   }
 
@@ -174,7 +174,7 @@
   /** Puts only the last of several configurations of one batch in force. */
   #createStateMachine(): trafficConfig.ConfigurationMachine {
     const { clock, configuration, link } = this.#components;
-    const deferredUpdate = new clocks.GatheredCall({
+    const deferredUpdate = new clocks.CoalescedCall({
       clock,
       delayMs: 0,
       action: () => {
@@ -215,7 +215,7 @@
     return Promise.resolve();
   }
 
-  #refuse(code: results.CodeName, message: string): dialects.RawAnswer {
+  #refuse(code: results.ResultCodeName, message: string): dialects.RawAnswer {
     const { failure } = results.createFailure(code, message);
     return this.#components.dialect.formatFailure(failure);
   }
--- a/src/fleet_daemon/fleet_daemon.ts
+++ b/src/fleet_daemon/fleet_daemon.ts
@@ -122,7 +122,7 @@
     const { configuration, status, link, clock, log, lines, metrics } =
       this.#components;
     if (this.#isEnded) return;
-    metrics.setLogLost(lines.getLost());
+    metrics.setDroppedLogLines(lines.getDroppedCount());
     this.#entry?.applyLimits();
     if (!status.isReady && configuration.getVersion() > 0) {
       status.isReady = true;
--- a/src/fleet_daemon/poll_results_test.ts
+++ b/src/fleet_daemon/poll_results_test.ts
@@ -39,7 +39,7 @@
       readOnce: (waitMs, timeoutMs) => {
         chai.expect(timeoutMs).to.be.lessThan(1_000);
         waits.push(waitMs);
-        clock.extendBy(waitMs);
+        clock.advance(waitMs);
         return Promise.resolve(answers[waits.length - 1] ?? createPage([]));
       },
     });
--- a/src/fleet_daemon/replica_reader_test.ts
+++ b/src/fleet_daemon/replica_reader_test.ts
@@ -60,7 +60,7 @@
 
   function getPeer(id: string): rpc.Peer {
     return {
-      tell: () => {},
+      notify: () => {},
       call: <T>(_method: string, params: object) => {
         const { mayFollow, failureDomain } = params as submissions.ReadRequest;
         chai.expect(failureDomain).to.equal("z1");
@@ -83,7 +83,7 @@
     chai.expect(await readNext()).to.equal(1);
     chai.expect(await readNext()).to.equal(2);
     chai.expect(await readNext()).to.equal(2);
-    clock.extendBy(EXPIRED_MS);
+    clock.advance(EXPIRED_MS);
     chai.expect(await readNext()).to.equal(1);
     chai.expect(calls).to.deep.equal(["leader", "near", "near", "leader"]);
   });
--- a/src/generation/generate_tokens.ts
+++ b/src/generation/generate_tokens.ts
@@ -138,7 +138,7 @@
   }
 
   #createFailure(
-    code: results.CodeName,
+    code: results.ResultCodeName,
     reason: string,
   ): results.Result<GenerationResult> {
     const outcome = this.#engineCount === 0 ? "notRun" : "unknown";
--- a/src/item_run/run_item.ts
+++ b/src/item_run/run_item.ts
@@ -107,7 +107,7 @@
     this.#restartStallTimer();
   }
 
-  onHead(head: httpClient.HttpHead): void {
+  onHead(head: httpClient.ResponseHead): void {
     const parsed = this.#options.dialect.parseAnswerHead(head.headers);
     this.#status = head.status;
     this.#isNotRun = parsed.isNotRun || head.status === WRONG_SERVER_STATUS;
--- a/src/replica_group/bootstrap_service.ts
+++ b/src/replica_group/bootstrap_service.ts
@@ -76,7 +76,7 @@
   constructor(options: {
     readonly clock: clocks.Clock;
     readonly log: logs.Log;
-    readonly server: rpc.MethodTable;
+    readonly server: rpc.MethodRegistry;
     readonly isFirstStart: boolean;
   }) {
     this.#clock = options.clock;
--- a/src/replica_group/bootstrap_service_test.ts
+++ b/src/replica_group/bootstrap_service_test.ts
@@ -23,14 +23,14 @@
       return service.handleRequest(createRequest(id));
     }
     chai.expect(sendRequest("a").kind).to.equal("wait");
-    clock.extendBy(5_000);
+    clock.advance(5_000);
     chai.expect(sendRequest("b").kind).to.equal("wait");
     chai.expect(sendRequest("c").kind).to.equal("wait");
-    clock.extendBy(1_100);
+    clock.advance(1_100);
     const reply = { kind: "founded", voters: ["a", "b", "c"] };
     chai.expect(sendRequest("a")).to.deep.equal(reply);
     chai.expect(sendRequest("d")).to.deep.equal(reply);
-    clock.extendBy(60_000);
+    clock.advance(60_000);
     chai.expect(sendRequest("b")).to.deep.equal(reply);
   });
 
--- a/src/replica_group/leader_caller_test.ts
+++ b/src/replica_group/leader_caller_test.ts
@@ -41,7 +41,7 @@
 
   function getClient(id: string): rpc.Peer {
     return {
-      tell: () => {},
+      notify: () => {},
       call: <T>() => {
         called.push(id);
         if (unreachable.includes(id)) {
@@ -77,7 +77,7 @@
     for (;;) {
       await new Promise((resolve) => setImmediate(resolve));
       if (answer !== undefined) return answer;
-      clock.extendBy(CLOCK_STEP_MS);
+      clock.advance(CLOCK_STEP_MS);
     }
   }
 
--- a/src/replica_group/read_barrier.ts
+++ b/src/replica_group/read_barrier.ts
@@ -23,7 +23,7 @@
   /** Notified when the replica's state has changed. */
   readonly changed: csp.Signal;
   readonly peers: fleet.Peers;
-  readonly server: rpc.MethodTable;
+  readonly server: rpc.MethodRegistry;
 }
 
 /** The leader's applied index, or that the replica is not the leader. */
--- a/src/replica_group/replica_group.ts
+++ b/src/replica_group/replica_group.ts
@@ -57,7 +57,7 @@
   readonly stateMachine: consensus.StateMachine;
   readonly directory: fleet.BoxDirectory;
   readonly peers: fleet.Peers;
-  readonly server: rpc.MethodTable;
+  readonly server: rpc.MethodRegistry;
   /** Reports whether a box may be a voter of this group. */
   readonly canVote: (box: fleet.BoxRecord) => boolean;
   /** Lists the ids of boxes that are being retired. */
@@ -238,7 +238,7 @@
       stateMachine: stateMachine,
       snapshotEntries,
       send: (to, message) =>
-        peers.get(to).tell(this.#getMethod(), this.#wrapMessage(message)),
+        peers.get(to).notify(this.#getMethod(), this.#wrapMessage(message)),
       onNotice: (notice) => this.#writeNotice(notice),
       onFatal,
     });
@@ -261,7 +261,7 @@
     if (cached !== undefined) return cached;
     const envelope: ConsensusEnvelope = { from: this.#options.id, message };
     this.#envelopes.set(message, envelope);
-    if (isBulk.isBulk(message)) rpc.markPlain(envelope);
+    if (isBulk.isBulk(message)) rpc.disableCompression(envelope);
     return envelope;
   }
 
@@ -275,7 +275,7 @@
   #updateMetrics(): void {
     const { metrics, name } = this.#options;
     const health = this.#driver?.getHealth();
-    if (health !== undefined) metrics.replicas.setFigures(name, health);
+    if (health !== undefined) metrics.replicas.setStatistics(name, health);
   }
 
   #updateVoters(): void {
--- a/src/replica_group/simulated_cluster_test.ts
+++ b/src/replica_group/simulated_cluster_test.ts
@@ -214,7 +214,7 @@
   async run(ms: number, isDone: () => boolean = () => false): Promise<boolean> {
     for (let remainingMs = ms; remainingMs > 0; remainingMs -= 1) {
       if (isDone()) return true;
-      this.clock.extendBy(1);
+      this.clock.advance(1);
       this.#throttleProcesses();
       this.#proposeLoad();
       for (let turn = 0; turn < EVENT_LOOP_TURNS; turn += 1) {
@@ -276,7 +276,7 @@
 
   #createPeer(from: string, to: string): rpc.Peer {
     return {
-      tell: (method, params) => this.#sendMessage(from, to, method, params),
+      notify: (method, params) => this.#sendMessage(from, to, method, params),
       call: () =>
         Promise.reject(new Error("the simulated network supports no calls")),
     };
--- a/src/routing/server_table_test.ts
+++ b/src/routing/server_table_test.ts
@@ -83,7 +83,7 @@
 
     async function poll(): Promise<void> {
       const before = pair.map(({ polls }) => polls);
-      clock.extendBy(POLL_MS);
+      clock.advance(POLL_MS);
       for (let wait = 0; wait < MAX_POLL_WAITS; wait += 1) {
         await new Promise((resolve) => setTimeout(resolve, 1));
         if (pair.every(({ polls }, at) => polls > before[at]!)) break;
@@ -125,6 +125,6 @@
       chai.expect(isRoutedToFirst(prompt)).to.equal(true);
     }
     table.stop();
-    clock.extendBy(POLL_MS);
+    clock.advance(POLL_MS);
   });
 });
--- a/src/step_schedule/step_replay_test.ts
+++ b/src/step_schedule/step_replay_test.ts
@@ -1,13 +1,13 @@
 import * as chai from "chai";
 import type * as stepLoads from "../fixtures/step_load.ts";
-import * as stepReplays from "../fixtures/step_replay.ts";
+import * as stepReplays from "../fixtures/step_simulation.ts";
 import * as scheduleTypes from "./schedule_types.ts";
 
 /**
  * Guards against ordering by latest start alone, which makes nearly all groups
  * late when the trainers' overlapping steps exceed capacity.
  */
-const TRAINERS: readonly stepLoads.ReplayedTrainer[] = [
+const TRAINERS: readonly stepLoads.SimulatedTrainer[] = [
   createTrainer({ name: "few long groups", groups: 6, size: 16 }),
   createTrainer({ name: "many short groups", groups: 10, meanEvents: 12 }),
   createTrainer({ name: "many groups", groups: 12, priority: 1 }),
@@ -19,8 +19,8 @@
 const LATEST_START: scheduleTypes.SchedulePolicy = { kind: "latestStart" };
 
 function createTrainer(
-  changes: Partial<stepLoads.ReplayedTrainer>,
-): stepLoads.ReplayedTrainer {
+  changes: Partial<stepLoads.SimulatedTrainer>,
+): stepLoads.SimulatedTrainer {
   return {
     name: "t",
     priority: 0,
@@ -45,10 +45,10 @@
     engines: createEngines(NEEDED_ENGINES / load),
     slots: SLOTS,
     durationMs: 28_000,
-    everyMs: 4_000,
+    stepIntervalMs: 4_000,
     dueMs: 7_500,
-    limitMs: 12_000,
-    desired: 0.9,
+    stepTimeoutMs: 12_000,
+    desiredShare: 0.9,
     losses: [],
     knowsLengths: false,
     ...changes,
@@ -66,8 +66,12 @@
 
 function compare(load: stepLoads.StepLoad): readonly Comparison[] {
   return SEEDS.map((seed) => ({
-    baseline: stepReplays.replaySteps(load, LATEST_START, seed),
-    current: stepReplays.replaySteps(load, scheduleTypes.DEFAULT_POLICY, seed),
+    baseline: stepReplays.simulateSteps(load, LATEST_START, seed),
+    current: stepReplays.simulateSteps(
+      load,
+      scheduleTypes.DEFAULT_POLICY,
+      seed,
+    ),
   }));
 }
 
--- a/src/usage/usage_reporter.ts
+++ b/src/usage/usage_reporter.ts
@@ -36,7 +36,7 @@
   readonly log: logs.Log;
   readonly metrics: metricTypes.FleetMetrics;
   readonly dialect: dialects.Dialect;
-  readonly server: rpc.MethodTable;
+  readonly server: rpc.MethodRegistry;
   readonly group: replicaGroups.ReplicaGroup;
   readonly duty: duties.DutyLease;
   readonly state: usageStates.UsageState;
@@ -130,7 +130,7 @@
     const ageMs = oldest === undefined
       ? 0
       : clock.getWallMs() - (oldest.window + 1) * times.windowMs;
-    metrics.setUnreportedMs(ageMs);
+    metrics.setUnreportedUsageMs(ageMs);
   }
 
   /** Closes the windows that are due, oldest first, up to the first failure. */
--- a/tools/demo/demo_operator.ts
+++ b/tools/demo/demo_operator.ts
@@ -4,17 +4,18 @@
 const execFile = util.promisify(childProcess.execFile);
 const BINARY = "dist/hoistscale";
 
-/** The answer of the command line to an accepted change. */
+/** JSON output of the command line for an accepted change. */
 export interface AcceptedChange {
   readonly revision: number;
   readonly isInForce: boolean;
 }
 
-/** An operator at the command line. */
+/** An operator that uses the command line. */
 export class DemoOperator {
+  /** Administration APIs, used in turn. */
   readonly #baseUrls: readonly string[];
   readonly #token: string;
-  #turn = 0;
+  #attemptCount = 0;
 
   constructor(baseUrls: readonly string[], token: string) {
     this.#baseUrls = baseUrls;
@@ -22,14 +23,14 @@
   }
 
   /**
-   * Runs a change, asking another box when one does not answer. Request id
-   * and revision stay the same, so that a resend is never a second change.
+   * Sends a change, and retries it at another box after a failure. Retries use
+   * the same request id and revision, so the change is applied at most once.
    *
    * @param args The command, without address and token.
-   * @param requestId Marks a resend.
-   * @param revision The revision that the change is made against.
-   * @returns What was accepted.
-   * @throws When no box accepted it in time.
+   * @param requestId Id that identifies resends of the change.
+   * @param revision Revision that the change is based on.
+   * @returns The accepted change.
+   * @throws {Error} If every attempt failed.
    */
   async sendChange(
     args: readonly string[],
@@ -37,25 +38,34 @@
     revision: number,
   ): Promise<AcceptedChange> {
     const options = ["--request-id", requestId, "--revision", String(revision)];
-    return await this.ask([...args, ...options]) as AcceptedChange;
+    return await this.runCommand([...args, ...options]) as AcceptedChange;
   }
 
-  /** Runs a command that may be sent again and gives its JSON. */
-  async ask(args: readonly string[]): Promise<unknown> {
+  /**
+   * Runs an idempotent command, and retries it at another box after a failure.
+   *
+   * @param args The command, without address and token.
+   * @returns The command's JSON output.
+   * @throws {Error} If every attempt failed.
+   */
+  async runCommand(args: readonly string[]): Promise<unknown> {
     const errors: unknown[] = [];
     for (let attempt = 0; attempt < this.#baseUrls.length * 2; attempt += 1) {
       try {
-        return JSON.parse(await this.#run(args));
+        return JSON.parse(await this.#runOnce(args));
       } catch (error) {
         errors.push(error);
       }
     }
-    throw new Error(`Cannot ask the boxes: ${errors.map(String).join("; ")}`);
+    throw new Error(
+      `Cannot run the command on any box: ${errors.map(String).join("; ")}`,
+    );
   }
 
-  async #run(args: readonly string[]): Promise<string> {
-    const admin = this.#baseUrls[this.#turn % this.#baseUrls.length] ?? "";
-    this.#turn += 1;
+  async #runOnce(args: readonly string[]): Promise<string> {
+    const admin = this.#baseUrls[this.#attemptCount % this.#baseUrls.length] ??
+      "";
+    this.#attemptCount += 1;
     const done = await execFile(BINARY, [
       ...args,
       "--json",
--- a/tools/demo/demo_report.ts
+++ b/tools/demo/demo_report.ts
@@ -1,45 +1,47 @@
-import * as judges from "./judge.ts";
+import * as ledgerVerification from "./verify_ledgers.ts";
 
-/** The demo's result: the verdict and what the operator saw. */
-export interface DemoResult extends judges.Verdict {
+/** The demo's result: the ledger report and the operator's changes. */
+export interface DemoResult extends ledgerVerification.LedgerReport {
   readonly configChanges: number;
   readonly revertedChanges: number;
+  /** Time from sending a change until every box serves it, in ms. */
   readonly inForceMs: { readonly p50: number; readonly max: number };
 }
 
 const FAULT_NAMES: readonly (keyof DemoResult)[] = [
-  ...judges.FAULT_COUNTS,
+  ...ledgerVerification.FAULT_COUNTS,
   "revertedChanges",
 ];
 
 /**
- * Lists the counts of a result that should be 0 and are not, and work that
- * should have been done and was not.
+ * Lists the fault counts of a result that are not 0, and the kinds of work of
+ * which none was done.
  *
- * @param result The result.
- * @returns Their names.
+ * @param result The demo's result.
+ * @returns Names of the faults.
  */
 export function listFaults(result: DemoResult): readonly string[] {
-  const idle = (["steps", "samples", "requests", "configChanges"] as const)
-    .filter((name) => result[name] === 0);
+  const missingWork =
+    (["steps", "samples", "requests", "configChanges"] as const)
+      .filter((name) => result[name] === 0);
   return [
     ...FAULT_NAMES.filter((name) => result[name] !== 0),
-    ...idle.map((name) => `no ${name}`),
+    ...missingWork.map((name) => `no ${name}`),
   ];
 }
 
 /**
  * Prints a result as a table and as one line of JSON.
  *
- * @param result The result.
- * @param faults Faults that were noticed while it ran.
- * @returns Whether there is no fault.
+ * @param result The demo's result.
+ * @param faults Descriptions of faults that occurred during the run.
+ * @returns Whether there are no faults.
  */
-export function reportVerdict(
+export function reportResult(
   result: DemoResult,
   faults: readonly string[],
 ): boolean {
-  const wrong = [...listFaults(result), ...faults];
+  const allFaults = [...listFaults(result), ...faults];
   const rows = Object.entries(result).map(([name, value]) => {
     const isFault = FAULT_NAMES.includes(name as keyof DemoResult);
     const mark = !isFault ? "" : value === 0 ? "ok" : "FAULT";
@@ -48,9 +50,9 @@
   console.log(
     ["", "what stand-ins, trainers and callers saw:", ...rows, ""].join("\n"),
   );
-  if (wrong.length > 0) console.log(`faults: ${wrong.join("; ")}`);
+  if (allFaults.length > 0) console.log(`faults: ${allFaults.join("; ")}`);
   console.log(JSON.stringify(result));
-  return wrong.length === 0;
+  return allFaults.length === 0;
 }
 
 function formatValue(value: unknown): string {
--- a/tools/demo/token_index.ts
+++ b/tools/demo/token_index.ts
@@ -1,16 +1,17 @@
 import type * as ledgers from "../stand_ins/ledger.ts";
 
-const TOKENS_A_SEGMENT = 100_000;
+/** Size of the block of token ids that each segment draws from. */
+const TOKENS_PER_SEGMENT = 100_000;
 
-/** Segments by the block that their token ids come from. */
+/** Segments by the number of their block of token ids. */
 export interface TokenIndex {
   readonly segments: ReadonlyMap<number, ledgers.SegmentEntry>;
 }
 
 /**
- * Builds an index from token ids to what an engine really ran.
+ * Builds an index from token ids to the segments that engines recorded.
  *
- * @param segments The engines' own entries.
+ * @param segments Segments from the engines' ledgers.
  * @returns The index.
  */
 export function buildTokenIndex(
@@ -20,13 +21,13 @@
     segments: new Map(
       segments.map((
         segment,
-      ) => [segment.firstToken / TOKENS_A_SEGMENT, segment]),
+      ) => [segment.firstToken / TOKENS_PER_SEGMENT, segment]),
     ),
   };
 }
 
 /**
- * Finds the segment that a token came from.
+ * Finds the segment that a token belongs to.
  *
  * @param index The index.
  * @param token Id of the token.
@@ -36,5 +37,5 @@
   index: TokenIndex,
   token: number,
 ): ledgers.SegmentEntry | undefined {
-  return index.segments.get(Math.floor(token / TOKENS_A_SEGMENT));
+  return index.segments.get(Math.floor(token / TOKENS_PER_SEGMENT));
 }
--- a/tools/demo/judge.ts
+++ b/tools/demo/verify_ledgers.ts
@@ -2,62 +2,69 @@
 import type * as ledgers from "../stand_ins/ledger.ts";
 import * as tokenIndexes from "./token_index.ts";
 
-/** Time after its mark in which a leaving server may still get work, in ms. */
+/** Time in which a server may still receive work after it is marked, in ms. */
 const LEAVE_GRACE_MS = 3_000;
 
-/** What the judge must know besides the ledgers. */
-export interface JudgeOptions {
+/** Settings of the run that determine the expected answer lengths. */
+export interface VerificationOptions {
   readonly lengths: answerLengths.LengthShape;
-  /** Longest sample of a rollout, in tokens. */
+  /** Maximum tokens of a sample. */
   readonly sampleTokens: number;
-  /** Longest completion of a caller, in tokens. */
+  /** Maximum tokens of a caller's completion. */
   readonly completionTokens: number;
 }
 
-/** Violations and figures, counted from what really happened. */
-export interface Verdict {
+/** Violations and statistics of a run, computed from its ledgers. */
+export interface LedgerReport {
   readonly steps: number;
   readonly samples: number;
   readonly missingSamples: number;
+  /** Extra samples for a slot, and extra slots for a sample. */
   readonly duplicateSamples: number;
   readonly staleSamples: number;
+  /** Samples whose tokens or weight versions differ from the engines' ledgers. */
   readonly wrongProvenance: number;
   readonly requests: number;
   readonly failedRequests: number;
   readonly truncatedAnswers: number;
+  /** Requests that received the answer to another request. */
   readonly crossedAnswers: number;
   readonly doubledNonRepeatable: number;
+  /** Requests that ran although every attempt was reported as not run. */
   readonly falseNotRun: number;
   readonly workAfterLeave: number;
   readonly cutOffByPlannedStop: number;
   readonly trainerIdleFraction: number;
+  /** Age of the oldest segment of each sample at its receipt, in ms. */
   readonly stalenessMs: Quantiles;
 }
 
-/** Three points of a distribution. */
+/** Median, 99th percentile and maximum of a distribution. */
 export interface Quantiles {
   readonly p50: number;
   readonly p99: number;
   readonly max: number;
 }
 
-type Kind<K extends ledgers.LedgerEntry["kind"]> = Extract<
+type EntryOfKind<K extends ledgers.LedgerEntry["kind"]> = Extract<
   ledgers.LedgerEntry,
   { readonly kind: K }
 >;
 
-function selectKind<K extends ledgers.LedgerEntry["kind"]>(
+function selectEntries<K extends ledgers.LedgerEntry["kind"]>(
   entries: readonly ledgers.LedgerEntry[],
   kind: K,
-): readonly Kind<K>[] {
-  return entries.filter((entry): entry is Kind<K> => entry.kind === kind);
+): readonly EntryOfKind<K>[] {
+  return entries.filter((entry): entry is EntryOfKind<K> =>
+    entry.kind === kind
+  );
 }
 
 /**
- * Gives three points of a distribution.
+ * Computes quantiles, rounded to integers.
  *
- * @param values The values.
- * @returns Median, 99th percentile and maximum; zeros when there are none.
+ * @param values The values, in any order.
+ * @returns The quantiles; all 0 if there are no values.
  */
 export function computeQuantiles(values: readonly number[]): Quantiles {
   const sorted = [...values].sort((a, b) => a - b);
@@ -104,7 +111,7 @@
   return extra.reduce((sum, count) => sum + count, 0);
 }
 
-function getToldVersion(
+function getReportedVersion(
   sample: ledgers.SampleEntry,
   position: number,
 ): number | undefined {
@@ -113,10 +120,10 @@
   )?.weightVersion;
 }
 
-function hasTrueProvenance(
+function hasCorrectProvenance(
   sample: ledgers.SampleEntry,
   index: tokenIndexes.TokenIndex,
-  options: JudgeOptions,
+  options: VerificationOptions,
 ): boolean {
   const length = answerLengths.getAnswerLength(
     sample.prompt,
@@ -129,7 +136,7 @@
     return segment !== undefined && segment.prompt === sample.prompt &&
       segment.model === sample.model &&
       token - segment.firstToken + segment.firstPosition === position &&
-      segment.weightVersion === getToldVersion(sample, position);
+      segment.weightVersion === getReportedVersion(sample, position);
   });
 }
 
@@ -147,7 +154,9 @@
   index: tokenIndexes.TokenIndex,
 ): number {
   return sample.atMs -
-    Math.min(...listSegments(sample, index).map((segment) => segment.atMs));
+    Math.min(
+      ...listSegments(sample, index).map((segment) => segment.atMs),
+    );
 }
 
 function isStale(
@@ -175,7 +184,7 @@
 function isTruncated(
   call: ledgers.CallEntry,
   index: tokenIndexes.TokenIndex,
-  options: JudgeOptions,
+  options: VerificationOptions,
 ): boolean {
   if (!call.isAnswered) return false;
   if (!call.isWhole) return true;
@@ -208,22 +217,22 @@
   runs: ReadonlyMap<string, number>,
 ): boolean {
   if (call.operation === "completion") return false;
-  const mayHaveRun = call.tries.filter((item) =>
+  const possibleRuns = call.tries.filter((item) =>
     item.outcome !== "notRun" && item.outcome !== "refused" &&
     item.outcome !== "notSent"
   );
-  return mayHaveRun.length === 0 && (runs.get(call.callId) ?? 0) > 0;
+  return possibleRuns.length === 0 && (runs.get(call.callId) ?? 0) > 0;
 }
 
 function countWorkAfterLeave(entries: readonly ledgers.LedgerEntry[]): number {
-  const leaves = selectKind(entries, "event").filter((entry) =>
+  const leaves = selectEntries(entries, "event").filter((entry) =>
     entry.event === "leave"
   );
-  const segments = selectKind(entries, "segment").filter((segment) =>
+  const segments = selectEntries(entries, "segment").filter((segment) =>
     segment.isFirst
   );
   const work = [
-    ...selectKind(entries, "run").map((run) => ({
+    ...selectEntries(entries, "run").map((run) => ({
       target: run.server,
       atMs: run.atMs,
     })),
@@ -243,18 +252,18 @@
 }
 
 function countCutOff(entries: readonly ledgers.LedgerEntry[]): number {
-  const events = selectKind(entries, "event");
-  const tries = selectKind(entries, "call").flatMap((call) => call.tries);
+  const events = selectEntries(entries, "event");
+  const tries = selectEntries(entries, "call").flatMap((call) => call.tries);
   return events.filter((event) => event.event === "planStop").reduce(
-    (sum, begin) => {
+    (sum, stopEvent) => {
       const ended = events.find((event) =>
-        event.event === "stopped" && event.target === begin.target
+        event.event === "stopped" && event.target === stopEvent.target
       );
       const untilMs = (ended?.atMs ?? Number.POSITIVE_INFINITY) + 1_000;
       const cut = tries.filter((item) =>
-        item.box === begin.target &&
+        item.box === stopEvent.target &&
         (item.outcome === "broken" || item.outcome === "notSent") &&
-        item.endedMs >= begin.atMs && item.sentMs <= untilMs
+        item.endedMs >= stopEvent.atMs && item.sentMs <= untilMs
       );
       return sum + cut.length;
     },
@@ -269,22 +278,22 @@
 }
 
 /**
- * Judges a run by the ledgers of stand-ins, trainers and callers.
+ * Verifies a run by the ledgers of engines, plain servers, trainers and callers.
  *
- * @param entries All entries.
- * @param options What the judge must know besides.
- * @returns Violations and figures.
+ * @param entries Entries of all ledgers.
+ * @param options Settings of the run.
+ * @returns Violations and statistics of the run.
  */
-export function judgeLedgers(
+export function verifyLedgers(
   entries: readonly ledgers.LedgerEntry[],
-  options: JudgeOptions,
-): Verdict {
-  const index = tokenIndexes.buildTokenIndex(selectKind(entries, "segment"));
-  const received = selectKind(entries, "sample");
+  options: VerificationOptions,
+): LedgerReport {
+  const index = tokenIndexes.buildTokenIndex(selectEntries(entries, "segment"));
+  const received = selectEntries(entries, "sample");
   const samples = selectFirstReceived(received);
-  const steps = selectKind(entries, "step");
-  const calls = selectKind(entries, "call");
-  const runs = countRuns(selectKind(entries, "run"));
+  const steps = selectEntries(entries, "step");
+  const calls = selectEntries(entries, "call");
+  const runs = countRuns(selectEntries(entries, "run"));
   const syncs = calls.filter((call) => call.operation === "sync");
   return {
     steps: steps.length,
@@ -296,7 +305,7 @@
     duplicateSamples: countDuplicates(received),
     staleSamples: samples.filter((sample) => isStale(sample, index)).length,
     wrongProvenance:
-      samples.filter((sample) => !hasTrueProvenance(sample, index, options))
+      samples.filter((sample) => !hasCorrectProvenance(sample, index, options))
         .length,
     requests: calls.length,
     failedRequests: calls.filter((call) => !call.isAnswered).length,
@@ -315,7 +324,7 @@
   };
 }
 
-/** Counts that must be 0. */
+/** Names of the counts that must be 0. */
 export const FAULT_COUNTS = [
   "missingSamples",
   "duplicateSamples",
@@ -328,4 +337,4 @@
   "falseNotRun",
   "workAfterLeave",
   "cutOffByPlannedStop",
-] as const satisfies readonly (keyof Verdict)[];
+] as const satisfies readonly (keyof LedgerReport)[];
--- a/tools/demo/judge_test.ts
+++ b/tools/demo/verify_ledgers_test.ts
@@ -9,17 +9,17 @@
 import * as engineCores from "../stand_ins/engine_core.ts";
 import * as jsonServers from "../stand_ins/json_server.ts";
 import * as ledgers from "../stand_ins/ledger.ts";
-import * as judges from "./judge.ts";
+import * as ledgerVerification from "./verify_ledgers.ts";
 
 const LENGTHS = { median: 6, sigma: 0.3 };
 const OPTIONS = { lengths: LENGTHS, sampleTokens: 32, completionTokens: 32 };
 const ADDRESS = "127.0.5.1";
 const PORT = 8190;
 
-/** Has an engine generate one sample and judges what the trainer received. */
-async function judgeEngine(
+/** Generates one sample on an engine and verifies it against its ledger. */
+async function verifyEngine(
   misbehaviour: engineCores.Misbehaviour,
-): Promise<judges.Verdict> {
+): Promise<ledgerVerification.LedgerReport> {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), "hoistscale-judge-"));
   const ledger = new ledgers.LedgerWriter(path.join(folder, "engine.jsonl"));
   const core = new engineCores.EngineCore({
@@ -79,7 +79,7 @@
   server.closeAllConnections();
   const entries = ledgers.readLedgers(folder);
   fs.rmSync(folder, { recursive: true });
-  return judges.judgeLedgers(
+  return ledgerVerification.verifyLedgers(
     [...entries, createSampleEntry({ tokens, spans })],
     OPTIONS,
   );
@@ -136,9 +136,9 @@
   atMs: 9_000,
 };
 
-describe("judge", () => {
-  it("finds nothing wrong with an honest engine", async () => {
-    const verdict = await judgeEngine("none");
+describe("verifyLedgers", () => {
+  it("reports no violation for a correct engine", async () => {
+    const verdict = await verifyEngine("none");
     chai.expect(verdict).to.include({
       samples: 1,
       wrongProvenance: 0,
@@ -149,14 +149,14 @@
   for (
     const misbehaviour of ["falseVersion", "dropToken", "swapPrompt"] as const
   ) {
-    it(`catches an engine that does ${misbehaviour}`, async () => {
-      chai.expect(await judgeEngine(misbehaviour)).to.include({
+    it(`reports wrong provenance for an engine with ${misbehaviour}`, async () => {
+      chai.expect(await verifyEngine(misbehaviour)).to.include({
         wrongProvenance: 1,
       });
     });
   }
 
-  it("counts samples that are missing, doubled or stale", () => {
+  it("counts missing, duplicate and stale samples", () => {
     const segment: ledgers.SegmentEntry = {
       kind: "segment",
       engine: "e",
@@ -185,7 +185,7 @@
       sampleId: "b",
       slot: 1,
     });
-    const verdict = judges.judgeLedgers([
+    const verdict = ledgerVerification.verifyLedgers([
       segment,
       step,
       stale,
@@ -199,7 +199,7 @@
     });
   });
 
-  it("counts calls that failed, were cut short, crossed, doubled or falsely called not run", () => {
+  it("counts failed, truncated, crossed, doubled and falsely not-run calls", () => {
     const calls = [
       createCall({ isAnswered: false }),
       createCall({ isWhole: false }),
@@ -210,7 +210,7 @@
         isAnswered: false,
       }),
     ];
-    const verdict = judges.judgeLedgers(
+    const verdict = ledgerVerification.verifyLedgers(
       [...calls, SYNC_RUN, SYNC_RUN],
       OPTIONS,
     );
@@ -223,8 +223,8 @@
     });
   });
 
-  it("counts work after a leave and requests cut off by a planned stop", () => {
-    const verdict = judges.judgeLedgers([
+  it("counts work on leaving servers and requests cut off by planned stops", () => {
+    const verdict = ledgerVerification.verifyLedgers([
       { kind: "event", event: "leave", target: "s", atMs: 5_000 },
       SYNC_RUN,
       { kind: "event", event: "planStop", target: "b", atMs: 100 },
