--- /dev/null
+++ b/tools/soak/fault_plan.ts
@@ -0,0 +1,169 @@
+import * as uniform from "pure-rand/distribution/uniformInt";
+import * as generator from "pure-rand/generator/xoroshiro128plus";
+
+/** Selects the store box that a fault hits, when the fault is applied. */
+export type StoreSelector =
+  | { readonly kind: "index"; readonly index: number }
+  | { readonly kind: "leader" }
+  /** A store box that is not a voter. */
+  | { readonly kind: "spare" }
+  /** The store box whose disk was created last. */
+  | { readonly kind: "newest" }
+  /** The store box whose disk was created first. */
+  | { readonly kind: "oldest" };
+
+/** A fault or a planned operation that is applied to the fleet. */
+export type Fault =
+  /** Kills a store box, deletes its disk and starts it after `downMs`. */
+  | {
+    readonly kind: "loseDisk";
+    readonly store: StoreSelector;
+    readonly downMs: number;
+  }
+  /** Kills a store box and starts it with its disk after `downMs`. */
+  | {
+    readonly kind: "restart";
+    readonly store: StoreSelector;
+    readonly downMs: number;
+  }
+  /** Restarts a store box `afterMs` after a snapshot transfer to it began. */
+  | {
+    readonly kind: "restartInTransfer";
+    readonly store: StoreSelector;
+    readonly afterMs: number;
+    readonly downMs: number;
+  }
+  /** Suspends the process of a store box for `pauseMs`. */
+  | {
+    readonly kind: "pause";
+    readonly store: StoreSelector;
+    readonly pauseMs: number;
+  }
+  /** Removes a store box; an empty one at another address follows it. */
+  | {
+    readonly kind: "replace";
+    readonly store: StoreSelector;
+    readonly afterMs: number;
+  }
+  /** Retires a store box and removes it once that has completed. */
+  | { readonly kind: "retire"; readonly store: StoreSelector }
+  /** Adds an empty store box. */
+  | { readonly kind: "addStore" }
+  /** Restarts all entry boxes gracefully, one at a time. */
+  | { readonly kind: "rollEntries" }
+  /** Kills all boxes at once and deletes the disk of one store box. */
+  | {
+    readonly kind: "loseAll";
+    readonly store: StoreSelector;
+    readonly downMs: number;
+  };
+
+/** A fault and when to apply it, in ms since the plan began. */
+export interface PlannedFault {
+  readonly atMs: number;
+  readonly fault: Fault;
+}
+
+/** The faults of a scenario in ascending order of their times. */
+export type FaultPlan = readonly PlannedFault[];
+
+const FIRST_LOSS_MS = 1_500;
+const STORE_COUNT = 4;
+
+/** Plan of seed 0: successive disk losses, the last with a total power loss. */
+export const SERIES_PLAN: FaultPlan = [
+  ...[0, 1, 2].map((index): PlannedFault => ({
+    atMs: FIRST_LOSS_MS + index * 7_700,
+    fault: { kind: "loseDisk", store: { kind: "index", index }, downMs: 1_000 },
+  })),
+  {
+    atMs: 24_600,
+    fault: { kind: "pause", store: { kind: "leader" }, pauseMs: 3_800 },
+  },
+  {
+    atMs: 34_000,
+    fault: { kind: "loseAll", store: { kind: "oldest" }, downMs: 1_000 },
+  },
+];
+
+/** Seeded pseudo-random number generator. */
+class RandomSource {
+  readonly #random: ReturnType<typeof generator.xoroshiro128plus>;
+
+  constructor(seed: number) {
+    this.#random = generator.xoroshiro128plus(seed);
+  }
+
+  /** Draws an integer from a range; both bounds are inclusive. */
+  drawInteger(from: number, to: number): number {
+    return uniform.uniformInt(this.#random, from, to);
+  }
+
+  pick<T>(values: readonly T[]): T {
+    return values[this.drawInteger(0, values.length - 1)] as T;
+  }
+}
+
+function pickStore(random: RandomSource): StoreSelector {
+  const index = random.drawInteger(0, STORE_COUNT - 1);
+  return random.pick<StoreSelector>([
+    { kind: "index", index },
+    { kind: "index", index },
+    { kind: "leader" },
+    { kind: "spare" },
+    { kind: "oldest" },
+  ]);
+}
+
+/** Draws a fault that loses the disk of a store box. */
+function drawDiskLoss(random: RandomSource): Fault {
+  const store = pickStore(random);
+  const kind = random.pick(["loseDisk", "loseDisk", "replace", "retire"]);
+  if (kind === "replace") return { kind, store, afterMs: 2_000 };
+  if (kind === "retire") return { kind, store };
+  return { kind: "loseDisk", store, downMs: random.drawInteger(300, 4_000) };
+}
+
+/** Draws a fault that loses no disk. */
+function drawOtherFault(random: RandomSource): Fault {
+  const store = random.pick<StoreSelector>([
+    { kind: "newest" },
+    pickStore(random),
+  ]);
+  return random.pick<Fault>([
+    { kind: "restart", store, downMs: random.drawInteger(200, 2_000) },
+    { kind: "restart", store, downMs: random.drawInteger(200, 2_000) },
+    { kind: "pause", store, pauseMs: random.drawInteger(500, 4_000) },
+    { kind: "rollEntries" },
+    { kind: "addStore" },
+  ]);
+}
+
+/**
+ * Creates the fault plan of a scenario.
+ *
+ * @param seed Seed of the generator; 0 selects {@link SERIES_PLAN}.
+ * @returns The plan; equal seeds give equal plans.
+ */
+export function createPlan(seed: number): FaultPlan {
+  if (seed === 0) return SERIES_PLAN;
+  const random = new RandomSource(seed);
+  const plan: PlannedFault[] = [];
+  let atMs = FIRST_LOSS_MS;
+  const lossCount = random.drawInteger(2, 4);
+  for (let count = 0; count < lossCount; count += 1) {
+    plan.push({ atMs, fault: drawDiskLoss(random) });
+    if (random.drawInteger(0, 1) === 1) {
+      const delayMs = random.drawInteger(500, 5_000);
+      plan.push({ atMs: atMs + delayMs, fault: drawOtherFault(random) });
+    }
+    atMs += random.drawInteger(6_500, 9_000);
+  }
+  const store = random.pick<StoreSelector>([
+    { kind: "oldest" },
+    { kind: "leader" },
+    pickStore(random),
+  ]);
+  plan.push({ atMs, fault: { kind: "loseAll", store, downMs: 1_000 } });
+  return plan;
+}
--- a/tools/soak/run_soak.ts
+++ b/tools/soak/run_soak.ts
@@ -1,7 +1,8 @@
 /**
- * Plays days of faults on real processes: store and entry boxes on loopback
- * addresses, under a load of submissions. A day is good if a store leads and
- * all that was accepted can be read within a bound after the last restart.
+ * Runs fault scenarios ("days" in the options) on real processes: store and
+ * entry boxes on loopback addresses, under a load of submissions. A scenario
+ * passes if no process exits unexpectedly and, within a bound after the last
+ * restart, a leader is elected and all accepted submissions can be read.
  *
  * @example `npm run soak -- --seeds 3 --seed 1`
  * @module
@@ -10,7 +11,7 @@
 import * as os from "node:os";
 import * as path from "node:path";
 import yargs from "yargs";
-import * as soakDays from "./soak_day.ts";
+import * as scenarios from "./soak_scenario.ts";
 
 const options = await yargs(process.argv.slice(2))
   .scriptName("soak")
@@ -82,33 +83,33 @@
   .help()
   .parseAsync();
 
-// An exit ends the boxes too; a signal alone would leave them running.
+// The exit handlers kill the boxes; a default signal exit would skip them.
 for (const signal of ["SIGINT", "SIGTERM", "SIGHUP"]) {
   process.once(signal, () => process.exit(1));
 }
 
-let bad = 0;
+let failedCount = 0;
 for (let seed = options.seed; seed < options.seed + options.seeds; seed += 1) {
   const base = options.folder ?? path.join(os.tmpdir(), "hoistscale-soak");
   const folder = path.join(base, `seed-${seed}-${options.net}`);
   fs.rmSync(folder, { recursive: true, force: true });
-  const report = await soakDays.runDay({
+  const report = await scenarios.runScenario({
     seed,
     folder,
-    net: options.net,
+    firstSubnet: options.net,
     planFile: options.plan,
-    share: options.share,
-    warmMs: options.warmS * 1_000,
-    everyMs: options.everyMs,
+    cpuShare: options.share,
+    warmUpMs: options.warmS * 1_000,
+    intervalMs: options.everyMs,
     eventBytes: options.eventBytes,
     catchUpMs: options.catchUpMs,
     startSpreadMs: options.spreadMs,
-    slowStartMs: options.slowStartMs,
-    boundMs: options.boundS * 1_000,
+    maxStartDelayMs: options.slowStartMs,
+    recoveryTimeoutMs: options.boundS * 1_000,
   });
   console.log(JSON.stringify(report));
-  if (!report.isGood) bad += 1;
+  if (!report.isGood) failedCount += 1;
   else if (!options.keep) fs.rmSync(folder, { recursive: true, force: true });
 }
-console.log(`soak: ${options.seeds} days, ${bad} bad`);
-process.exit(bad === 0 ? 0 : 1);
+console.log(`soak: ${options.seeds} days, ${failedCount} bad`);
+process.exit(failedCount === 0 ? 0 : 1);
--- a/tools/soak/soak_client.ts
+++ b/tools/soak/soak_client.ts
@@ -2,15 +2,15 @@
 import * as sleeps from "../stand_ins/sleep.ts";
 import * as layouts from "./fleet_layout.ts";
 
-/** Host of every route of the configuration. */
-export const HOST = "a.example";
+/** Host of all routes in the configuration. */
+export const ROUTE_HOST = "a.example";
 
 const CALL_TIMEOUT_MS = 2_500;
-const RETRY_MS = 200;
-const MAX_PAGE_BYTES = 4 * 1024 * 1024;
+const RETRY_DELAY_MS = 200;
+const MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
-/** A call to any entry box. */
-export interface EntryCall {
+/** A request that any entry box can serve; `kind` selects the port. */
+export interface EntryRequest {
   readonly kind: "caller" | "control";
   readonly method: string;
   readonly path: string;
@@ -18,51 +18,53 @@
   readonly json?: unknown;
 }
 
-/** Calls entry boxes in turn, each time on a new connection. */
+/** Sends requests to the entry boxes in rotation, on fresh connections. */
 export class SoakClient {
   readonly #entries: readonly layouts.SoakBox[];
-  #turn = 0;
+  #requestCount = 0;
 
   constructor(entries: readonly layouts.SoakBox[]) {
     this.#entries = entries;
   }
 
-  /** Asks the next entry box; undefined where no whole answer came. */
-  async ask(call: EntryCall): Promise<httpClient.JsonAnswer | undefined> {
-    const entry = this.#entries[this.#turn % this.#entries.length];
-    this.#turn += 1;
+  /** Sends a request to the next entry box; undefined without a full answer. */
+  async send(
+    request: EntryRequest,
+  ): Promise<httpClient.JsonAnswer | undefined> {
+    const entry = this.#entries[this.#requestCount % this.#entries.length];
+    this.#requestCount += 1;
     const answer = await httpClient.sendJson({
-      baseUrl: `http://${entry?.address}:${layouts.PORTS[call.kind]}`,
-      method: call.method,
-      path: call.path,
-      headers: { host: HOST, ...call.headers },
-      ...(call.json === undefined ? {} : { json: call.json }),
+      baseUrl: `http://${entry?.address}:${layouts.PORTS[request.kind]}`,
+      method: request.method,
+      path: request.path,
+      headers: { host: ROUTE_HOST, ...request.headers },
+      ...(request.json === undefined ? {} : { json: request.json }),
       timeoutMs: CALL_TIMEOUT_MS,
-      maxAnswerBytes: MAX_PAGE_BYTES,
+      maxAnswerBytes: MAX_RESPONSE_BYTES,
       isFreshConnection: true,
     });
     return answer.kind === "ok" ? answer.value : undefined;
   }
 
   /**
-   * Asks again and again, at one box after the other.
+   * Retries a request on one entry box after another until an expected status.
    *
-   * @param call The call, which may be repeated.
-   * @param endMs Wall clock after which it is given up, in ms.
-   * @param statuses Statuses that settle it.
-   * @returns The answer, or undefined when the time is over.
+   * @param request An idempotent request.
+   * @param deadlineMs Wall-clock time after which no retry begins, in ms.
+   * @param statuses Statuses that end the retries.
+   * @returns The answer, or undefined after the deadline.
    */
-  async askUntil(
-    call: EntryCall,
-    endMs: number,
+  async sendUntil(
+    request: EntryRequest,
+    deadlineMs: number,
     statuses: readonly number[],
   ): Promise<httpClient.JsonAnswer | undefined> {
-    while (Date.now() < endMs) {
-      const answer = await this.ask(call);
+    while (Date.now() < deadlineMs) {
+      const answer = await this.send(request);
       if (answer !== undefined && statuses.includes(answer.status)) {
         return answer;
       }
-      await sleeps.sleep(RETRY_MS);
+      await sleeps.sleep(RETRY_DELAY_MS);
     }
     return undefined;
   }
--- /dev/null
+++ b/tools/soak/soak_scenario.ts
@@ -0,0 +1,217 @@
+import * as fs from "node:fs";
+import * as path from "node:path";
+import * as sleeps from "../stand_ins/sleep.ts";
+import * as faultPlans from "./fault_plan.ts";
+import * as faultInjectors from "./fault_injector.ts";
+import * as standInServers from "./stand_in_servers.ts";
+import * as throttles from "./cpu_throttle.ts";
+import * as clients from "./soak_client.ts";
+import * as fleets from "./soak_fleet.ts";
+import * as operators from "./soak_operator.ts";
+import * as trainers from "./soak_trainer.ts";
+import * as storeLogReaders from "./store_log_reader.ts";
+
+/** Seed, load, timing and limits of a scenario. */
+export interface SoakScenarioOptions {
+  readonly seed: number;
+  /** Folder of settings, disks, logs and `report.json`. */
+  readonly folder: string;
+  /** Third octet of the first of four consecutive /24 subnets. */
+  readonly firstSubnet: number;
+  /** JSON file with a fault plan; undefined derives the plan from the seed. */
+  readonly planFile: string | undefined;
+  /** Share of a core that each box may use, from 0 to 1. */
+  readonly cpuShare: number;
+  /** Duration of the traffic before the fault plan begins, in ms. */
+  readonly warmUpMs: number;
+  /** Time between submissions, in ms. */
+  readonly intervalMs: number;
+  readonly eventBytes: number;
+  /** Least time from the start of an empty box to the next disk loss, in ms. */
+  readonly catchUpMs: number;
+  /** Time over which the boxes start after a total power loss, in ms. */
+  readonly startSpreadMs: number;
+  /** Time from the last power loss until everything must be readable, in ms. */
+  readonly recoveryTimeoutMs: number;
+  /** Longest suspension of a new process before it runs, in ms. */
+  readonly maxStartDelayMs: number;
+}
+
+/** Admission of a box to the replica group after a start with an empty disk. */
+export interface Admission {
+  readonly box: string;
+  /** Time from start to admission, in ms; undefined without a log line. */
+  readonly tookMs: number | undefined;
+  /** Log index of the admission; undefined without a log line. */
+  readonly index: number | undefined;
+}
+
+/** Outcome of a scenario, written to `report.json`. */
+export interface SoakReport {
+  readonly seed: number;
+  readonly plan: faultPlans.FaultPlan;
+  readonly isGood: boolean;
+  /** Time from the restart of all boxes to a leader, in ms. */
+  readonly leaderMs: number | undefined;
+  readonly admissions: readonly Admission[];
+  /** Processes that exited without a request. */
+  readonly ended: readonly string[];
+  readonly verdict: trainers.TrainerVerdict;
+}
+
+const SETUP_TIMEOUT_MS = 60_000;
+const POLL_INTERVAL_MS = 100;
+const ENGINE_COUNT = 12;
+const SLOTS_PER_ENGINE = 24;
+const LOAD = { groups: 39, itemsPerGroup: 4, bodyBytes: 1_024, desired: 30 };
+const EVENT_STREAM = { eventsPerItem: 20, maxRunMs: 5_000 };
+
+/** Runs one scenario on its own fleet. */
+class SoakScenario {
+  readonly #options: SoakScenarioOptions;
+  readonly #plan: faultPlans.FaultPlan;
+  readonly #throttle: throttles.CpuThrottle;
+  readonly #fleet: fleets.SoakFleet;
+  readonly #standIns: standInServers.StandInServers;
+  readonly #operator: operators.SoakOperator;
+  readonly #trainer: trainers.SoakTrainer;
+  readonly #storeLogs: storeLogReaders.StoreLogReader;
+  readonly #injector: faultInjectors.FaultInjector;
+  readonly #startMs = Date.now();
+
+  constructor(options: SoakScenarioOptions) {
+    const {
+      seed,
+      folder,
+      firstSubnet,
+      planFile,
+      cpuShare,
+      intervalMs,
+    } = options;
+    this.#options = options;
+    this.#plan = planFile === undefined
+      ? faultPlans.createPlan(seed)
+      : JSON.parse(fs.readFileSync(planFile, "utf8"));
+    this.#throttle = new throttles.CpuThrottle(cpuShare);
+    this.#fleet = new fleets.SoakFleet({
+      ...options,
+      throttle: this.#throttle,
+    });
+    const { entries } = this.#fleet;
+    this.#standIns = new standInServers.StandInServers({
+      ...EVENT_STREAM,
+      eventBytes: options.eventBytes,
+      firstSubnet,
+      engines: ENGINE_COUNT,
+      slots: SLOTS_PER_ENGINE,
+      entries,
+    });
+    const client = new clients.SoakClient(entries);
+    this.#operator = new operators.SoakOperator(client);
+    this.#trainer = new trainers.SoakTrainer(client, {
+      ...LOAD,
+      intervalMs,
+    });
+    this.#storeLogs = new storeLogReaders.StoreLogReader(folder);
+    this.#injector = new faultInjectors.FaultInjector({
+      ...options,
+      fleet: this.#fleet,
+      operator: this.#operator,
+      storeLogs: this.#storeLogs,
+      printProgress: (message) => this.#printProgress(message),
+    });
+  }
+
+  async run(): Promise<SoakReport> {
+    try {
+      await this.#setUp();
+      void this.#trainer.run();
+      await sleeps.sleep(this.#options.warmUpMs);
+      await this.#injector.run(this.#plan);
+      this.#trainer.stop();
+      return await this.#createReport();
+    } finally {
+      this.#trainer.stop();
+      this.#standIns.stop();
+      this.#throttle.stop();
+      await this.#fleet.killAll();
+    }
+  }
+
+  async #setUp(): Promise<void> {
+    for (const box of this.#fleet.listBoxes()) this.#fleet.start(box);
+    await this.#standIns.start();
+    const isAcknowledged = await this.#operator.putConfiguration(
+      Date.now() + SETUP_TIMEOUT_MS,
+    );
+    const leader = await this.#awaitLeader(0, Date.now() + SETUP_TIMEOUT_MS);
+    if (!isAcknowledged || leader === undefined) {
+      throw new Error(
+        "Cannot start the fleet: no leader or configuration not acknowledged",
+      );
+    }
+    this.#fleet.endFirstStart();
+    this.#printProgress("traffic begins");
+  }
+
+  async #createReport(): Promise<SoakReport> {
+    const powerRestoredMs = this.#injector.getPowerRestoredMs();
+    const deadlineMs = powerRestoredMs + this.#options.recoveryTimeoutMs;
+    const leaderAtMs = await this.#awaitLeader(powerRestoredMs, deadlineMs);
+    const verdict = await this.#trainer.verifyResults(deadlineMs);
+    const ended = this.#fleet.listUnexpectedExits();
+    const report: SoakReport = {
+      seed: this.#options.seed,
+      plan: this.#plan,
+      isGood: leaderAtMs !== undefined && verdict.faults.length === 0 &&
+        ended.length === 0,
+      ended,
+      leaderMs: leaderAtMs === undefined
+        ? undefined
+        : leaderAtMs - powerRestoredMs,
+      admissions: this.#listAdmissions(),
+      verdict,
+    };
+    const file = path.join(this.#options.folder, "report.json");
+    fs.writeFileSync(file, JSON.stringify(report, undefined, 2));
+    return report;
+  }
+
+  /** Waits for a leader; returns the wall-clock time in ms, if one appears. */
+  async #awaitLeader(
+    sinceMs: number,
+    deadlineMs: number,
+  ): Promise<number | undefined> {
+    while (Date.now() < deadlineMs) {
+      const stores = this.#fleet.listStores();
+      if (this.#storeLogs.findLeader(stores, sinceMs) !== undefined) {
+        return Date.now();
+      }
+      await sleeps.sleep(POLL_INTERVAL_MS);
+    }
+    return undefined;
+  }
+
+  #listAdmissions(): readonly Admission[] {
+    return this.#injector.emptyDiskStarts.map(({ box, startMs }) => {
+      const line = this.#storeLogs.findAdmission(box, startMs);
+      return {
+        box: box.name,
+        tookMs: line === undefined ? undefined : line.atMs - startMs,
+        index: line === undefined
+          ? undefined
+          : Number(line.fields.get("index")),
+      };
+    });
+  }
+
+  #printProgress(message: string): void {
+    const seconds = ((Date.now() - this.#startMs) / 1_000).toFixed(1);
+    console.log(`soak ${this.#options.seed}: ${seconds} s: ${message}`);
+  }
+}
+
+/** Runs a scenario and writes its report to `report.json` in the folder. */
+export function runScenario(options: SoakScenarioOptions): Promise<SoakReport> {
+  return new SoakScenario(options).run();
+}
--- a/tools/soak/store_watch.ts
+++ b/tools/soak/store_log_reader.ts
@@ -2,7 +2,7 @@
 import * as path from "node:path";
 import type * as layouts from "./fleet_layout.ts";
 
-/** A line of a box's log. */
+/** A parsed line of a box's log; `atMs` is wall-clock time. */
 export interface LogLine {
   readonly atMs: number;
   readonly event: string;
@@ -19,16 +19,16 @@
   return { atMs: Date.parse(fields.get("time") ?? ""), event, fields };
 }
 
-/** Reads what the store boxes write about their replicas of the stores. */
-export class StoreWatch {
+/** Reads the log lines of the store boxes about their `stores` replicas. */
+export class StoreLogReader {
   readonly #folder: string;
 
   constructor(folder: string) {
     this.#folder = folder;
   }
 
-  /** Lines of a box about the stores since a time of the wall clock. */
-  listLines(box: layouts.SoakBox, sinceMs: number): readonly LogLine[] {
+  /** Reads the lines about the `stores` group since a wall-clock time. */
+  readLines(box: layouts.SoakBox, sinceMs: number): readonly LogLine[] {
     const file = path.join(this.#folder, `${box.name}.log`);
     if (!fs.existsSync(file)) return [];
     return fs.readFileSync(file, "utf8").split("\n")
@@ -37,51 +37,51 @@
       .filter((line) => line.atMs >= sinceMs);
   }
 
-  /** The box that has authority, if its own last line about it says so. */
+  /** Finds a box whose last authority line reports that it has authority. */
   findLeader(
     boxes: readonly layouts.SoakBox[],
     sinceMs: number,
   ): layouts.SoakBox | undefined {
     return boxes.find((box) =>
-      this.#findLast(box, "replica.authority", sinceMs)
+      this.#findLastFields(box, "replica.authority", sinceMs)
         ?.get("hasAuthority") === "true"
     );
   }
 
-  /** The voters' addresses, as the newest line about them tells. */
+  /** Lists the voters' addresses in the newest line about voters of any box. */
   listVoters(boxes: readonly layouts.SoakBox[]): readonly string[] {
-    const newest = boxes.flatMap((box) => this.listLines(box, 0))
+    const newest = boxes.flatMap((box) => this.readLines(box, 0))
       .filter((line) => line.event === "replica.voters")
       .toSorted((a, b) => a.atMs - b.atMs).at(-1);
     return (newest?.fields.get("voters") ?? "").split(",");
   }
 
-  /** The line of a box's admission after it was started, if there is one. */
+  /** Finds the first admission line of a box since its start. */
   findAdmission(box: layouts.SoakBox, startMs: number): LogLine | undefined {
-    return this.listLines(box, startMs)
+    return this.readLines(box, startMs)
       .find((line) => line.event === "replica.admitted");
   }
 
-  /** Whether a snapshot began to be sent to a box since a time. */
-  hasTransfer(
+  /** Whether a snapshot transfer to a box began since a wall-clock time. */
+  hasSnapshotTransfer(
     boxes: readonly layouts.SoakBox[],
-    to: layouts.SoakBox,
+    receiver: layouts.SoakBox,
     sinceMs: number,
   ): boolean {
     return boxes.some((box) =>
-      this.listLines(box, sinceMs).some((line) =>
+      this.readLines(box, sinceMs).some((line) =>
         line.event === "replica.snapshotSent" &&
-        line.fields.get("to") === to.address
+        line.fields.get("to") === receiver.address
       )
     );
   }
 
-  #findLast(
+  #findLastFields(
     box: layouts.SoakBox,
     event: string,
     sinceMs: number,
   ): ReadonlyMap<string, string> | undefined {
-    return this.listLines(box, sinceMs).findLast((line) => line.event === event)
+    return this.readLines(box, sinceMs).findLast((line) => line.event === event)
       ?.fields;
   }
 }
