--- a/tools/soak/fault_injector.ts
+++ b/tools/soak/fault_injector.ts
@@ -159,7 +159,7 @@
     await fleet.removeStore(box);
     await sleeps.sleep(afterMs);
     const replacement = fleet.addStore(box);
-    printProgress(`${replacement.name} replaces ${box.name}`);
+    printProgress(`${replacement.name} is added as the replacement`);
     this.#recordEmptyStart(replacement);
   }
 
--- a/tools/soak/soak_fleet.ts
+++ b/tools/soak/soak_fleet.ts
@@ -182,7 +182,7 @@
     const child = this.#processes.get(box.name);
     if (child === undefined) {
       throw new Error(
-        `Cannot find the process of ${box.name}: it was never started`,
+        `Cannot find the process of ${box.name}: it was not started or was removed`,
       );
     }
     return child;
