--- a/tools/soak/fault_injector.ts
+++ b/tools/soak/fault_injector.ts
@@ -254,7 +254,7 @@
     const stores = this.#options.fleet.listStores();
     const found = this.#findStore(selector, stores) ?? stores[0];
     if (found === undefined) {
-      throw new Error("Cannot select a store: none exist");
+      throw new Error("Cannot select a store: none left");
     }
     return found;
   }
