--- a/tools/bench/bench_load.ts
+++ b/tools/bench/bench_load.ts
@@ -1,7 +1,7 @@
 import * as admission from "../../src/admission/mod.ts";
 import * as clocks from "../../src/clock/mod.ts";
 import * as forwarding from "../../src/forwarding/mod.ts";
-import * as loadReplays from "../../src/fixtures/load_replay.ts";
+import * as loadReplays from "../../src/fixtures/load_simulation.ts";
 import * as serverFixtures from "../../src/fixtures/create_server.ts";
 
 const SEEDS = [1, 2, 3] as const;
@@ -9,7 +9,7 @@
 const WAITING_COUNTS = [10, 100, 500] as const;
 const ROUNDS = 2_000;
 const US_PER_MS = 1_000;
-const SLOTS = 6;
+const SLOTS_PER_SERVER = 6;
 
 /** A row of the table of load patterns. */
 interface LoadRow {
@@ -28,7 +28,7 @@
   weighed: boolean,
 ): Promise<LoadRow> {
   const outcomes = await Promise.all(
-    SEEDS.map((seed) => loadReplays.replayLoad(pattern, seed, weighed)),
+    SEEDS.map((seed) => loadReplays.simulateLoad(pattern, seed, weighed)),
   );
   const asked = sum(outcomes, "asked");
   return {
@@ -51,7 +51,7 @@
   return outcomes.reduce((total, outcome) => total + outcome[field], 0);
 }
 
-function measureUs(action: () => void): number {
+function measureMeanUs(action: () => void): number {
   const startMs = performance.now();
   for (let round = 0; round < ROUNDS; round += 1) action();
   return (performance.now() - startMs) * US_PER_MS / ROUNDS;
@@ -65,7 +65,7 @@
     (_, index) =>
       serverFixtures.createServer(`s${index}`, {
         service: "app",
-        slots: SLOTS,
+        slots: SLOTS_PER_SERVER,
       }),
   );
   const choice: forwarding.ServerChoiceOptions = {
@@ -77,26 +77,26 @@
     failureDomain: "d",
     draw: Math.random,
   };
-  return measureUs(() => forwarding.chooseServer(choice));
+  return measureMeanUs(() => forwarding.chooseServer(choice));
 }
 
 /** Time to let one request wait and to give one its turn, in us. */
-function measureTurn(count: number): number {
-  const line = new admission.WaitingLine();
+function measureQueueTurn(count: number): number {
+  const queue = new admission.AdmissionQueue();
   let nowMs = 0;
   function enterNext(): void {
     nowMs += 1;
-    line.enter({
+    queue.enqueue({
       id: `${nowMs}`,
       priority: nowMs % 3,
       targetAtMs: nowMs + 100,
-      giveUpAtMs: Number.POSITIVE_INFINITY,
+      deadlineAtMs: Number.POSITIVE_INFINITY,
     }, nowMs);
   }
   for (let index = 0; index < count; index += 1) enterNext();
-  return measureUs(() => {
-    line.noteFreed(nowMs);
-    line.takeNext(nowMs);
+  return measureMeanUs(() => {
+    queue.recordFreedSlot(nowMs);
+    queue.dequeue(nowMs);
     enterNext();
   });
 }
@@ -111,7 +111,7 @@
   console.table(rows);
   const costs = {
     choiceUs: SERVER_COUNTS.map((count) => [count, measureChoice(count)]),
-    turnUs: WAITING_COUNTS.map((count) => [count, measureTurn(count)]),
+    turnUs: WAITING_COUNTS.map((count) => [count, measureQueueTurn(count)]),
   };
   console.log(JSON.stringify({ bench: "load", rows, ...costs }));
 }
--- a/tools/soak/soak_client.ts
+++ b/tools/soak/soak_client.ts
@@ -30,7 +30,7 @@
   /** Sends a request to the next entry box; undefined without a full answer. */
   async send(
     request: EntryRequest,
-  ): Promise<httpClient.JsonAnswer | undefined> {
+  ): Promise<httpClient.JsonResponse | undefined> {
     const entry = this.#entries[this.#requestCount % this.#entries.length];
     this.#requestCount += 1;
     const answer = await httpClient.sendJson({
@@ -40,7 +40,7 @@
       headers: { host: ROUTE_HOST, ...request.headers },
       ...(request.json === undefined ? {} : { json: request.json }),
       timeoutMs: CALL_TIMEOUT_MS,
-      maxAnswerBytes: MAX_RESPONSE_BYTES,
+      maxResponseBytes: MAX_RESPONSE_BYTES,
       isFreshConnection: true,
     });
     return answer.kind === "ok" ? answer.value : undefined;
@@ -58,7 +58,7 @@
     request: EntryRequest,
     deadlineMs: number,
     statuses: readonly number[],
-  ): Promise<httpClient.JsonAnswer | undefined> {
+  ): Promise<httpClient.JsonResponse | undefined> {
     while (Date.now() < deadlineMs) {
       const answer = await this.send(request);
       if (answer !== undefined && statuses.includes(answer.status)) {
