--- a/tools/bench/bench_accounts.ts
+++ b/tools/bench/bench_accounts.ts
@@ -6,18 +6,18 @@
 import * as accounts from "../../src/client_account/mod.ts";
 import * as usages from "../../src/usage/mod.ts";
 
-const ACCOUNTS = [80, 100_000];
-const CHECKS = 200_000;
-const KEYS_AN_ACCOUNT = 2;
+const ACCOUNT_COUNTS = [80, 100_000];
+const CHECK_COUNT = 200_000;
+const KEYS_PER_ACCOUNT = 2;
 const US_PER_MS = 1_000;
 /** Boxes that tell totals, and accounts that each of them counted. */
-const TELLERS = [
+const USAGE_SIZES = [
   { boxes: 69, accounts: 4 },
   { boxes: 330, accounts: 40 },
   { boxes: 330, accounts: 400 },
 ];
 
-function toFigure(value: number): number {
+function trimFigure(value: number): number {
   return Math.round(value * 100) / 100;
 }
 
@@ -30,7 +30,7 @@
     Array.from({ length: count }, (_, account) => ({
       name: `account-${account}`,
       keySha256s: Array.from(
-        { length: KEYS_AN_ACCOUNT },
+        { length: KEYS_PER_ACCOUNT },
         (_key, key) => accounts.hashToken(createKey(account, key)),
       ),
       priority: 1,
@@ -39,11 +39,11 @@
 }
 
 /** Measures the check of known and unknown keys by turns. */
-function measureCheck(count: number): object {
+function measureKeyChecks(count: number): object {
   const known = createAccounts(count);
   const keys = Array.from(
-    { length: CHECKS },
-    (_, at) => createKey(at % (2 * count), at % KEYS_AN_ACCOUNT),
+    { length: CHECK_COUNT },
+    (_, index) => createKey(index % (2 * count), index % KEYS_PER_ACCOUNT),
   );
   const startMs = performance.now();
   const found = keys.filter((key) =>
@@ -52,21 +52,21 @@
   const tookMs = performance.now() - startMs;
   return {
     accounts: count,
-    checkUs: toFigure(tookMs * US_PER_MS / CHECKS),
+    checkUs: trimFigure(tookMs * US_PER_MS / CHECK_COUNT),
     found: found.length,
   };
 }
 
 /** Measures the totals of one window of all boxes, told twice, and summed. */
-function measureUsage(
-  { boxes, accounts: counted }: (typeof TELLERS)[number],
+function measureUsageTotals(
+  { boxes, accounts: accountsPerBox }: (typeof USAGE_SIZES)[number],
 ): object {
   const totals = new usages.UsageTotals();
   const startMs = performance.now();
   for (const count of [1, 2]) {
     for (let box = 0; box < boxes; box += 1) {
-      for (let account = 0; account < counted; account += 1) {
-        const name = `account-${(box * counted + account) % 100_000}`;
+      for (let account = 0; account < accountsPerBox; account += 1) {
+        const name = `account-${(box * accountsPerBox + account) % 100_000}`;
         totals.merge(`${box} 1`, { window: 1, account: name, count });
       }
     }
@@ -75,17 +75,19 @@
   const sum = totals.sum(1);
   return {
     boxes,
-    totals: boxes * counted,
-    mergeUs: toFigure((mergedMs - startMs) * US_PER_MS / (2 * boxes * counted)),
-    sumMs: toFigure(performance.now() - mergedMs),
+    totals: boxes * accountsPerBox,
+    mergeUs: trimFigure(
+      (mergedMs - startMs) * US_PER_MS / (2 * boxes * accountsPerBox),
+    ),
+    sumMs: trimFigure(performance.now() - mergedMs),
     accounts: Object.keys(sum).length,
   };
 }
 
 /** Measures keys and usage at growing sizes. */
 export function benchAccounts(): void {
-  const checks = ACCOUNTS.map(measureCheck);
-  const merges = TELLERS.map(measureUsage);
+  const checks = ACCOUNT_COUNTS.map(measureKeyChecks);
+  const merges = USAGE_SIZES.map(measureUsageTotals);
   for (const result of [...checks, ...merges]) {
     console.log(JSON.stringify(result));
   }
--- a/tools/bench/bench_control.ts
+++ b/tools/bench/bench_control.ts
@@ -13,13 +13,13 @@
 const CHANGE_EVERY_MS = 150;
 const CHANGES = 100;
 /** Time after the start in which the engine still compiles, in ms. */
-const SETTLE_MS = 40_000;
+const WARM_UP_MS = 40_000;
 const IDLE_SECONDS = 10;
 const IN_FORCE_WAIT_MS = 10_000;
 const CALL_TIMEOUT_MS = 12_000;
 
 /** An accepted change. */
-interface Accepted {
+interface AcceptedChange {
   readonly revision: number;
   readonly isInForce: boolean;
   /** Time from sending to the answer that it is in force, in ms. */
@@ -30,11 +30,11 @@
 class ControlBench {
   readonly #boxes: readonly cascades.DeployedBox[];
   readonly #deployment: deployments.Deployment;
-  #turn = 0;
+  #requestCount = 0;
   #revision = 0;
   #weightVersion = 1;
-  #down: string | undefined;
-  #accepted: readonly Accepted[] = [];
+  #stoppedBox: string | undefined;
+  #accepted: readonly AcceptedChange[] = [];
 
   constructor(boxCount: number) {
     this.#boxes = cascades.listBoxes(boxCount, Math.min(5, boxCount));
@@ -49,7 +49,7 @@
     try {
       this.#deployment.start();
       await this.#setUp();
-      await sleeps.sleep(SETTLE_MS);
+      await sleeps.sleep(WARM_UP_MS);
       const idle = await this.#measureUsage(() =>
         sleeps.sleep(IDLE_SECONDS * 1_000)
       );
@@ -64,27 +64,30 @@
 
   async #setUp(): Promise<void> {
     const endMs = Date.now() + START_TIMEOUT_MS;
-    while (await this.#countCurrent() < this.#boxes.length) {
+    while (await this.#countLeasedBoxes() < this.#boxes.length) {
       if (Date.now() > endMs) {
         throw new Error("Cannot start the bench: not every box has a lease");
       }
       await sleeps.sleep(200);
     }
-    await this.#put("/v1/accounts/cascade", {
+    await this.#putUntilAnswered("/v1/accounts/cascade", {
       requestId: "account",
       baseRevision: 0,
       tokens: ["token-of-the-bench"],
     });
-    const created = await this.#put(controlDeployments.TEMPLATE_PATH, {
-      requestId: "template",
-      baseRevision: 0,
-      parameters: { trainer: "t", model: controlDeployments.MODEL },
-    });
+    const created = await this.#putUntilAnswered(
+      controlDeployments.TEMPLATE_PATH,
+      {
+        requestId: "template",
+        baseRevision: 0,
+        parameters: { trainer: "t", model: controlDeployments.MODEL },
+      },
+    );
     this.#revision = created.revision;
   }
 
-  async #countCurrent(): Promise<number> {
-    const status = await this.#ask("GET", "/v1/status");
+  async #countLeasedBoxes(): Promise<number> {
+    const status = await this.#sendRequest("GET", "/v1/status");
     return ((status as { readonly boxes?: readonly unknown[] } | undefined)
       ?.boxes ?? []).length;
   }
@@ -92,21 +95,24 @@
   async #runChanges(): Promise<void> {
     for (let count = 0; count < CHANGES; count += 1) {
       const dueMs = Date.now() + CHANGE_EVERY_MS;
-      await this.#change(`change-${count}`);
+      await this.#changeTemplate(`change-${count}`);
       await sleeps.sleep(Math.max(0, dueMs - Date.now()));
     }
   }
 
-  async #change(
+  async #changeTemplate(
     requestId: string,
     waitMs = IN_FORCE_WAIT_MS,
-  ): Promise<Accepted> {
-    const accepted = await this.#put(controlDeployments.TEMPLATE_PATH, {
-      requestId,
-      baseRevision: this.#revision,
-      parameters: { maxConcurrent: 1 + this.#accepted.length },
-      waitMs,
-    });
+  ): Promise<AcceptedChange> {
+    const accepted = await this.#putUntilAnswered(
+      controlDeployments.TEMPLATE_PATH,
+      {
+        requestId,
+        baseRevision: this.#revision,
+        parameters: { maxConcurrent: 1 + this.#accepted.length },
+        waitMs,
+      },
+    );
     this.#revision = accepted.revision;
     this.#accepted = [...this.#accepted, accepted];
     return accepted;
@@ -114,26 +120,26 @@
 
   /** Time from a leader's end to the next accepted change, in ms. */
   async #measureFailover(signal: "SIGKILL" | "SIGSTOP"): Promise<number> {
-    const status = await this.#ask("GET", "/v1/status") as {
+    const status = await this.#sendRequest("GET", "/v1/status") as {
       readonly leader: string;
     };
     const startMs = Date.now();
-    this.#down = status.leader;
+    this.#stoppedBox = status.leader;
     this.#deployment.get(status.leader).kill(signal);
-    await this.#change(`after-${signal}`, 0);
+    await this.#changeTemplate(`after-${signal}`, 0);
     const tookMs = Date.now() - startMs;
-    await this.#publish();
+    await this.#publishWeights();
     await sleeps.sleep(4_000);
     if (signal === "SIGSTOP") {
       this.#deployment.get(status.leader).kill("SIGCONT");
     } else this.#deployment.startBox(status.leader);
-    this.#down = undefined;
+    this.#stoppedBox = undefined;
     await sleeps.sleep(4_000);
     return tookMs;
   }
 
   /** Gives the leader orders to send to the engine. */
-  async #publish(): Promise<void> {
+  async #publishWeights(): Promise<void> {
     this.#weightVersion += 1;
     await httpClient.sendJson({
       baseUrl:
@@ -165,21 +171,30 @@
   }
 
   /** Sends a change until it is answered, always under the same id. */
-  async #put(path: string, body: object): Promise<Accepted> {
+  async #putUntilAnswered(path: string, body: object): Promise<AcceptedChange> {
     const startMs = Date.now();
     for (;;) {
-      const answer = await this.#ask("PUT", path, body);
+      const answer = await this.#sendRequest("PUT", path, body);
       if (answer !== undefined) {
-        return { ...answer as Accepted, tookMs: Date.now() - startMs };
+        return { ...answer as AcceptedChange, tookMs: Date.now() - startMs };
       }
       await sleeps.sleep(20);
     }
   }
 
-  async #ask(method: string, path: string, json?: unknown): Promise<unknown> {
-    this.#turn += 1;
-    const up = this.#boxes.filter((candidate) => candidate.box !== this.#down);
-    const box = up[this.#turn % up.length] as cascades.DeployedBox;
+  async #sendRequest(
+    method: string,
+    path: string,
+    json?: unknown,
+  ): Promise<unknown> {
+    this.#requestCount += 1;
+    const runningBoxes = this.#boxes.filter((candidate) =>
+      candidate.box !== this.#stoppedBox
+    );
+    const box =
+      runningBoxes[
+        this.#requestCount % runningBoxes.length
+      ] as cascades.DeployedBox;
     return await askAdmin.askAdmin(box.address, {
       method,
       path,
@@ -188,7 +203,7 @@
     });
   }
 
-  async #measureUsage(action: () => Promise<void>): Promise<Usage> {
+  async #measureUsage(action: () => Promise<void>): Promise<DaemonUsage> {
     const before = this.#readUsages();
     const startMs = Date.now();
     await action();
@@ -201,14 +216,16 @@
       this.#boxes[index]?.hasState === false
     );
     return {
-      replicaCpuFraction: trim(
+      replicaCpuFraction: trimFigure(
         getMean(
           fractions.filter((_, index) => this.#boxes[index]?.hasState === true),
         ),
       ),
-      entryCpuFraction: trim(getMean(entries)),
-      maxCpuFraction: trim(Math.max(...fractions)),
-      meanResidentMb: trim(getMean(after.map((usage) => usage.residentMb))),
+      entryCpuFraction: trimFigure(getMean(entries)),
+      maxCpuFraction: trimFigure(Math.max(...fractions)),
+      meanResidentMb: trimFigure(
+        getMean(after.map((usage) => usage.residentMb)),
+      ),
     };
   }
 
@@ -220,8 +237,8 @@
 
   async #report(
     measured: {
-      readonly idle: Usage;
-      readonly changing: Usage;
+      readonly idle: DaemonUsage;
+      readonly changing: DaemonUsage;
       readonly failoverMs: number;
       readonly frozenMs: number;
     },
@@ -229,14 +246,18 @@
     const inForceMs = judges.computeQuantiles(
       this.#accepted.slice(0, CHANGES).map((accepted) => accepted.tookMs),
     );
-    const audit = await this.#ask(
+    const audit = await this.#sendRequest(
       "GET",
       "/v1/audit?limit=1000&template=notes",
     ) as { readonly records: readonly { readonly revision: number }[] };
-    const kept = new Set(audit.records.map((record) => record.revision));
+    const auditedRevisions = new Set(
+      audit.records.map((record) => record.revision),
+    );
     const lostChanges =
-      this.#accepted.filter((accepted) => !kept.has(accepted.revision)).length;
-    const revertedChanges = await this.#countReverted();
+      this.#accepted.filter((accepted) =>
+        !auditedRevisions.has(accepted.revision)
+      ).length;
+    const revertedChanges = await this.#countRevertedBoxes();
     console.log(
       `${this.#boxes.length} boxes, ${this.#accepted.length} changes; in force p50 ${inForceMs.p50} ms, p99 ${inForceMs.p99} ms, max ${inForceMs.max} ms`,
     );
@@ -248,7 +269,7 @@
         boxes: this.#boxes.length,
         lostChanges,
         revertedChanges,
-        doubleAccepted: kept.size === audit.records.length ? 0 : 1,
+        doubleAccepted: auditedRevisions.size === audit.records.length ? 0 : 1,
         inForceMs,
         ...this.#countStaleOrders(),
         ...measured,
@@ -256,8 +277,8 @@
     );
   }
 
-  async #countReverted(): Promise<number> {
-    const seen = await Promise.all(this.#boxes.map(async (box) => {
+  async #countRevertedBoxes(): Promise<number> {
+    const revisions = await Promise.all(this.#boxes.map(async (box) => {
       const answer = await askAdmin.askAdmin(box.address, {
         method: "GET",
         path: controlDeployments.TEMPLATE_PATH,
@@ -265,7 +286,7 @@
       }) as { readonly revision?: number } | undefined;
       return answer?.revision ?? 0;
     }));
-    return seen.filter((revision) => revision !== this.#revision).length;
+    return revisions.filter((revision) => revision !== this.#revision).length;
   }
 }
 
@@ -276,7 +297,7 @@
 }
 
 /** Processor time and memory of the daemons. */
-interface Usage {
+interface DaemonUsage {
   readonly replicaCpuFraction: number;
   readonly entryCpuFraction: number;
   readonly maxCpuFraction: number;
@@ -288,7 +309,7 @@
     Math.max(1, values.length);
 }
 
-function trim(value: number): number {
+function trimFigure(value: number): number {
   return Math.round(value * 10_000) / 10_000;
 }
 
--- a/tools/bench/bench_dispatch.ts
+++ b/tools/bench/bench_dispatch.ts
@@ -12,13 +12,13 @@
   { items: 2_000, engines: 100 },
   { items: 10_000, engines: 1_000 },
 ] as const;
-const SLOTS = 12;
+const SLOTS_PER_ENGINE = 12;
 const ROUNDS = 15;
-const MODELS = 6;
-const STEPS = 40;
-const GROUPS = 16;
+const MODEL_COUNT = 6;
+const STEP_COUNT = 40;
+const GROUP_COUNT = 16;
 /** Share of the engines that are slow, so that runs there want to move. */
-const SLOW_EVERY = 4;
+const SLOW_ENGINE_INTERVAL = 4;
 
 function createEngine(index: number): registry.RegisteredServer {
   return registry.createRegisteredServer({
@@ -28,13 +28,13 @@
     address: "127.0.0.1",
     port: 1,
     failureDomain: `d-${index % 7}`,
-    slots: SLOTS,
+    slots: SLOTS_PER_ENGINE,
     phase: "ready",
     isSpot: false,
     leavesMs: undefined,
     coldMs: 0,
     sequence: 1,
-    models: Array.from({ length: MODELS }, (_, model) => ({
+    models: Array.from({ length: MODEL_COUNT }, (_, model) => ({
       name: `m-${model}`,
       version: 1,
     })),
@@ -48,20 +48,20 @@
     headers: {},
     body: "",
     tokens: 1_000,
-    group: `g-${Math.floor(index / STEPS) % GROUPS}`,
+    group: `g-${Math.floor(index / STEP_COUNT) % GROUP_COUNT}`,
     lengthHint: 500 + (index * 7_919) % 9_000,
-    model: `m-${index % MODELS}`,
+    model: `m-${index % MODEL_COUNT}`,
     scoring: undefined,
   };
   const submission: submissions.Submission = {
-    id: `s-${index % STEPS}`,
+    id: `s-${index % STEP_COUNT}`,
     sender: { kind: "unasked" },
     model: item.model,
     step: 1,
     minimumVersion: 1,
-    desired: GROUPS,
+    desired: GROUP_COUNT,
     items: [item],
-    acceptedAtMs: (index % STEPS) * 100,
+    acceptedAtMs: (index % STEP_COUNT) * 100,
     terms: {
       host: "a.example",
       service: "lm",
@@ -87,39 +87,42 @@
 /** Places all waiting items once and plans the moves of those that run. */
 function measureRound(items: number, engineCount: number): Timing {
   const clock = new clocks.FakeClock(1_000);
-  const table = new dispatch.EngineTable(clock);
+  const engineTable = new dispatch.EngineTable(clock);
   const lengths = new dispatch.LengthEstimator();
   const engines = Array.from(
     { length: engineCount },
     (_, i) => createEngine(i),
   );
   engines.forEach((engine, index) => {
-    const gapMs = index % SLOW_EVERY === 0 ? 120 : 37;
+    const gapMs = index % SLOW_ENGINE_INTERVAL === 0 ? 120 : 37;
     for (let event = 0; event < 50; event += 1) {
-      table.recordInterval(engine, gapMs);
+      engineTable.recordInterval(engine, gapMs);
     }
   });
   const servers = { listReady: () => engines };
   const tasks = Array.from({ length: items }, (_, index) => createTask(index));
   const plannedAtMs = performance.now();
-  const order = new dispatch.WaitingOrder({
+  const waitingOrder = new dispatch.WaitingOrder({
     clock,
     log: new logs.Log("box", "error", () => {}),
     metrics: new metrics.FleetMetrics(),
     servers,
-    engines: table,
+    engines: engineTable,
     lengths,
     canRun: () => true,
   });
-  order.order("lm", tasks);
+  waitingOrder.order("lm", tasks);
   const startMs = performance.now();
-  const ordered = order.order("lm", tasks);
+  const ordered = waitingOrder.order("lm", tasks);
   const orderedMs = performance.now();
-  const round = new dispatch.PlacementRound({ servers, engines: table });
+  const placementRound = new dispatch.PlacementRound({
+    servers,
+    engines: engineTable,
+  });
   for (const task of ordered) {
-    const engine = round.reserveSlot("lm", task.getRequirements());
+    const engine = placementRound.reserveSlot("lm", task.getRequirements());
     if (engine === undefined) continue;
-    table.addRun(engine.id);
+    engineTable.addRun(engine.id);
     task.startRun({
       engine: engine.id,
       cancellation: new csp.Cancellation(),
@@ -127,7 +130,7 @@
     });
   }
   const placedMs = performance.now();
-  dispatch.planMoves(tasks, 1_000, { servers, engines: table, lengths });
+  dispatch.planMoves(tasks, 1_000, { servers, engines: engineTable, lengths });
   return {
     planMs: startMs - plannedAtMs,
     eventMs: orderedMs - startMs,
--- a/tools/bench/bench_load.ts
+++ b/tools/bench/bench_load.ts
@@ -9,7 +9,7 @@
 const WAITING_COUNTS = [10, 100, 500] as const;
 const ROUNDS = 2_000;
 const US_PER_MS = 1_000;
-const SLOTS = 6;
+const SLOTS_PER_SERVER = 6;
 
 /** A row of the table of load patterns. */
 interface LoadRow {
@@ -51,7 +51,7 @@
   return outcomes.reduce((total, outcome) => total + outcome[field], 0);
 }
 
-function measureUs(action: () => void): number {
+function measureMeanUs(action: () => void): number {
   const startMs = performance.now();
   for (let round = 0; round < ROUNDS; round += 1) action();
   return (performance.now() - startMs) * US_PER_MS / ROUNDS;
@@ -65,7 +65,7 @@
     (_, index) =>
       serverFixtures.createServer(`s${index}`, {
         service: "app",
-        slots: SLOTS,
+        slots: SLOTS_PER_SERVER,
       }),
   );
   const choice: forwarding.ServerChoiceOptions = {
@@ -77,16 +77,16 @@
     failureDomain: "d",
     draw: Math.random,
   };
-  return measureUs(() => forwarding.chooseServer(choice));
+  return measureMeanUs(() => forwarding.chooseServer(choice));
 }
 
 /** Time to let one request wait and to give one its turn, in us. */
-function measureTurn(count: number): number {
-  const line = new admission.WaitingLine();
+function measureQueueTurn(count: number): number {
+  const queue = new admission.WaitingLine();
   let nowMs = 0;
   function enterNext(): void {
     nowMs += 1;
-    line.enter({
+    queue.enter({
       id: `${nowMs}`,
       priority: nowMs % 3,
       targetAtMs: nowMs + 100,
@@ -94,9 +94,9 @@
     }, nowMs);
   }
   for (let index = 0; index < count; index += 1) enterNext();
-  return measureUs(() => {
-    line.noteFreed(nowMs);
-    line.takeNext(nowMs);
+  return measureMeanUs(() => {
+    queue.noteFreed(nowMs);
+    queue.takeNext(nowMs);
     enterNext();
   });
 }
@@ -111,7 +111,7 @@
   console.table(rows);
   const costs = {
     choiceUs: SERVER_COUNTS.map((count) => [count, measureChoice(count)]),
-    turnUs: WAITING_COUNTS.map((count) => [count, measureTurn(count)]),
+    turnUs: WAITING_COUNTS.map((count) => [count, measureQueueTurn(count)]),
   };
   console.log(JSON.stringify({ bench: "load", rows, ...costs }));
 }
--- a/tools/bench/bench_path.ts
+++ b/tools/bench/bench_path.ts
@@ -14,7 +14,7 @@
 const FOLDER = "out/bench/path";
 const BOX_ADDRESS = "127.0.6.1";
 const BACKEND_ADDRESS = "127.0.6.2";
-const PASS_ADDRESS = "127.0.6.3";
+const PASS_THROUGH_ADDRESS = "127.0.6.3";
 const BOX_LIST_ADDRESS = "127.0.6.4";
 const ROUNDS = 3;
 const WARM_UP_SECONDS = 2;
@@ -44,7 +44,7 @@
     headers: {},
   },
   bare: {
-    address: PASS_ADDRESS,
+    address: PASS_THROUGH_ADDRESS,
     port: cascades.CALLER_PORT,
     path: "/stock?sku=1",
     headers: {},
@@ -87,7 +87,7 @@
   return file;
 }
 
-function startTool(
+function startProgram(
   name: string,
   program: string,
   args: readonly string[],
@@ -100,7 +100,7 @@
   });
 }
 
-function startParts(): readonly children.Child[] {
+function startStandIns(): readonly children.Child[] {
   const server = {
     id: "cellar-app-1",
     service: "cellar-app",
@@ -118,17 +118,17 @@
     servers: [server],
   };
   return [
-    startTool("backend", "tools/bench/run_backend.ts", [
+    startProgram("backend", "tools/bench/run_backend.ts", [
       BACKEND_ADDRESS,
       String(cascades.SERVER_PORT),
     ]),
-    startTool("bare", "tools/bench/run_pass_through.ts", [
-      PASS_ADDRESS,
+    startProgram("bare", "tools/bench/run_pass_through.ts", [
+      PASS_THROUGH_ADDRESS,
       String(cascades.CALLER_PORT),
       BACKEND_ADDRESS,
       String(cascades.SERVER_PORT),
     ]),
-    startTool("boxList", "tools/stand_ins/run_platform.ts", [
+    startProgram("boxList", "tools/stand_ins/run_platform.ts", [
       JSON.stringify(boxList),
     ]),
   ];
@@ -150,8 +150,8 @@
     await sleeps.sleep(200);
   }
   for (;;) {
-    const tried = await httpLoads.runClosedLoop(TARGETS.hoistscale, 1, 0.1);
-    if (tried.answered > 0 && tried.failed === 0) return;
+    const probe = await httpLoads.runClosedLoop(TARGETS.hoistscale, 1, 0.1);
+    if (probe.answered > 0 && probe.failed === 0) return;
     if (Date.now() > endMs) {
       throw new Error("Cannot start the bench: the box does not serve");
     }
@@ -228,7 +228,7 @@
     targetPort: cascades.PEER_PORT,
   });
   await relay.start();
-  const parts = startParts();
+  const standIns = startStandIns();
   childProcess.execFileSync("dist/hoistscale", [
     "make-state",
     "--settings",
@@ -250,7 +250,7 @@
     const idleBytes = relay.getBytes() - bytesBefore;
     const figures = await measureTargets();
     const loaded = processUsages.readUsage(daemon.getPid());
-    report(figures, {
+    printReport(figures, {
       idleResidentMb: idle.residentMb,
       idlePrivateMb: idle.privateMb,
       loadedResidentMb: loaded.residentMb,
@@ -261,11 +261,11 @@
     });
   } finally {
     relay.stop();
-    await children.stopChildren([daemon, ...parts]);
+    await children.stopChildren([daemon, ...standIns]);
   }
 }
 
-function report(
+function printReport(
   figures: Readonly<Record<TargetName, TargetFigures>>,
   usage: Readonly<Record<string, number>>,
 ): void {
--- a/tools/bench/bench_rolling.ts
+++ b/tools/bench/bench_rolling.ts
@@ -12,14 +12,14 @@
 const START_TIMEOUT_MS = 30_000;
 const CALLS_PER_SECOND = 120;
 const COMPLETION_TOKENS = 64;
-const LENGTHS = { median: 20, sigma: 0.6 };
+const ANSWER_LENGTHS = { median: 20, sigma: 0.6 };
 const ACCOUNT_TOKEN = "account-token-of-the-bench";
 /** Longest time that one box may take to stop and serve again, in ms. */
-const BOX_TIMEOUT_MS = 30_000;
+const BOX_RESTART_TIMEOUT_MS = 30_000;
 const OPERATIONS = ["lookup", "sync", "completion"] as const;
 
 /** Restarts every box in turn under load. */
-class RollingRun {
+class RollingRestart {
   readonly #boxes = cascades.listBoxes(BOXES, REPLICAS);
   readonly #deployment = new deployments.Deployment({
     folder: FOLDER,
@@ -29,14 +29,14 @@
     engine: {
       slots: 16,
       stepMs: 6,
-      lengths: LENGTHS,
+      lengths: ANSWER_LENGTHS,
       swapMs: 100,
       failedSwaps: 0,
     },
     plain: { callMs: 4, slots: 32 },
     downloadsPerSecond: 8,
   });
-  readonly #events = new ledgers.LedgerWriter(
+  readonly #eventLedger = new ledgers.LedgerWriter(
     this.#deployment.getLedgerFile("events"),
   );
   #exitCodes: readonly (number | null)[] = [];
@@ -71,14 +71,14 @@
       syncShare: 0.2,
       completionShare: 0.1,
       maxTokens: COMPLETION_TOKENS,
-      runMs: BOXES * BOX_TIMEOUT_MS,
+      runMs: BOXES * BOX_RESTART_TIMEOUT_MS,
     };
     return this.#deployment.startClient("callers", "run_callers", settings);
   }
 
   async #restart(box: cascades.DeployedBox): Promise<void> {
     const startMs = Date.now();
-    this.#events.add({
+    this.#eventLedger.add({
       kind: "event",
       event: "planStop",
       target: box.box,
@@ -88,7 +88,7 @@
     child.kill("SIGTERM");
     const end = await child.ended;
     const stoppedMs = Date.now();
-    this.#events.add({
+    this.#eventLedger.add({
       kind: "event",
       event: "stopped",
       target: box.box,
@@ -108,20 +108,20 @@
   async #waitForBoxes(count: number): Promise<void> {
     const endMs = Date.now() + START_TIMEOUT_MS;
     for (;;) {
-      const told = await Promise.all(
-        this.#boxes.map((box) => this.#countTold(box)),
+      const listedCounts = await Promise.all(
+        this.#boxes.map((box) => this.#countListedBoxes(box)),
       );
-      if (told.every((number) => number === count)) return;
+      if (listedCounts.every((number) => number === count)) return;
       if (Date.now() > endMs) {
         throw new Error(
-          `Cannot go on: ${told.join(",")} of ${count} boxes are told`,
+          `Cannot go on: ${listedCounts.join(",")} of ${count} boxes are told`,
         );
       }
       await sleeps.sleep(100);
     }
   }
 
-  async #countTold(box: cascades.DeployedBox): Promise<number> {
+  async #countListedBoxes(box: cascades.DeployedBox): Promise<number> {
     const answer = await httpClient.sendJson({
       baseUrl: `http://${box.address}:${box.port}`,
       method: "GET",
@@ -150,14 +150,14 @@
   #report(rollingMs: number): void {
     const entries = ledgers.readLedgers(this.#deployment.getLedgerFolder());
     const verdict = judges.judgeLedgers(entries, {
-      lengths: LENGTHS,
+      lengths: ANSWER_LENGTHS,
       sampleTokens: 0,
       completionTokens: COMPLETION_TOKENS,
     });
     const calls = entries.filter((entry) => entry.kind === "call");
     const refusedTries =
-      calls.flatMap((call) => call.tries).filter((item) =>
-        item.outcome !== "answered"
+      calls.flatMap((call) => call.tries).filter((attempt) =>
+        attempt.outcome !== "answered"
       ).length;
     const latencyMs = Object.fromEntries(OPERATIONS.map((operation) => [
       operation,
@@ -199,5 +199,5 @@
 
 /** Restarts every box in turn while callers ask. */
 export async function benchRolling(): Promise<void> {
-  await new RollingRun().run();
+  await new RollingRestart().run();
 }
--- a/tools/bench/bench_slopes.ts
+++ b/tools/bench/bench_slopes.ts
@@ -12,7 +12,7 @@
 const REPLICAS = 5;
 const START_TIMEOUT_MS = 60_000;
 /** Time after the start in which the engine still compiles, in ms. */
-const SETTLE_MS = 40_000;
+const WARM_UP_MS = 40_000;
 const IDLE_SECONDS = 10;
 const CHANGES = 40;
 const CALL_TIMEOUT_MS = 10_000;
@@ -74,7 +74,7 @@
   async #setUp(): Promise<void> {
     const endMs = Date.now() + START_TIMEOUT_MS;
     for (;;) {
-      const status = await this.#ask("GET", "/v1/status") as {
+      const status = await this.#sendRequest("GET", "/v1/status") as {
         readonly boxes?: readonly unknown[];
       } | undefined;
       if (status?.boxes?.length === this.#boxes.length) break;
@@ -83,64 +83,76 @@
       }
       await sleeps.sleep(300);
     }
-    await this.#ask("PUT", "/v1/accounts/cascade", {
+    await this.#sendRequest("PUT", "/v1/accounts/cascade", {
       requestId: "account",
       baseRevision: 0,
       tokens: ["token-of-the-bench"],
     });
-    await this.#change(0);
-    await sleeps.sleep(SETTLE_MS);
+    await this.#changeTemplate(0);
+    await sleeps.sleep(WARM_UP_MS);
   }
 
   async #measure(): Promise<SizeFigures> {
-    const { leader } = await this.#ask("GET", "/v1/status") as {
+    const { leader } = await this.#sendRequest("GET", "/v1/status") as {
       readonly leader: string;
     };
-    const idleBytes = this.#getBytes();
+    const idleBytes = this.#getRelayedBytes();
     const idle = await this.#measureCpu(() =>
       sleeps.sleep(IDLE_SECONDS * 1_000)
     );
-    const idlePerS = (this.#getBytes() - idleBytes) / IDLE_SECONDS;
+    const idleBytesPerS = (this.#getRelayedBytes() - idleBytes) / IDLE_SECONDS;
     const tookMs: number[] = [];
     const startMs = Date.now();
-    const changeBytes = this.#getBytes();
+    const changeBytes = this.#getRelayedBytes();
     const changing = await this.#measureCpu(async () => {
       for (let count = 1; count <= CHANGES; count += 1) {
-        tookMs.push(await this.#change(count));
+        tookMs.push(await this.#changeTemplate(count));
       }
     });
-    const idleShare = idlePerS * (Date.now() - startMs) / 1_000;
-    const perChange = (this.#getBytes() - changeBytes - idleShare) / CHANGES;
+    const idleBytesDuringChanges = idleBytesPerS * (Date.now() - startMs) /
+      1_000;
+    const bytesPerChange =
+      (this.#getRelayedBytes() - changeBytes - idleBytesDuringChanges) /
+      CHANGES;
     const inForce = judges.computeQuantiles(tookMs);
     return {
       boxes: this.#boxes.length,
-      leaderCpu: trim(idle.get(leader) ?? 0),
-      followerCpu: trim(
-        this.#getMean(idle, (box) => box.hasState && box.box !== leader),
+      leaderCpu: trimFigure(idle.get(leader) ?? 0),
+      followerCpu: trimFigure(
+        this.#getMeanFraction(
+          idle,
+          (box) => box.hasState && box.box !== leader,
+        ),
+      ),
+      entryCpu: trimFigure(this.#getMeanFraction(idle, (box) => !box.hasState)),
+      leaderCpuChanging: trimFigure(changing.get(leader) ?? 0),
+      entryCpuChanging: trimFigure(
+        this.#getMeanFraction(changing, (box) => !box.hasState),
       ),
-      entryCpu: trim(this.#getMean(idle, (box) => !box.hasState)),
-      leaderCpuChanging: trim(changing.get(leader) ?? 0),
-      entryCpuChanging: trim(this.#getMean(changing, (box) => !box.hasState)),
       leaderMb: this.#readUsage(leader).residentMb,
       entryMb: this.#readUsage(this.#boxes.at(-1)?.box ?? "").residentMb,
-      entryKbPerS: trim(idlePerS / BYTES_PER_KB),
-      entryKbPerChange: trim(perChange / BYTES_PER_KB),
+      entryKbPerS: trimFigure(idleBytesPerS / BYTES_PER_KB),
+      entryKbPerChange: trimFigure(bytesPerChange / BYTES_PER_KB),
       inForceP50Ms: inForce.p50,
       inForceMaxMs: inForce.max,
     };
   }
 
-  async #change(count: number): Promise<number> {
+  async #changeTemplate(count: number): Promise<number> {
     const startMs = Date.now();
-    const answer = await this.#ask("PUT", controlDeployments.TEMPLATE_PATH, {
-      requestId: `change-${count}`,
-      baseRevision: this.#revision,
-      parameters: {
-        trainer: "t",
-        model: controlDeployments.MODEL,
-        maxConcurrent: count + 1,
+    const answer = await this.#sendRequest(
+      "PUT",
+      controlDeployments.TEMPLATE_PATH,
+      {
+        requestId: `change-${count}`,
+        baseRevision: this.#revision,
+        parameters: {
+          trainer: "t",
+          model: controlDeployments.MODEL,
+          maxConcurrent: count + 1,
+        },
       },
-    });
+    );
     if (answer === undefined) {
       throw new Error("Cannot change the template: the box refused");
     }
@@ -168,22 +180,26 @@
     return processUsages.readUsage(this.#deployment.get(box).getPid());
   }
 
-  #getMean(
+  #getMeanFraction(
     fractions: ReadonlyMap<string, number>,
-    isWanted: (box: cascades.DeployedBox) => boolean,
+    isIncluded: (box: cascades.DeployedBox) => boolean,
   ): number {
-    const values = this.#boxes.filter(isWanted).map((box) =>
+    const values = this.#boxes.filter(isIncluded).map((box) =>
       fractions.get(box.box) ?? 0
     );
     return values.reduce((sum, value) => sum + value, 0) /
       Math.max(1, values.length);
   }
 
-  #getBytes(): number {
+  #getRelayedBytes(): number {
     return this.#relays.reduce((sum, relay) => sum + relay.getBytes(), 0);
   }
 
-  async #ask(method: string, path: string, json?: unknown): Promise<unknown> {
+  async #sendRequest(
+    method: string,
+    path: string,
+    json?: unknown,
+  ): Promise<unknown> {
     const box = this.#boxes.at(-2) as cascades.DeployedBox;
     return await askAdmin.askAdmin(box.address, {
       method,
@@ -197,14 +213,14 @@
 /** Slope of a least-squares line over the number of boxes. */
 function computeSlope(
   figures: readonly SizeFigures[],
-  read: (figure: SizeFigures) => number,
+  getFigure: (figure: SizeFigures) => number,
 ): number {
   const meanX = figures.reduce((sum, figure) => sum + figure.boxes, 0) /
     figures.length;
-  const meanY = figures.reduce((sum, figure) => sum + read(figure), 0) /
+  const meanY = figures.reduce((sum, figure) => sum + getFigure(figure), 0) /
     figures.length;
   const products = figures.reduce(
-    (sum, figure) => sum + (figure.boxes - meanX) * (read(figure) - meanY),
+    (sum, figure) => sum + (figure.boxes - meanX) * (getFigure(figure) - meanY),
     0,
   );
   const squares = figures.reduce(
@@ -214,7 +230,7 @@
   return products / squares;
 }
 
-function trim(value: number): number {
+function trimFigure(value: number): number {
   return Math.round(value * 100_000) / 100_000;
 }
 
@@ -233,15 +249,19 @@
   console.log(JSON.stringify({
     sizes: figures,
     slopesPerBox: {
-      leaderCpu: trim(computeSlope(figures, (figure) => figure.leaderCpu)),
-      entryCpu: trim(computeSlope(figures, (figure) => figure.entryCpu)),
-      leaderMb: trim(computeSlope(figures, (figure) => figure.leaderMb)),
-      entryMb: trim(computeSlope(figures, (figure) => figure.entryMb)),
-      entryKbPerS: trim(computeSlope(figures, (figure) => figure.entryKbPerS)),
-      entryKbPerChange: trim(
+      leaderCpu: trimFigure(
+        computeSlope(figures, (figure) => figure.leaderCpu),
+      ),
+      entryCpu: trimFigure(computeSlope(figures, (figure) => figure.entryCpu)),
+      leaderMb: trimFigure(computeSlope(figures, (figure) => figure.leaderMb)),
+      entryMb: trimFigure(computeSlope(figures, (figure) => figure.entryMb)),
+      entryKbPerS: trimFigure(
+        computeSlope(figures, (figure) => figure.entryKbPerS),
+      ),
+      entryKbPerChange: trimFigure(
         computeSlope(figures, (figure) => figure.entryKbPerChange),
       ),
-      inForceP50Ms: trim(
+      inForceP50Ms: trimFigure(
         computeSlope(figures, (figure) => figure.inForceP50Ms),
       ),
     },
--- a/tools/bench/bench_steps.ts
+++ b/tools/bench/bench_steps.ts
@@ -4,12 +4,12 @@
 
 const SEEDS = [1, 2] as const;
 /** Work as a share of the room there is. */
-const LOADS = [0.8, 1, 1.25, 1.5] as const;
-const SLOTS = 6;
+const LOAD_RATIOS = [0.8, 1, 1.25, 1.5] as const;
+const SLOTS_PER_ENGINE = 6;
 /** Engines that all groups of the trainers below keep busy. */
-const NEEDED_ENGINES = 9.2;
+const ENGINES_AT_FULL_LOAD = 9.2;
 /** How much longer each third engine takes for an event. */
-const SLOWNESS = [0.95, 0.95, 1.3] as const;
+const SLOWDOWN_FACTORS = [0.95, 0.95, 1.3] as const;
 
 const TRAINERS: readonly stepLoads.ReplayedTrainer[] = [
   { name: "long", priority: 0, groups: 6, size: 16, meanEvents: 20 },
@@ -22,31 +22,31 @@
   startMs: 0,
 }));
 
-const GROUPS = {
+const GROUP_POLICY = {
   kind: "groups",
   admits: true,
   defersSpare: true,
   givesWay: "weighed",
 } as const;
 
-const WAYS: Readonly<Record<string, stepSchedule.SchedulePolicy>> = {
+const POLICIES: Readonly<Record<string, stepSchedule.SchedulePolicy>> = {
   "latest start": { kind: "latestStart" },
-  "spare groups last": { ...GROUPS, admits: false },
-  "admission, spare groups alike": { ...GROUPS, defersSpare: false },
-  "admission, largest gives way": { ...GROUPS, givesWay: "largest" },
-  "admission, weighed": GROUPS,
+  "spare groups last": { ...GROUP_POLICY, admits: false },
+  "admission, spare groups alike": { ...GROUP_POLICY, defersSpare: false },
+  "admission, largest gives way": { ...GROUP_POLICY, givesWay: "largest" },
+  "admission, weighed": GROUP_POLICY,
 };
 
 function createLoad(load: number, knowsLengths: boolean): stepLoads.StepLoad {
   const engines = Array.from(
-    { length: Math.round(NEEDED_ENGINES / load) },
-    (_, index) => SLOWNESS[index % SLOWNESS.length] ?? 1,
+    { length: Math.round(ENGINES_AT_FULL_LOAD / load) },
+    (_, index) => SLOWDOWN_FACTORS[index % SLOWDOWN_FACTORS.length] ?? 1,
   );
   return {
     name: `load ${load}`,
     trainers: TRAINERS,
     engines,
-    slots: SLOTS,
+    slots: SLOTS_PER_ENGINE,
     durationMs: 36_000,
     everyMs: 4_000,
     dueMs: 7_500,
@@ -57,7 +57,7 @@
   };
 }
 
-function measureWay(
+function measurePolicy(
   load: stepLoads.StepLoad,
   policy: stepSchedule.SchedulePolicy,
 ): Readonly<Record<string, number>> {
@@ -79,16 +79,16 @@
 
 /** Compares the ways to plan steps on the same loads; the last row knows lengths. */
 export function benchSteps(): void {
-  const results = LOADS.flatMap((load) => [
-    ...Object.entries(WAYS).map(([way, policy]) => ({
+  const results = LOAD_RATIOS.flatMap((load) => [
+    ...Object.entries(POLICIES).map(([way, policy]) => ({
       load,
       way,
-      ...measureWay(createLoad(load, false), policy),
+      ...measurePolicy(createLoad(load, false), policy),
     })),
     {
       load,
       way: "lengths known",
-      ...measureWay(createLoad(load, true), GROUPS),
+      ...measurePolicy(createLoad(load, true), GROUP_POLICY),
     },
   ]);
   for (const result of results) console.log(JSON.stringify(result));
--- a/tools/bench/http_load.ts
+++ b/tools/bench/http_load.ts
@@ -19,15 +19,15 @@
   readonly p999Ms: number;
 }
 
-const MICROSECONDS = 1_000;
-const MAX_US = 60_000_000;
+const US_PER_MS = 1_000;
+const MAX_LATENCY_US = 60_000_000;
 
 /** Sends requests to one target over kept connections. */
 class LoadRun {
   readonly #target: LoadTarget;
   readonly #agent: http.Agent;
   readonly #histogram = hdr.build({
-    highestTrackableValue: MAX_US,
+    highestTrackableValue: MAX_LATENCY_US,
     numberOfSignificantValueDigits: 3,
   });
   #failed = 0;
@@ -54,7 +54,7 @@
       }, (answer) => {
         answer.resume();
         answer.on("end", () => {
-          if (answer.statusCode === 200) this.#record(dueMs);
+          if (answer.statusCode === 200) this.#recordLatency(dueMs);
           else this.#failed += 1;
           resolve();
         });
@@ -67,29 +67,29 @@
     });
   }
 
-  end(seconds: number): LoadResult {
+  finish(seconds: number): LoadResult {
     this.#agent.destroy();
     const answered = this.#histogram.totalCount;
     return {
       answered,
       failed: this.#failed,
       perSecond: Math.round(answered / seconds),
-      p50Ms: this.#getMs(50),
-      p99Ms: this.#getMs(99),
-      p999Ms: this.#getMs(99.9),
+      p50Ms: this.#getLatencyMs(50),
+      p99Ms: this.#getLatencyMs(99),
+      p999Ms: this.#getLatencyMs(99.9),
     };
   }
 
-  #record(dueMs: number): void {
-    const tookUs = Math.max(
+  #recordLatency(dueMs: number): void {
+    const latencyUs = Math.max(
       1,
-      Math.round((performance.now() - dueMs) * MICROSECONDS),
+      Math.round((performance.now() - dueMs) * US_PER_MS),
     );
-    this.#histogram.recordValue(Math.min(MAX_US, tookUs));
+    this.#histogram.recordValue(Math.min(MAX_LATENCY_US, latencyUs));
   }
 
-  #getMs(percentile: number): number {
-    return this.#histogram.getValueAtPercentile(percentile) / MICROSECONDS;
+  #getLatencyMs(percentile: number): number {
+    return this.#histogram.getValueAtPercentile(percentile) / US_PER_MS;
   }
 }
 
@@ -113,7 +113,7 @@
     while (performance.now() < endMs) await run.send(performance.now());
   }
   await Promise.all(Array.from({ length: concurrency }, sendUntilEnd));
-  return run.end((performance.now() - startMs) / 1_000);
+  return run.finish((performance.now() - startMs) / 1_000);
 }
 
 /**
@@ -134,17 +134,17 @@
   const startMs = performance.now();
   const total = Math.floor(perSecond * seconds);
   const running: Promise<void>[] = [];
-  let sent = 0;
-  while (sent < total) {
-    const due = Math.min(
+  let sentCount = 0;
+  while (sentCount < total) {
+    const dueCount = Math.min(
       total,
       Math.floor((performance.now() - startMs) * perSecond / 1_000) + 1,
     );
-    for (; sent < due; sent += 1) {
-      running.push(run.send(startMs + sent * 1_000 / perSecond));
+    for (; sentCount < dueCount; sentCount += 1) {
+      running.push(run.send(startMs + sentCount * 1_000 / perSecond));
     }
     await new Promise((resolve) => setTimeout(resolve, 1));
   }
   await Promise.all(running);
-  return run.end(seconds);
+  return run.finish(seconds);
 }
--- a/tools/bench/process_usage.ts
+++ b/tools/bench/process_usage.ts
@@ -1,6 +1,6 @@
 import * as fs from "node:fs";
 
-const NANOSECONDS = 1_000_000_000;
+const NS_PER_SECOND = 1_000_000_000;
 const BYTES_PER_MB = 1_048_576;
 const BYTES_PER_KB = 1_024;
 
@@ -14,7 +14,7 @@
   readonly privateMb: number;
 }
 
-function readField(text: string, name: string): number {
+function readSizeMb(text: string, name: string): number {
   const match = new RegExp(`^${name}:\\s+(\\d+)`, "m").exec(text);
   return Number(match?.[1] ?? 0) * BYTES_PER_KB / BYTES_PER_MB;
 }
@@ -30,7 +30,7 @@
       fs.readFileSync(`${folder}/${thread}/schedstat`, "utf8").split(" ")[0],
     )
   );
-  return times.reduce((sum, time) => sum + time, 0) / NANOSECONDS;
+  return times.reduce((sum, time) => sum + time, 0) / NS_PER_SECOND;
 }
 
 /**
@@ -43,7 +43,7 @@
   const status = fs.readFileSync(`/proc/${pid}/status`, "utf8");
   return {
     cpuSeconds: readCpuSeconds(pid),
-    residentMb: Math.round(10 * readField(status, "VmRSS")) / 10,
-    privateMb: Math.round(10 * readField(status, "RssAnon")) / 10,
+    residentMb: Math.round(10 * readSizeMb(status, "VmRSS")) / 10,
+    privateMb: Math.round(10 * readSizeMb(status, "RssAnon")) / 10,
   };
 }
--- a/tools/demo/judge.ts
+++ b/tools/demo/judge.ts
@@ -7,7 +7,7 @@
 
 /** What the judge must know besides the ledgers. */
 export interface JudgeOptions {
-  readonly lengths: answerLengths.LengthShape;
+  readonly lengths: answerLengths.LengthDistribution;
   /** Longest sample of a rollout, in tokens. */
   readonly sampleTokens: number;
   /** Longest completion of a caller, in tokens. */
--- a/tools/demo/judge_test.ts
+++ b/tools/demo/judge_test.ts
@@ -122,9 +122,9 @@
 }
 
 function createTry(
-  outcome: ledgers.CallTry["outcome"],
+  outcome: ledgers.CallAttempt["outcome"],
   sentMs = 0,
-): ledgers.CallTry {
+): ledgers.CallAttempt {
   return { box: "b", sentMs, endedMs: sentMs, outcome };
 }
 
--- a/tools/deployment/cascade.ts
+++ b/tools/deployment/cascade.ts
@@ -12,7 +12,7 @@
 }
 
 /** An entry box of the deployment. */
-export interface DeployedBox extends addressBooks.KnownAddress {
+export interface DeployedBox extends addressBooks.ServiceAddress {
   readonly failureDomain: string;
   readonly hasState: boolean;
 }
--- a/tools/stand_ins/answer_length.ts
+++ b/tools/stand_ins/answer_length.ts
@@ -4,7 +4,7 @@
 import * as zlib from "node:zlib";
 
 /** Shape of the answer lengths: log-normal, so a few are far longer. */
-export interface LengthShape {
+export interface LengthDistribution {
   /** Median length, in tokens. */
   readonly median: number;
   /** Standard deviation of the logarithm. */
@@ -17,17 +17,17 @@
  *
  * @param prompt The prompt.
  * @param maxTokens Longest answer, in tokens.
- * @param shape Shape of the lengths.
+ * @param distribution Shape of the lengths.
  * @returns Length, in tokens, at least 1.
  */
 export function getAnswerLength(
   prompt: string,
   maxTokens: number,
-  shape: LengthShape,
+  lengths: LengthDistribution,
 ): number {
   const random = generator.xoroshiro128plus(zlib.crc32(prompt));
   const draw = d3.randomLogNormal.source(() =>
     distribution.uniformFloat64(random)
-  )(Math.log(shape.median), shape.sigma);
+  )(Math.log(lengths.median), lengths.sigma);
   return Math.max(1, Math.min(maxTokens, Math.round(draw())));
 }
--- a/tools/stand_ins/engine_core.ts
+++ b/tools/stand_ins/engine_core.ts
@@ -14,7 +14,7 @@
   readonly slots: number;
   /** Time of one decoding step, in ms. */
   readonly stepMs: number;
-  readonly lengths: answerLengths.LengthShape;
+  readonly lengths: answerLengths.LengthDistribution;
   readonly models: Readonly<Record<string, number>>;
   readonly misbehaviour: Misbehaviour;
   /** Prompts whose prefill is kept. */
@@ -34,23 +34,23 @@
   arrival: number;
 }
 
-const TOKENS_A_SEGMENT = 100_000;
-const SEGMENTS_AN_ENGINE = 10_000_000;
-const PREFILL_CHARACTERS_A_STEP = 64;
+const TOKEN_IDS_PER_SEGMENT = 100_000;
+const SEGMENTS_PER_ENGINE = 10_000_000;
+const PREFILL_CHARACTERS_PER_STEP = 64;
 const PREFIX_CHARACTERS = 32;
-const LOAD_SLOWDOWN = 0.5;
+const FULL_LOAD_SLOWDOWN = 0.5;
 
 /** Continuous batching: each step gives every active request one token. */
 export class EngineCore {
   readonly settings: EngineSettings;
   readonly #ledger: ledgers.LedgerWriter;
   readonly #versions: Map<string, number>;
-  readonly #prefixes = new Map<string, true>();
+  readonly #cachedPrefixes = new Map<string, true>();
   #active: Generation[] = [];
   #queued: Generation[] = [];
   #segmentCount = Math.floor(Date.now() / 1_000) % 100_000 * 50;
   readonly #cacheLog = new cacheLogs.CacheLog();
-  #arrivals = 0;
+  #arrivalCount = 0;
   #isSwapping = false;
   #role = "mixed";
 
@@ -63,7 +63,7 @@
   /** Starts the decoding steps; runs until the process ends. */
   start(): void {
     const load = this.#active.length / this.settings.slots;
-    const stepMs = this.settings.stepMs * (1 + load * LOAD_SLOWDOWN);
+    const stepMs = this.settings.stepMs * (1 + load * FULL_LOAD_SLOWDOWN);
     setTimeout(() => {
       if (!this.#isSwapping) this.#runStep();
       this.start();
@@ -82,7 +82,7 @@
   }
 
   /** Cache events that are told by now. */
-  listCacheEvents(after: number): readonly cacheLogs.ToldEvent[] {
+  listCacheEvents(after: number): readonly cacheLogs.CacheEvent[] {
     return this.#cacheLog.list(after);
   }
 
@@ -105,13 +105,13 @@
       maxTokens,
       this.settings.lengths,
     );
-    this.#arrivals += 1;
+    this.#arrivalCount += 1;
     const generation: Generation = {
       ...rest,
       length,
-      prefillSteps: this.#countPrefill(request.prompt),
+      prefillSteps: this.#countPrefillSteps(request.prompt),
       segment: undefined,
-      arrival: this.#arrivals,
+      arrival: this.#arrivalCount,
     };
     this.#queued.push(generation);
     this.#queued.sort((a, b) =>
@@ -121,7 +121,7 @@
   }
 
   /** Stops decoding for a while, then serves another version. */
-  async swap(
+  async swapWeights(
     model: string,
     weightVersion: number,
     swapMs: number,
@@ -141,19 +141,22 @@
     return this.#isSwapping;
   }
 
-  #countPrefill(prompt: string): number {
+  #countPrefillSteps(prompt: string): number {
     const prefix = prompt.slice(0, PREFIX_CHARACTERS);
-    const isCached = this.#prefixes.delete(prefix);
-    this.#prefixes.set(prefix, true);
-    const oldest = this.#prefixes.keys().next().value;
+    const isCached = this.#cachedPrefixes.delete(prefix);
+    this.#cachedPrefixes.set(prefix, true);
+    const oldest = this.#cachedPrefixes.keys().next().value;
     if (!isCached) this.#cacheLog.add("stored", prefix);
     if (
-      this.#prefixes.size > this.settings.cachedPrompts && oldest !== undefined
+      this.#cachedPrefixes.size > this.settings.cachedPrompts &&
+      oldest !== undefined
     ) {
-      this.#prefixes.delete(oldest);
+      this.#cachedPrefixes.delete(oldest);
       this.#cacheLog.add("evicted", oldest);
     }
-    return isCached ? 0 : Math.ceil(prompt.length / PREFILL_CHARACTERS_A_STEP);
+    return isCached
+      ? 0
+      : Math.ceil(prompt.length / PREFILL_CHARACTERS_PER_STEP);
   }
 
   #remove(generation: Generation): void {
@@ -191,8 +194,10 @@
 
   #getSegment(generation: Generation): ledgers.SegmentEntry {
     const weightVersion = this.#versions.get(generation.model) ?? 0;
-    const old = generation.segment;
-    if (old !== undefined && old.weightVersion === weightVersion) return old;
+    const previous = generation.segment;
+    if (previous !== undefined && previous.weightVersion === weightVersion) {
+      return previous;
+    }
     this.#segmentCount += 1;
     const segment: ledgers.SegmentEntry = {
       kind: "segment",
@@ -202,13 +207,13 @@
         : generation.prompt,
       model: generation.model,
       firstToken:
-        (this.settings.index * SEGMENTS_AN_ENGINE + this.#segmentCount) *
-        TOKENS_A_SEGMENT,
+        (this.settings.index * SEGMENTS_PER_ENGINE + this.#segmentCount) *
+        TOKEN_IDS_PER_SEGMENT,
       firstPosition: generation.position,
       weightVersion,
       answerLength: generation.length,
       atMs: Date.now(),
-      isFirst: old === undefined,
+      isFirst: previous === undefined,
     };
     this.#ledger.add(segment);
     generation.segment = segment;
@@ -220,10 +225,10 @@
     tokenId: number,
     weightVersion: number,
   ): void {
-    const told = this.settings.misbehaviour === "falseVersion"
+    const reportedVersion = this.settings.misbehaviour === "falseVersion"
       ? weightVersion + 1
       : weightVersion;
-    writeEvent(generation.response, told, {
+    writeEvent(generation.response, reportedVersion, {
       text: ` t${tokenId}`,
       token_ids: [tokenId],
       finish_reason: null,
--- a/tools/stand_ins/ledger.ts
+++ b/tools/stand_ins/ledger.ts
@@ -75,7 +75,7 @@
 }
 
 /** One try of a caller's request. */
-export interface CallTry {
+export interface CallAttempt {
   readonly box: string;
   readonly sentMs: number;
   readonly endedMs: number;
@@ -93,7 +93,7 @@
   readonly kind: "call";
   readonly operation: "lookup" | "sync" | "completion";
   readonly callId: string;
-  readonly tries: readonly CallTry[];
+  readonly tries: readonly CallAttempt[];
   readonly isAnswered: boolean;
   /** The call that the answer says it answers. */
   readonly answeredId: string;
--- a/tools/stand_ins/run_callers.ts
+++ b/tools/stand_ins/run_callers.ts
@@ -11,7 +11,7 @@
 export interface CallerSettings {
   readonly name: string;
   readonly token: string;
-  readonly seeds: readonly addressBooks.KnownAddress[];
+  readonly seeds: readonly addressBooks.ServiceAddress[];
   readonly ledgerFile: string;
   readonly service: string;
   readonly model: string;
@@ -34,8 +34,8 @@
 }
 
 /** What one try brought. */
-interface TryResult {
-  readonly outcome: ledgers.CallTry["outcome"];
+interface AttemptResult {
+  readonly outcome: ledgers.CallAttempt["outcome"];
   readonly answeredId: string;
   readonly isWhole: boolean;
   readonly tokens: readonly number[];
@@ -43,30 +43,33 @@
 }
 
 const CALL_DEADLINE_MS = 30_000;
-const TRY_TIMEOUT_MS = 12_000;
-const DEFAULT_RETRY_MS = 150;
+const ATTEMPT_TIMEOUT_MS = 12_000;
+const DEFAULT_RETRY_DELAY_MS = 150;
 
-const FAILED_TRY: TryResult = {
+const FAILED_ATTEMPT: AttemptResult = {
   outcome: "broken",
   answeredId: "",
   isWhole: false,
   tokens: [],
-  retryAfterMs: DEFAULT_RETRY_MS,
+  retryAfterMs: DEFAULT_RETRY_DELAY_MS,
 };
 
 /** Merchants and head office: each request is asked until it is answered. */
 class CallerProcess {
   readonly #settings: CallerSettings;
   readonly #ledger: ledgers.LedgerWriter;
-  readonly #book: addressBooks.AddressBook;
+  readonly #addressBook: addressBooks.AddressBook;
   readonly #random: ReturnType<typeof generator.xoroshiro128plus>;
-  #count = 0;
+  #callCount = 0;
   #isStopped = false;
 
   constructor(settings: CallerSettings) {
     this.#settings = settings;
     this.#ledger = new ledgers.LedgerWriter(settings.ledgerFile);
-    this.#book = new addressBooks.AddressBook(settings.seeds, settings.seed);
+    this.#addressBook = new addressBooks.AddressBook(
+      settings.seeds,
+      settings.seed,
+    );
     this.#random = generator.xoroshiro128plus(settings.seed);
   }
 
@@ -84,19 +87,19 @@
     for (let index = 0; index < total && !this.#isStopped; index += 1) {
       const dueMs = startMs + index * 1_000 / requestsPerSecond;
       await sleeps.sleep(Math.max(0, dueMs - Date.now()));
-      running.push(this.#runCall(this.#draw()));
+      running.push(this.#runCall(this.#createCall()));
     }
     await Promise.all(running);
   }
 
-  #draw(): Call {
+  #createCall(): Call {
     const { name, syncShare, completionShare } = this.#settings;
-    const drawn = distribution.uniformFloat64(this.#random);
-    this.#count += 1;
-    const callId = `${name}-${this.#count}`;
+    const draw = distribution.uniformFloat64(this.#random);
+    this.#callCount += 1;
+    const callId = `${name}-${this.#callCount}`;
     const prompt = `question of a merchant ${callId}`;
-    if (drawn < syncShare) return { operation: "sync", callId, prompt };
-    if (drawn < syncShare + completionShare) {
+    if (draw < syncShare) return { operation: "sync", callId, prompt };
+    if (draw < syncShare + completionShare) {
       return { operation: "completion", callId, prompt };
     }
     return { operation: "lookup", callId, prompt };
@@ -104,21 +107,21 @@
 
   async #runCall(call: Call): Promise<void> {
     const endMs = Date.now() + CALL_DEADLINE_MS;
-    const tries: ledgers.CallTry[] = [];
-    let last = FAILED_TRY;
+    const tries: ledgers.CallAttempt[] = [];
+    let last = FAILED_ATTEMPT;
     while (Date.now() < endMs) {
-      const known = await this.#book.pick();
+      const target = await this.#addressBook.pick();
       const sentMs = Date.now();
-      last = await this.#try(call, known);
+      last = await this.#tryCall(call, target);
       tries.push({
-        box: known.box,
+        box: target.box,
         sentMs,
         endedMs: Date.now(),
         outcome: last.outcome,
       });
       if (last.outcome === "answered" || last.outcome === "refused") break;
       if (last.outcome === "unknown" && call.operation === "sync") break;
-      if (last.outcome !== "notRun") this.#book.avoid(known.box);
+      if (last.outcome !== "notRun") this.#addressBook.avoid(target.box);
       await sleeps.sleep(last.retryAfterMs);
     }
     const { answeredId, isWhole, tokens, outcome } = last;
@@ -134,61 +137,64 @@
     });
   }
 
-  #try(call: Call, known: addressBooks.KnownAddress): Promise<TryResult> {
+  #tryCall(
+    call: Call,
+    target: addressBooks.ServiceAddress,
+  ): Promise<AttemptResult> {
     switch (call.operation) {
       case "lookup":
-        return this.#send(call, known, {
+        return this.#sendRequest(call, target, {
           method: "GET",
           path:
             `/services/${this.#settings.service}/stock?callId=${call.callId}`,
         });
       case "sync":
-        return this.#send(call, known, {
+        return this.#sendRequest(call, target, {
           method: "POST",
           path: `/services/${this.#settings.service}/ledger-sync`,
           json: { callId: call.callId },
           headers: { "idempotency-key": call.callId },
         });
       case "completion":
-        return this.#stream(call, known);
+        return this.#streamCompletion(call, target);
     }
   }
 
-  async #send(
+  async #sendRequest(
     call: Call,
-    known: addressBooks.KnownAddress,
+    target: addressBooks.ServiceAddress,
     request: Pick<
       httpClient.JsonRequest,
       "method" | "path" | "json" | "headers"
     >,
-  ): Promise<TryResult> {
+  ): Promise<AttemptResult> {
     const answer = await httpClient.sendJson({
       ...request,
-      baseUrl: `http://${known.address}:${known.port}`,
+      baseUrl: `http://${target.address}:${target.port}`,
       headers: {
         authorization: `Bearer ${this.#settings.token}`,
         ...request.headers,
       },
-      timeoutMs: TRY_TIMEOUT_MS,
+      timeoutMs: ATTEMPT_TIMEOUT_MS,
     });
     if (answer.kind === "failure") {
       return {
-        ...FAILED_TRY,
+        ...FAILED_ATTEMPT,
         outcome: answer.failure.outcome === "notRun" ? "notSent" : "broken",
       };
     }
-    if (answer.value.status === 200) return readAnswer(answer.value.json);
-    return readRefusal(answer.value.json, call);
+    if (answer.value.status === 200) return parseAnswer(answer.value.json);
+    return parseRefusal(answer.value.json, call);
   }
 
   /** Callers read the same event format that engines write. */
-  async #stream(
+  async #streamCompletion(
     call: Call,
-    known: addressBooks.KnownAddress,
-  ): Promise<TryResult> {
+    target: addressBooks.ServiceAddress,
+  ): Promise<AttemptResult> {
     const { token, model, maxTokens } = this.#settings;
     const tokens: number[] = [];
-    let answer: TryResult = FAILED_TRY;
+    let answer: AttemptResult = FAILED_ATTEMPT;
     await new Promise<void>((resolve) => {
       const body = JSON.stringify({
         model,
@@ -202,8 +208,8 @@
       let status = 0;
       let refusal = "";
       httpClient.openExchange({
-        address: known.address,
-        port: known.port,
+        address: target.address,
+        port: target.port,
         method: "POST",
         path: "/v1/completions",
         headers: {
@@ -211,7 +217,7 @@
           authorization: `Bearer ${token}`,
         },
         body,
-        timeoutMs: TRY_TIMEOUT_MS,
+        timeoutMs: ATTEMPT_TIMEOUT_MS,
       }, {
         onHead(head) {
           status = head.status;
@@ -223,17 +229,20 @@
         onEnd() {
           answer = status === 200
             ? {
-              ...FAILED_TRY,
+              ...FAILED_ATTEMPT,
               outcome: reader.isEnded() ? "answered" : "broken",
               answeredId: call.callId,
               isWhole: reader.isEnded(),
               tokens,
             }
-            : readRefusal(JSON.parse(refusal), call);
+            : parseRefusal(JSON.parse(refusal), call);
           resolve();
         },
         onFail({ isSent }) {
-          answer = { ...FAILED_TRY, outcome: isSent ? "broken" : "notSent" };
+          answer = {
+            ...FAILED_ATTEMPT,
+            outcome: isSent ? "broken" : "notSent",
+          };
           resolve();
         },
       });
@@ -242,7 +251,7 @@
   }
 }
 
-function readAnswer(json: unknown): TryResult {
+function parseAnswer(json: unknown): AttemptResult {
   const { callId, text, checksum } = json as {
     readonly callId: string;
     readonly text: string;
@@ -250,10 +259,15 @@
   };
   const isWhole = zlib.crc32(text) === checksum &&
     text.startsWith(`${callId} `);
-  return { ...FAILED_TRY, outcome: "answered", answeredId: callId, isWhole };
+  return {
+    ...FAILED_ATTEMPT,
+    outcome: "answered",
+    answeredId: callId,
+    isWhole,
+  };
 }
 
-function readRefusal(json: unknown, call: Call): TryResult {
+function parseRefusal(json: unknown, call: Call): AttemptResult {
   const { error } = json as {
     readonly error: {
       readonly outcome: string;
@@ -262,14 +276,14 @@
   };
   const retryAfterMs = error.retryAfterMs;
   if (error.outcome === "notRun" && retryAfterMs === undefined) {
-    return { ...FAILED_TRY, outcome: "refused" };
+    return { ...FAILED_ATTEMPT, outcome: "refused" };
   }
   const outcome = error.outcome === "notRun" ? "notRun" : "unknown";
   const isFinal = outcome === "unknown" && call.operation === "sync";
   return {
-    ...FAILED_TRY,
+    ...FAILED_ATTEMPT,
     outcome,
-    retryAfterMs: isFinal ? 0 : retryAfterMs ?? DEFAULT_RETRY_MS,
+    retryAfterMs: isFinal ? 0 : retryAfterMs ?? DEFAULT_RETRY_DELAY_MS,
   };
 }
 
--- a/tools/stand_ins/run_engine.ts
+++ b/tools/stand_ins/run_engine.ts
@@ -28,9 +28,9 @@
   readonly #ledger: ledgers.LedgerWriter;
   readonly #core: engineCores.EngineCore;
   readonly #random: ReturnType<typeof generator.xoroshiro128plus>;
-  readonly #born = Date.now();
+  readonly #startedAtMs = Date.now();
   #report: object;
-  #fence = 0;
+  #highestFence = 0;
 
   constructor(settings: EngineProcessSettings) {
     this.#settings = settings;
@@ -42,10 +42,10 @@
 
   /** What it says of itself; now and then what no reader can use. */
   #describe(): object {
-    const report = { ...this.#core.describe(), born: this.#born };
-    const isSound = distribution.uniformFloat64(this.#random) >=
+    const report = { ...this.#core.describe(), born: this.#startedAtMs };
+    const isReadable = distribution.uniformFloat64(this.#random) >=
       this.#settings.wrongReports;
-    return isSound ? report : { ...report, slots: "many" };
+    return isReadable ? report : { ...report, slots: "many" };
   }
 
   async start(): Promise<void> {
@@ -57,11 +57,11 @@
     await jsonServers.startServer(
       address,
       port,
-      (request) => this.#answer(request),
+      (request) => this.#handleRequest(request),
     );
   }
 
-  #answer(request: jsonServers.StandInRequest): Promise<void> | void {
+  #handleRequest(request: jsonServers.StandInRequest): Promise<void> | void {
     switch (`${request.method} ${request.path}`) {
       case "GET /v1/status":
         return jsonServers.answerJson(request.response, 200, this.#report);
@@ -74,7 +74,7 @@
       case "POST /v1/completions":
         return this.#generate(request);
       case "POST /v1/orders":
-        return this.#takeOrder(request);
+        return this.#handleOrder(request);
       default:
         return jsonServers.answerJson(request.response, 404, {});
     }
@@ -99,12 +99,12 @@
     });
   }
 
-  async #takeOrder(
+  async #handleOrder(
     { json, response }: jsonServers.StandInRequest,
   ): Promise<void> {
     const fence = Number(json["fence"]);
-    const isOld = this.#settings.checksFence && fence < this.#fence;
-    const isTaken = !isOld && !this.#core.isSwapping();
+    const isFenced = this.#settings.checksFence && fence < this.#highestFence;
+    const isTaken = !isFenced && !this.#core.isSwapping();
     const model = String(json["model"] ?? "");
     const weightVersion = Number(json["weight_version"] ?? 0);
     this.#ledger.add({
@@ -116,7 +116,7 @@
       isTaken,
       atMs: Date.now(),
     });
-    if (isOld) {
+    if (isFenced) {
       return jsonServers.answerJson(response, 409, {
         error: "the fencing number is old",
       });
@@ -126,16 +126,16 @@
         error: "a swap is under way",
       });
     }
-    this.#fence = Math.max(this.#fence, fence);
+    this.#highestFence = Math.max(this.#highestFence, fence);
     if (json["kind"] === "set_role") {
       this.#core.setRole(String(json["role"]));
       return jsonServers.answerJson(response, 200, {});
     }
-    const isLoaded = await this.#load(model, weightVersion);
+    const isLoaded = await this.#loadWeights(model, weightVersion);
     jsonServers.answerJson(response, isLoaded ? 200 : 503, {});
   }
 
-  async #load(model: string, weightVersion: number): Promise<boolean> {
+  async #loadWeights(model: string, weightVersion: number): Promise<boolean> {
     const path = `/v1/models/${
       encodeURIComponent(model)
     }/versions/${weightVersion}`;
@@ -146,7 +146,7 @@
     if (
       distribution.uniformFloat64(this.#random) < this.#settings.failedSwaps
     ) return false;
-    await this.#core.swap(model, weightVersion, this.#settings.swapMs);
+    await this.#core.swapWeights(model, weightVersion, this.#settings.swapMs);
     return true;
   }
 }
--- a/tools/stand_ins/run_plain_server.ts
+++ b/tools/stand_ins/run_plain_server.ts
@@ -19,7 +19,7 @@
 class PlainServerProcess {
   readonly #settings: PlainServerSettings;
   readonly #ledger: ledgers.LedgerWriter;
-  readonly #born = Date.now();
+  readonly #startedAtMs = Date.now();
   #active = 0;
 
   constructor(settings: PlainServerSettings) {
@@ -32,14 +32,14 @@
     await jsonServers.startServer(
       address,
       port,
-      (request) => this.#answer(request),
+      (request) => this.#handleRequest(request),
     );
   }
 
-  async #answer(request: jsonServers.StandInRequest): Promise<void> {
+  async #handleRequest(request: jsonServers.StandInRequest): Promise<void> {
     if (request.path === "/v1/status") {
       return jsonServers.answerJson(request.response, 200, {
-        born: this.#born,
+        born: this.#startedAtMs,
         active: this.#active,
         queued: 0,
         slots: this.#settings.slots,
--- a/tools/stand_ins/run_platform.ts
+++ b/tools/stand_ins/run_platform.ts
@@ -34,7 +34,7 @@
 }
 
 /** Entries that name no server to use. */
-const WRONG_ENTRIES = [
+const INVALID_ENTRIES = [
   { id: "w-1", service: "sommelier-lm", state: "live" },
   { id: "w-2", state: "resting", kind: 5 },
   "w-3",
@@ -46,7 +46,7 @@
   settings: Extract<PlatformSettings, { kind: "boxList" }>,
 ): Promise<void> {
   let current = settings.servers;
-  let told = current;
+  let reported = current;
   await jsonServers.startServer(
     settings.address,
     settings.port,
@@ -54,7 +54,7 @@
       if (method === "GET") {
         // Other writers' entries stand beside those of servers.
         return jsonServers.answerJson(response, 200, {
-          servers: [...told, ...WRONG_ENTRIES],
+          servers: [...reported, ...INVALID_ENTRIES],
         });
       }
       const id = path.split("/").at(-1);
@@ -65,9 +65,9 @@
             ? { ...server, state: json["state"] as "leaving" }
             : server
         );
-      const later = current;
+      const updated = current;
       setTimeout(() => {
-        told = later;
+        reported = updated;
       }, settings.lagMs);
       jsonServers.answerJson(response, 200, {});
     },
@@ -79,9 +79,9 @@
   settings: Extract<PlatformSettings, { kind: "weightStore" }>,
 ): Promise<void> {
   const latest = new Map(Object.entries(settings.models));
-  let allowance = settings.downloadsPerSecond;
+  let remainingDownloads = settings.downloadsPerSecond;
   setInterval(() => {
-    allowance = settings.downloadsPerSecond;
+    remainingDownloads = settings.downloadsPerSecond;
   }, 1_000);
   await jsonServers.startServer(
     settings.address,
@@ -102,8 +102,10 @@
         }));
         return jsonServers.answerJson(response, 200, { models });
       }
-      if (allowance <= 0) return jsonServers.answerJson(response, 429, {});
-      allowance -= 1;
+      if (remainingDownloads <= 0) {
+        return jsonServers.answerJson(response, 429, {});
+      }
+      remainingDownloads -= 1;
       await sleeps.sleep(settings.downloadMs);
       jsonServers.answerJson(response, 200, {});
     },
--- a/tools/stand_ins/run_trainer.ts
+++ b/tools/stand_ins/run_trainer.ts
@@ -9,7 +9,7 @@
   readonly template: string;
   readonly model: string;
   readonly token: string;
-  readonly seeds: readonly addressBooks.KnownAddress[];
+  readonly seeds: readonly addressBooks.ServiceAddress[];
   readonly ledgerFile: string;
   readonly storeUrl: string;
   readonly steps: number;
@@ -33,21 +33,21 @@
   readonly spans: readonly ledgers.SpanEntry[];
 }
 
-const WAIT_MS = 2_000;
+const FETCH_WAIT_MS = 2_000;
 const CALL_TIMEOUT_MS = 15_000;
-const PAUSE_MS = 100;
+const RETRY_DELAY_MS = 100;
 
 /** A trainer: asks for steps, trains, publishes weights. */
 class TrainerProcess {
   readonly #settings: TrainerSettings;
   readonly #ledger: ledgers.LedgerWriter;
-  readonly #book: addressBooks.AddressBook;
+  readonly #addressBook: addressBooks.AddressBook;
   #weightVersion = 1;
 
   constructor(settings: TrainerSettings) {
     this.#settings = settings;
     this.#ledger = new ledgers.LedgerWriter(settings.ledgerFile);
-    this.#book = new addressBooks.AddressBook(
+    this.#addressBook = new addressBooks.AddressBook(
       settings.seeds,
       settings.name.length,
     );
@@ -55,19 +55,19 @@
 
   async run(): Promise<void> {
     const endMs = Date.now() + this.#settings.endMs;
-    await this.#open(1);
+    await this.#openStep(1);
     for (
       let step = 1;
       step <= this.#settings.steps && Date.now() < endMs;
       step += 1
     ) {
       const startMs = Date.now();
-      const received = await this.#collect(step);
+      const received = await this.#collectSamples(step);
       const idleMs = Date.now() - startMs;
       const isLast = step === this.#settings.steps;
-      if (!isLast) await this.#open(step + 1);
+      if (!isLast) await this.#openStep(step + 1);
       await sleeps.sleep(this.#settings.trainMs);
-      await this.#publish();
+      await this.#publishWeights();
       this.#ledger.add({
         kind: "step",
         trainer: this.#settings.name,
@@ -88,38 +88,40 @@
     return `${this.#settings.name} tasting note ${step}.${group}`;
   }
 
-  async #open(step: number): Promise<void> {
+  async #openStep(step: number): Promise<void> {
     const prompts = Array.from(
       { length: this.#settings.groups },
       (_, group) => this.#getPrompt(step, group),
     );
-    await this.#call("open", { step, prompts });
+    await this.#callService("open", { step, prompts });
   }
 
   /** Fetches until every slot has come once. */
-  async #collect(step: number): Promise<number> {
-    const held = new Set<number>();
-    while (held.size < this.#countSlots()) {
-      const fetched = await this.#call("fetch", {
+  async #collectSamples(step: number): Promise<number> {
+    const receivedSlots = new Set<number>();
+    while (receivedSlots.size < this.#countSlots()) {
+      const fetched = await this.#callService("fetch", {
         step,
         trainerVersion: this.#weightVersion,
-        waitMs: WAIT_MS,
+        waitMs: FETCH_WAIT_MS,
       }) as {
         readonly samples: readonly ReceivedSample[];
         readonly isComplete: boolean;
       };
       for (const sample of fetched.samples) {
-        this.#note(step, sample);
-        held.add(sample.slot);
+        this.#recordSample(step, sample);
+        receivedSlots.add(sample.slot);
       }
       const slots = fetched.samples.map((sample) => sample.slot);
-      if (slots.length > 0) await this.#call("acknowledge", { step, slots });
+      if (slots.length > 0) {
+        await this.#callService("acknowledge", { step, slots });
+      }
       if (fetched.isComplete) break;
     }
-    return held.size;
+    return receivedSlots.size;
   }
 
-  #note(step: number, sample: ReceivedSample): void {
+  #recordSample(step: number, sample: ReceivedSample): void {
     const { name, model, groupSize, maxVersionsBehind, maxAgeMs } =
       this.#settings;
     const { slot, sampleId, tokens, spans } = sample;
@@ -143,7 +145,7 @@
     });
   }
 
-  async #publish(): Promise<void> {
+  async #publishWeights(): Promise<void> {
     this.#weightVersion += 1;
     await httpClient.sendJson({
       baseUrl: this.#settings.storeUrl,
@@ -155,12 +157,12 @@
   }
 
   /** Asks until answered; every trainer call may be repeated. */
-  async #call(action: string, body: object): Promise<unknown> {
+  async #callService(action: string, body: object): Promise<unknown> {
     const { name, template, token } = this.#settings;
     for (;;) {
-      const known = await this.#book.pick();
+      const target = await this.#addressBook.pick();
       const answer = await httpClient.sendJson({
-        baseUrl: `http://${known.address}:${known.port}`,
+        baseUrl: `http://${target.address}:${target.port}`,
         method: "POST",
         path: `/v1/trainers/${name}/${action}`,
         headers: { authorization: `Bearer ${token}` },
@@ -170,8 +172,8 @@
       if (answer.kind === "ok" && answer.value.status === 200) {
         return answer.value.json;
       }
-      this.#book.avoid(known.box);
-      await sleeps.sleep(PAUSE_MS);
+      this.#addressBook.avoid(target.box);
+      await sleeps.sleep(RETRY_DELAY_MS);
     }
   }
 }
