--- a/tools/bench/bench_accounts.ts
+++ b/tools/bench/bench_accounts.ts
@@ -1,5 +1,5 @@
 /**
- * What a key costs a request, and what usage costs the box that sums it.
+ * Measures the cost of a key check and of merging and summing usage totals.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 const CHECK_COUNT = 200_000;
 const KEYS_PER_ACCOUNT = 2;
 const US_PER_MS = 1_000;
-/** Boxes that tell totals, and accounts that each of them counted. */
+/** Numbers of boxes that report usage, and of client accounts of each box. */
 const USAGE_SIZES = [
   { boxes: 69, accounts: 4 },
   { boxes: 330, accounts: 40 },
@@ -38,7 +38,7 @@
   );
 }
 
-/** Measures the check of known and unknown keys by turns. */
+/** Measures the mean time of a key check; half of the keys are unknown. */
 function measureKeyChecks(count: number): object {
   const known = createAccounts(count);
   const keys = Array.from(
@@ -57,7 +57,7 @@
   };
 }
 
-/** Measures the totals of one window of all boxes, told twice, and summed. */
+/** Measures merging two reports of one window from every box, then the sum. */
 function measureUsageTotals(
   { boxes, accounts: accountsPerBox }: (typeof USAGE_SIZES)[number],
 ): object {
@@ -84,7 +84,7 @@
   };
 }
 
-/** Measures keys and usage at growing sizes. */
+/** Measures key checks and usage totals at growing sizes. */
 export function benchAccounts(): void {
   const checks = ACCOUNT_COUNTS.map(measureKeyChecks);
   const merges = USAGE_SIZES.map(measureUsageTotals);
--- a/tools/bench/bench_control.ts
+++ b/tools/bench/bench_control.ts
@@ -12,21 +12,21 @@
 const START_TIMEOUT_MS = 30_000;
 const CHANGE_EVERY_MS = 150;
 const CHANGES = 100;
-/** Time after the start in which the engine still compiles, in ms. */
+/** Time for the JIT compiler of the daemons to warm up, in ms. */
 const WARM_UP_MS = 40_000;
 const IDLE_SECONDS = 10;
 const IN_FORCE_WAIT_MS = 10_000;
 const CALL_TIMEOUT_MS = 12_000;
 
-/** An accepted change. */
+/** A change that the control plane accepted. */
 interface AcceptedChange {
   readonly revision: number;
   readonly isInForce: boolean;
-  /** Time from sending to the answer that it is in force, in ms. */
+  /** Time from the first attempt to the answer, in ms. */
   readonly tookMs: number;
 }
 
-/** One run over a number of boxes. */
+/** Runs the control bench on a deployment of its own. */
 class ControlBench {
   readonly #boxes: readonly cascades.DeployedBox[];
   readonly #deployment: deployments.Deployment;
@@ -118,7 +118,7 @@
     return accepted;
   }
 
-  /** Time from a leader's end to the next accepted change, in ms. */
+  /** Measures the time from a leader's failure to an accepted change, in ms. */
   async #measureFailover(signal: "SIGKILL" | "SIGSTOP"): Promise<number> {
     const status = await this.#sendRequest("GET", "/v1/status") as {
       readonly leader: string;
@@ -138,7 +138,7 @@
     return tookMs;
   }
 
-  /** Gives the leader orders to send to the engine. */
+  /** Publishes a weight version; the leader then sends orders to the engine. */
   async #publishWeights(): Promise<void> {
     this.#weightVersion += 1;
     await httpClient.sendJson({
@@ -154,7 +154,7 @@
     });
   }
 
-  /** Counts orders that came after one with a higher fencing number. */
+  /** Counts orders that arrived after one with a higher fencing number. */
   #countStaleOrders(): OrderCounts {
     const entries = ledgers.readLedgers(this.#deployment.getLedgerFolder());
     const orders = entries.filter((entry) => entry.kind === "order").sort((
@@ -170,7 +170,7 @@
     return { orders: orders.length, staleOrders };
   }
 
-  /** Sends a change until it is answered, always under the same id. */
+  /** Repeats a change under the same request id until it is accepted. */
   async #putUntilAnswered(path: string, body: object): Promise<AcceptedChange> {
     const startMs = Date.now();
     for (;;) {
@@ -191,10 +191,9 @@
     const runningBoxes = this.#boxes.filter((candidate) =>
       candidate.box !== this.#stoppedBox
     );
-    const box =
-      runningBoxes[
-        this.#requestCount % runningBoxes.length
-      ] as cascades.DeployedBox;
+    const box = runningBoxes[
+      this.#requestCount % runningBoxes.length
+    ] as cascades.DeployedBox;
     return await askAdmin.askAdmin(box.address, {
       method,
       path,
@@ -290,13 +289,13 @@
   }
 }
 
-/** Orders that the engine was given. */
+/** Orders that the engine received. */
 interface OrderCounts {
   readonly orders: number;
   readonly staleOrders: number;
 }
 
-/** Processor time and memory of the daemons. */
+/** Processor time, as a fraction of one core, and memory of the daemons. */
 interface DaemonUsage {
   readonly replicaCpuFraction: number;
   readonly entryCpuFraction: number;
@@ -314,9 +313,10 @@
 }
 
 /**
- * Measures changes, failover and the cost of control.
+ * Measures the latency of changes, failover, and the processor time and memory
+ * of the control plane.
  *
- * @param boxCount How many boxes; five of them hold the state.
+ * @param boxCount Number of boxes; up to five of them hold the state.
  */
 export async function benchControl(boxCount: number): Promise<void> {
   await new ControlBench(boxCount).run();
--- a/tools/bench/bench_dispatch.ts
+++ b/tools/bench/bench_dispatch.ts
@@ -6,7 +6,7 @@
 import * as registry from "../../src/registry/mod.ts";
 import type * as submissions from "../../src/submission/mod.ts";
 
-/** Numbers of items and engines that are measured. */
+/** Numbers of waiting items and of engines to measure. */
 const SIZES = [
   { items: 200, engines: 31 },
   { items: 2_000, engines: 100 },
@@ -17,7 +17,7 @@
 const MODEL_COUNT = 6;
 const STEP_COUNT = 40;
 const GROUP_COUNT = 16;
-/** Share of the engines that are slow, so that runs there want to move. */
+/** Every engine whose index is a multiple of this is slow, to cause moves. */
 const SLOW_ENGINE_INTERVAL = 4;
 
 function createEngine(index: number): registry.RegisteredServer {
@@ -75,16 +75,19 @@
   return new dispatch.ItemTask(submission, item, step, 0);
 }
 
+/** Durations of one round. */
 interface Timing {
-  /** A plan of all items. */
+  /** Time to order all items without an earlier plan, in ms. */
   readonly planMs: number;
-  /** An event while the plan holds. */
+  /** Time to order the items again while the plan is valid, in ms. */
   readonly eventMs: number;
+  /** Time to place the items on engines, in ms. */
   readonly placeMs: number;
+  /** Time to plan moves between engines, in ms. */
   readonly moveMs: number;
 }
 
-/** Places all waiting items once and plans the moves of those that run. */
+/** Orders and places all waiting items, then plans moves of running ones. */
 function measureRound(items: number, engineCount: number): Timing {
   const clock = new clocks.FakeClock(1_000);
   const engineTable = new dispatch.EngineTable(clock);
@@ -144,7 +147,7 @@
   return Math.round((sorted[Math.floor(sorted.length / 2)] ?? 0) * 100) / 100;
 }
 
-/** Measures the decisions of one round of the dispatcher. */
+/** Measures the dispatcher's decisions in one round, at growing sizes. */
 export function benchDispatch(): void {
   const results = SIZES.map(({ items, engines }) => {
     const timings = Array.from(
--- a/tools/bench/bench_load.ts
+++ b/tools/bench/bench_load.ts
@@ -11,15 +11,16 @@
 const US_PER_MS = 1_000;
 const SLOTS_PER_SERVER = 6;
 
-/** A row of the table of load patterns. */
+/** Outcome of a load pattern, as printed. Shares are of the requests sent. */
 interface LoadRow {
   readonly pattern: string;
+  /** Whether the replay weighs the load of the backend servers. */
   readonly weighed: boolean;
   readonly inTarget: string;
   readonly served: string;
   readonly refusedTwice: string;
   readonly attempts: string;
-  /** Longest time for which a request was held and then refused, in ms. */
+  /** Longest time that a request waited before it was refused, in ms. */
   readonly longestRefusalMs: number;
 }
 
@@ -57,7 +58,7 @@
   return (performance.now() - startMs) * US_PER_MS / ROUNDS;
 }
 
-/** Time to choose a server among so many, in us. */
+/** Measures the time to choose among `count` backend servers, in us. */
 function measureChoice(count: number): number {
   const clock = new clocks.FakeClock(0);
   const servers = Array.from(
@@ -80,7 +81,7 @@
   return measureMeanUs(() => forwarding.chooseServer(choice));
 }
 
-/** Time to let one request wait and to give one its turn, in us. */
+/** Measures the time to dequeue and enqueue a request among `count`, in us. */
 function measureQueueTurn(count: number): number {
   const queue = new admission.WaitingLine();
   let nowMs = 0;
@@ -101,7 +102,10 @@
   });
 }
 
-/** Replays the worst loads with and without weighing them, and times decisions. */
+/**
+ * Replays the load patterns with and without weighing load, and measures the
+ * time of a server choice and of a queue operation.
+ */
 export async function benchLoad(): Promise<void> {
   const rows: LoadRow[] = [];
   for (const pattern of loadReplays.LOAD_PATTERNS) {
--- a/tools/bench/bench_path.ts
+++ b/tools/bench/bench_path.ts
@@ -28,11 +28,14 @@
 
 type TargetName = "direct" | "bare" | "hoistscale";
 
-/** Figures of one target, over all rounds. */
+/** Medians of one target over all rounds. */
 interface TargetFigures {
+  /** Throughput of the closed loop, in requests a second. */
   readonly perSecond: number;
+  /** Latency of the open loop, in ms. */
   readonly p50Ms: number;
   readonly p99Ms: number;
+  /** Failed requests of both loops, summed over all rounds. */
   readonly failed: number;
 }
 
@@ -163,7 +166,7 @@
   return [...values].sort((a, b) => a - b)[Math.floor(values.length / 2)] ?? 0;
 }
 
-/** Takes turns between the targets, so that drift of the machine hits all. */
+/** Alternates between the targets, so that drift of the box affects each. */
 async function measureTargets(): Promise<
   Readonly<Record<TargetName, TargetFigures>>
 > {
@@ -218,7 +221,10 @@
   return Math.round(value * 1_000) / 1_000;
 }
 
-/** Measures what hoistscale adds to a request, against a bare pass-through. */
+/**
+ * Measures the latency, throughput and memory of hoistscale on the path of a
+ * request, compared with a minimal reverse proxy and with no proxy.
+ */
 export async function benchPath(): Promise<void> {
   const settings = writeSettings();
   const relay = new linkRelays.LinkRelay({
--- a/tools/bench/bench_rolling.ts
+++ b/tools/bench/bench_rolling.ts
@@ -14,11 +14,11 @@
 const COMPLETION_TOKENS = 64;
 const ANSWER_LENGTHS = { median: 20, sigma: 0.6 };
 const ACCOUNT_TOKEN = "account-token-of-the-bench";
-/** Longest time that one box may take to stop and serve again, in ms. */
+/** Time allowed for one box to stop and serve again, in ms. */
 const BOX_RESTART_TIMEOUT_MS = 30_000;
 const OPERATIONS = ["lookup", "sync", "completion"] as const;
 
-/** Restarts every box in turn under load. */
+/** A deployment whose boxes are restarted in turn under load. */
 class RollingRestart {
   readonly #boxes = cascades.listBoxes(BOXES, REPLICAS);
   readonly #deployment = new deployments.Deployment({
@@ -104,7 +104,7 @@
     );
   }
 
-  /** Waits until so many boxes are told to callers. */
+  /** Waits until every box lists `count` addresses to callers. */
   async #waitForBoxes(count: number): Promise<void> {
     const endMs = Date.now() + START_TIMEOUT_MS;
     for (;;) {
@@ -114,7 +114,9 @@
       if (listedCounts.every((number) => number === count)) return;
       if (Date.now() > endMs) {
         throw new Error(
-          `Cannot go on: ${listedCounts.join(",")} of ${count} boxes are told`,
+          `Timed out: the boxes list ${
+            listedCounts.join(",")
+          } of ${count} addresses`,
         );
       }
       await sleeps.sleep(100);
@@ -192,12 +194,15 @@
   }
 }
 
-/** From the first send to the final answer, in ms. */
+/** Returns the time from the first attempt to the final answer, in ms. */
 function getLatencyMs(call: ledgers.CallEntry): number {
   return (call.tries.at(-1)?.endedMs ?? 0) - (call.tries[0]?.sentMs ?? 0);
 }
 
-/** Restarts every box in turn while callers ask. */
+/**
+ * Restarts every box in turn while callers send requests, and reports failed,
+ * truncated and repeated requests.
+ */
 export async function benchRolling(): Promise<void> {
   await new RollingRestart().run();
 }
--- a/tools/bench/bench_slopes.ts
+++ b/tools/bench/bench_slopes.ts
@@ -11,14 +11,17 @@
 const SIZES = [6, 12, 24, 48];
 const REPLICAS = 5;
 const START_TIMEOUT_MS = 60_000;
-/** Time after the start in which the engine still compiles, in ms. */
+/** Time for the JIT compiler of the daemons to warm up, in ms. */
 const WARM_UP_MS = 40_000;
 const IDLE_SECONDS = 10;
 const CHANGES = 40;
 const CALL_TIMEOUT_MS = 10_000;
 const BYTES_PER_KB = 1_024;
 
-/** What one size of deployment costs. */
+/**
+ * Cost of a deployment of one size. Processor time is a fraction of one core;
+ * traffic is that of an entry box with the replicas.
+ */
 interface SizeFigures {
   readonly boxes: number;
   readonly leaderCpu: number;
@@ -34,7 +37,7 @@
   readonly inForceMaxMs: number;
 }
 
-/** One deployment of a given size. */
+/** Measures a deployment of a given size. */
 class SizeRun {
   readonly #boxes: readonly cascades.DeployedBox[];
   readonly #deployment: deployments.Deployment;
@@ -210,7 +213,7 @@
   }
 }
 
-/** Slope of a least-squares line over the number of boxes. */
+/** Computes the slope of the least-squares line over the number of boxes. */
 function computeSlope(
   figures: readonly SizeFigures[],
   getFigure: (figure: SizeFigures) => number,
@@ -234,7 +237,7 @@
   return Math.round(value * 100_000) / 100_000;
 }
 
-/** Measures how cost grows with the number of daemons. */
+/** Measures how the cost of control grows with the number of boxes. */
 export async function benchSlopes(): Promise<void> {
   const figures: SizeFigures[] = [];
   for (const size of SIZES) {
--- a/tools/bench/bench_steps.ts
+++ b/tools/bench/bench_steps.ts
@@ -3,12 +3,12 @@
 import type * as stepSchedule from "../../src/step_schedule/mod.ts";
 
 const SEEDS = [1, 2] as const;
-/** Work as a share of the room there is. */
+/** Offered load as a multiple of the capacity. */
 const LOAD_RATIOS = [0.8, 1, 1.25, 1.5] as const;
 const SLOTS_PER_ENGINE = 6;
-/** Engines that all groups of the trainers below keep busy. */
+/** Engines that the trainers below keep busy at a load of 1. */
 const ENGINES_AT_FULL_LOAD = 9.2;
-/** How much longer each third engine takes for an event. */
+/** Time for an event relative to the mean, by engine index modulo 3. */
 const SLOWDOWN_FACTORS = [0.95, 0.95, 1.3] as const;
 
 const TRAINERS: readonly stepLoads.ReplayedTrainer[] = [
@@ -77,7 +77,10 @@
   return Math.round((sum / values.length) * 1_000) / 1_000;
 }
 
-/** Compares the ways to plan steps on the same loads; the last row knows lengths. */
+/**
+ * Compares the schedule policies on the same loads. The last row of each load
+ * shows admission with known answer lengths.
+ */
 export function benchSteps(): void {
   const results = LOAD_RATIOS.flatMap((load) => [
     ...Object.entries(POLICIES).map(([way, policy]) => ({
--- a/tools/bench/control_deployment.ts
+++ b/tools/bench/control_deployment.ts
@@ -1,25 +1,25 @@
 import * as cascades from "../deployment/cascade.ts";
 import * as deployments from "../deployment/deployment.ts";
 
-/** Model whose versions give the leader orders to send. */
+/** Model whose new weight versions cause orders from the leader. */
 export const MODEL = "sommelier-lm";
 
-/** Path of the template that is changed. */
+/** Admin path of the rollout template that the benches change. */
 export const TEMPLATE_PATH = "/v1/accounts/cascade/templates/notes";
 
-/** What a deployment for control benches is made of. */
+/** Options of a deployment for the control benches. */
 export interface ControlDeploymentOptions {
   readonly folder: string;
   readonly boxes: readonly cascades.DeployedBox[];
-  /** A box that reaches the replicas through relays. */
+  /** Box whose traffic with the replicas passes through relays. */
   readonly relayedBox?: string;
 }
 
 /**
- * Builds a deployment that is almost all control: one engine, one plain server.
+ * Creates a deployment with a minimal data plane: one engine, one plain server.
  *
  * @param options Folder and boxes.
- * @returns The deployment, not started.
+ * @returns The deployment, not yet started.
  */
 export function createControlDeployment(
   options: ControlDeploymentOptions,
--- a/tools/bench/http_load.ts
+++ b/tools/bench/http_load.ts
@@ -1,7 +1,7 @@
 import * as http from "node:http";
 import * as hdr from "hdr-histogram-js";
 
-/** Where load goes. */
+/** Target of a load: a GET request that is repeated. */
 export interface LoadTarget {
   readonly address: string;
   readonly port: number;
@@ -9,10 +9,12 @@
   readonly headers: Readonly<Record<string, string>>;
 }
 
-/** What a load brought. */
+/** Result of a load run. */
 export interface LoadResult {
+  /** Requests answered with 200. */
   readonly answered: number;
   readonly failed: number;
+  /** Throughput, in answered requests a second. */
   readonly perSecond: number;
   readonly p50Ms: number;
   readonly p99Ms: number;
@@ -22,7 +24,7 @@
 const US_PER_MS = 1_000;
 const MAX_LATENCY_US = 60_000_000;
 
-/** Sends requests to one target over kept connections. */
+/** Sends requests to one target over keep-alive connections. */
 class LoadRun {
   readonly #target: LoadTarget;
   readonly #agent: http.Agent;
@@ -41,7 +43,7 @@
     });
   }
 
-  /** Sends one request; its latency counts from when it was due. */
+  /** Sends one request; its latency is measured from `dueMs`. */
   send(dueMs: number): Promise<void> {
     const { address, port, path, headers } = this.#target;
     return new Promise((resolve) => {
@@ -67,6 +69,7 @@
     });
   }
 
+  /** Closes the connections and returns the result of a run of `seconds`. */
   finish(seconds: number): LoadResult {
     this.#agent.destroy();
     const answered = this.#histogram.totalCount;
@@ -94,12 +97,12 @@
 }
 
 /**
- * Sends as fast as answers come, with a fixed number of requests under way.
+ * Runs a closed loop: a fixed number of requests is always in flight.
  *
- * @param target Where to.
- * @param concurrency Requests under way.
- * @param seconds How long.
- * @returns What came back.
+ * @param target Target of the requests.
+ * @param concurrency Number of requests in flight.
+ * @param seconds Duration, in s.
+ * @returns Counts, throughput and latencies.
  */
 export async function runClosedLoop(
   target: LoadTarget,
@@ -117,13 +120,14 @@
 }
 
 /**
- * Sends on a fixed schedule whatever the answers do, so that slow answers are
- * not left out of the figures.
+ * Runs an open loop: requests are sent on a fixed schedule, so that slow
+ * answers do not delay later requests and hide their latency (coordinated
+ * omission).
  *
- * @param target Where to.
- * @param perSecond Requests a second.
- * @param seconds How long.
- * @returns What came back, latency counted from when each was due.
+ * @param target Target of the requests.
+ * @param perSecond Rate, in requests a second.
+ * @param seconds Duration, in s.
+ * @returns Counts, throughput and latencies, measured from the scheduled times.
  */
 export async function runOpenLoop(
   target: LoadTarget,
--- a/tools/bench/process_usage.ts
+++ b/tools/bench/process_usage.ts
@@ -4,13 +4,13 @@
 const BYTES_PER_MB = 1_048_576;
 const BYTES_PER_KB = 1_024;
 
-/** What a process has used. */
+/** Resources that a process uses. */
 export interface ProcessUsage {
-  /** Processor time, in s. */
+  /** Processor time since the process started, in s. */
   readonly cpuSeconds: number;
   /** Resident memory, in MB. */
   readonly residentMb: number;
-  /** Memory of its own, without shared pages of the executable, in MB. */
+  /** Anonymous resident memory, without pages of mapped files, in MB. */
   readonly privateMb: number;
 }
 
@@ -20,8 +20,8 @@
 }
 
 /**
- * Sums the run times of all threads. The kernel counts them in ns, while the
- * times in `/proc/PID/stat` are sampled and blame short, regular work wrongly.
+ * Sums the run times of all threads. The scheduler counts these exactly, while
+ * the times in `/proc/PID/stat` are sampled and misjudge short, regular work.
  */
 function readCpuSeconds(pid: number): number {
   const folder = `/proc/${pid}/task`;
@@ -34,10 +34,10 @@
 }
 
 /**
- * Reads what a process has used, as the kernel tells.
+ * Reads the resource usage of a process from `/proc`.
  *
  * @param pid Id of the process.
- * @returns Its usage.
+ * @returns Its usage; throws if the process does not exist.
  */
 export function readUsage(pid: number): ProcessUsage {
   const status = fs.readFileSync(`/proc/${pid}/status`, "utf8");
--- a/tools/bench/run_backend.ts
+++ b/tools/bench/run_backend.ts
@@ -1,5 +1,5 @@
 /**
- * A plain backend server for benches: answers at once, keeps no ledger.
+ * Backend server for benches: answers every request at once, writes no ledger.
  *
  * @example `tsx tools/bench/run_backend.ts ADDRESS PORT`
  * @module
--- a/tools/bench/run_bench.ts
+++ b/tools/bench/run_bench.ts
@@ -1,6 +1,7 @@
 /**
- * The bench: measures the product against plainer ways in the same run. The
- * last line of each measurement is JSON.
+ * Command line of the benches. The last line of each measurement is JSON. Where
+ * a bench compares hoistscale with simpler variants, both are measured in the
+ * same run.
  *
  * @example `npm run bench -- path`
  * @module
--- a/tools/bench/run_pass_through.ts
+++ b/tools/bench/run_pass_through.ts
@@ -1,6 +1,6 @@
 /**
- * The bare pass-through that the path is measured against: Node's `http` on
- * both sides, whole answers, nothing else.
+ * Minimal reverse proxy on Node's `http`, the baseline of the path bench. It
+ * buffers each answer and sends it whole.
  *
  * @example `tsx tools/bench/run_pass_through.ts ADDRESS PORT TARGET TARGET_PORT`
  * @module
--- a/tools/stand_ins/address_book.ts
+++ b/tools/stand_ins/address_book.ts
@@ -1,6 +1,6 @@
 import * as httpClient from "../../src/http_client/mod.ts";
 
-/** An address of hoistscale that a client may use. */
+/** Address of a box that serves callers and trainers. */
 export interface ServiceAddress {
   readonly box: string;
   readonly address: string;
@@ -9,9 +9,13 @@
 
 const REFRESH_TIMEOUT_MS = 1_000;
 const REFRESH_RETRY_DELAY_MS = 100;
+/** Time for which a box is passed over after a failure, in ms. */
 const AVOIDANCE_MS = 2_000;
 
-/** A client's side of "which address to use": asks, keeps, asks anew. */
+/**
+ * Chooses box addresses for a client, in turn. The list comes from the boxes
+ * themselves and is fetched again when it expires.
+ */
 export class AddressBook {
   readonly #seeds: readonly ServiceAddress[];
   #addresses: readonly ServiceAddress[] = [];
@@ -21,15 +25,18 @@
   #pendingRefresh: Promise<void> | undefined;
 
   /**
-   * @param seeds Addresses to ask first, from the client's own settings.
-   * @param startIndex Where to begin among the addresses.
+   * @param seeds Addresses from the client's settings, for the first request.
+   * @param startIndex Index of the first address to use; spreads the clients.
    */
   constructor(seeds: readonly ServiceAddress[], startIndex: number) {
     this.#seeds = seeds;
     this.#nextIndex = startIndex;
   }
 
-  /** Gives an address, asking for new ones where the answer has run out. */
+  /**
+   * Returns the next address, refreshing the list first if it has expired.
+   * Boxes that failed recently are used only if no other is left.
+   */
   async pick(): Promise<ServiceAddress> {
     if (Date.now() >= this.#expiresAtMs) {
       this.#pendingRefresh ??= this.#refresh().finally(() => {
@@ -45,7 +52,7 @@
     return pool[this.#nextIndex % pool.length] as ServiceAddress;
   }
 
-  /** Notes that an address failed. */
+  /** Passes over a box for a while, after a failed request. */
   avoid(box: string): void {
     this.#avoidedUntilMs = new Map([
       ...this.#avoidedUntilMs,
--- a/tools/stand_ins/answer_length.ts
+++ b/tools/stand_ins/answer_length.ts
@@ -3,21 +3,21 @@
 import * as generator from "pure-rand/generator/xoroshiro128plus";
 import * as zlib from "node:zlib";
 
-/** Shape of the answer lengths: log-normal, so a few are far longer. */
+/** Log-normal distribution of answer lengths. */
 export interface LengthDistribution {
   /** Median length, in tokens. */
   readonly median: number;
-  /** Standard deviation of the logarithm. */
+  /** Standard deviation of the natural logarithm of the length. */
   readonly sigma: number;
 }
 
 /**
- * Gives the length of the answer to a prompt; the same for the same prompt on
- * every engine.
+ * Draws the length of the answer to a prompt. The draw is seeded by the prompt,
+ * so that every engine gives the same length.
  *
  * @param prompt The prompt.
- * @param maxTokens Longest answer, in tokens.
- * @param distribution Shape of the lengths.
+ * @param maxTokens Upper limit of the length, in tokens.
+ * @param lengths Distribution of the lengths.
  * @returns Length, in tokens, at least 1.
  */
 export function getAnswerLength(
--- a/tools/stand_ins/cache_log.ts
+++ b/tools/stand_ins/cache_log.ts
@@ -1,9 +1,10 @@
 import * as zlib from "node:zlib";
 
-/** A cache event as it is told. */
+/** A prefix cache event, as the engine reports it. */
 export interface CacheEvent {
   readonly sequence: number;
   readonly kind: "stored" | "evicted";
+  /** CRC-32 of the prefix, in hexadecimal. */
   readonly prefix: string;
 }
 
@@ -11,17 +12,21 @@
   readonly atMs: number;
 }
 
-/** Time after which an event is told, in ms. */
+/** Delay before an event is reported, in ms. */
 const REPORT_DELAY_MS = 300;
-/** One event in so many is never told. */
+/** Every event whose sequence is a multiple of this is dropped. */
 const DROP_INTERVAL = 50;
 const MAX_EVENTS = 1_000;
 
-/** An engine's cache events: told late, and with gaps. */
+/**
+ * Records the prefix cache events of an engine. Events are reported late and
+ * some are dropped, as readers must tolerate.
+ */
 export class CacheLog {
   #events: readonly LoggedEvent[] = [];
   #sequence = 0;
 
+  /** Adds an event for the prefix `text`; the oldest beyond the limit go. */
   add(kind: CacheEvent["kind"], text: string): void {
     this.#sequence += 1;
     if (this.#sequence % DROP_INTERVAL === 0) return;
@@ -30,6 +35,7 @@
     this.#events = [...this.#events, event].slice(-MAX_EVENTS);
   }
 
+  /** Lists the reported events with a sequence above `after`. */
   list(after: number): readonly CacheEvent[] {
     const untilMs = Date.now() - REPORT_DELAY_MS;
     return this.#events
--- a/tools/stand_ins/engine_core.ts
+++ b/tools/stand_ins/engine_core.ts
@@ -3,34 +3,42 @@
 import * as cacheLogs from "./cache_log.ts";
 import type * as ledgers from "./ledger.ts";
 
-/** How an engine is made to lie, for tests of the counting. */
+/**
+ * Fault that an engine injects into its answers, so that tests can prove that
+ * the checks of the ledgers detect it.
+ */
 export type Misbehaviour = "none" | "falseVersion" | "dropToken" | "swapPrompt";
 
-/** What an engine is. */
+/** Settings of a simulated inference engine. */
 export interface EngineSettings {
   readonly id: string;
-  /** Unique among the engines; token ids are made from it. */
+  /** Unique among the engines; keeps the token ids of engines apart. */
   readonly index: number;
   readonly slots: number;
-  /** Time of one decoding step, in ms. */
+  /** Duration of a decoding step on an idle engine, in ms. */
   readonly stepMs: number;
   readonly lengths: answerLengths.LengthDistribution;
+  /** Weight version that is loaded at the start, by model. */
   readonly models: Readonly<Record<string, number>>;
   readonly misbehaviour: Misbehaviour;
-  /** Prompts whose prefill is kept. */
+  /** Capacity of the prefix cache, in prefixes. */
   readonly cachedPrompts: number;
 }
 
-/** A request in an engine. */
+/** A completion request that is queued or running in an engine. */
 export interface Generation {
   readonly prompt: string;
   readonly model: string;
   readonly priority: number;
+  /** Length of the whole answer, in tokens. */
   readonly length: number;
   readonly response: http.ServerResponse;
+  /** Tokens generated so far, with those of an earlier run that it resumes. */
   position: number;
+  /** Prefill steps left before the first token. */
   prefillSteps: number;
   segment: ledgers.SegmentEntry | undefined;
+  /** Orders requests of the same priority. */
   arrival: number;
 }
 
@@ -38,9 +46,14 @@
 const SEGMENTS_PER_ENGINE = 10_000_000;
 const PREFILL_CHARACTERS_PER_STEP = 64;
 const PREFIX_CHARACTERS = 32;
+/** Share by which a decoding step takes longer when every slot is in use. */
 const FULL_LOAD_SLOWDOWN = 0.5;
 
-/** Continuous batching: each step gives every active request one token. */
+/**
+ * Simulates continuous batching: each decoding step generates one token for
+ * every active request. Each segment of tokens is written to the ledger before
+ * the first of them is sent.
+ */
 export class EngineCore {
   readonly settings: EngineSettings;
   readonly #ledger: ledgers.LedgerWriter;
@@ -60,7 +73,7 @@
     this.#versions = new Map(Object.entries(settings.models));
   }
 
-  /** Starts the decoding steps; runs until the process ends. */
+  /** Schedules decoding steps until the process ends. */
   start(): void {
     const load = this.#active.length / this.settings.slots;
     const stepMs = this.settings.stepMs * (1 + load * FULL_LOAD_SLOWDOWN);
@@ -81,7 +94,7 @@
     };
   }
 
-  /** Cache events that are told by now. */
+  /** Lists the reported cache events with a sequence above `after`. */
   listCacheEvents(after: number): readonly cacheLogs.CacheEvent[] {
     return this.#cacheLog.list(after);
   }
@@ -90,7 +103,10 @@
     return this.#versions.get(model);
   }
 
-  /** Adds a request; it waits for a slot, highest priority first. */
+  /**
+   * Queues a request for a slot: highest priority first, then in order of
+   * arrival. The request is dropped when its connection closes.
+   */
   add(
     request:
       & Pick<
@@ -120,7 +136,7 @@
     request.response.once("close", () => this.#remove(generation));
   }
 
-  /** Stops decoding for a while, then serves another version. */
+  /** Pauses decoding for `swapMs`, then serves the given weight version. */
   async swapWeights(
     model: string,
     weightVersion: number,
@@ -132,7 +148,7 @@
     this.#isSwapping = false;
   }
 
-  /** Takes a role; callers of the engine honour it. */
+  /** Sets the role that the status reports; it is not enforced here. */
   setRole(role: string): void {
     this.#role = role;
   }
--- a/tools/stand_ins/json_server.ts
+++ b/tools/stand_ins/json_server.ts
@@ -1,11 +1,12 @@
 import * as http from "node:http";
 
-/** A request to a stand-in, read whole. */
+/** A request to a stand-in, with its body parsed as JSON. */
 export interface StandInRequest {
   readonly method: string;
   readonly path: string;
   readonly query: URLSearchParams;
   readonly headers: http.IncomingHttpHeaders;
+  /** The parsed body; empty if the request has none. */
   readonly json: Readonly<Record<string, unknown>>;
   readonly response: http.ServerResponse;
 }
@@ -38,12 +39,13 @@
 }
 
 /**
- * Starts a small HTTP server for a stand-in.
+ * Starts an HTTP server for a stand-in. If the body of a request is not JSON or
+ * the handler fails, its connection is destroyed.
  *
- * @param address IP number to listen on.
+ * @param address IP address to listen on.
  * @param port Port to listen on.
  * @param handler Answers each request.
- * @returns The server, once it listens.
+ * @returns The listening server; rejects if it cannot listen.
  */
 export function startServer(
   address: string,
@@ -63,11 +65,11 @@
 }
 
 /**
- * Answers with JSON.
+ * Sends a JSON response.
  *
- * @param response Where to.
+ * @param response The response to write and end.
  * @param status HTTP status.
- * @param value The body.
+ * @param value The body, before serialization.
  */
 export function answerJson(
   response: http.ServerResponse,
--- a/tools/stand_ins/ledger.ts
+++ b/tools/stand_ins/ledger.ts
@@ -1,36 +1,38 @@
 import * as fs from "node:fs";
 import * as path from "node:path";
 
-/** One engine run of consecutive tokens under one weight version. */
+/** Consecutive tokens that an engine generated under one weight version. */
 export interface SegmentEntry {
   readonly kind: "segment";
   readonly engine: string;
   readonly prompt: string;
   readonly model: string;
-  /** Ids of its tokens are `firstToken`, `firstToken + 1`, and so on. */
+  /** Id of the first token; the following tokens have consecutive ids. */
   readonly firstToken: number;
-  /** Position of its first token in the whole answer. */
+  /** Position of the first token in the whole answer. */
   readonly firstPosition: number;
   readonly weightVersion: number;
   /** Length of the whole answer, in tokens. */
   readonly answerLength: number;
   readonly atMs: number;
-  /** Whether the request began with this segment. */
+  /** Whether this is the first segment of the request on this engine. */
   readonly isFirst: boolean;
 }
 
-/** An order that an engine was given. */
+/** An order that an engine received. */
 export interface OrderEntry {
   readonly kind: "order";
   readonly engine: string;
   readonly model: string;
   readonly weightVersion: number;
+  /** Fencing number of the leader that sent the order. */
   readonly fence: number;
+  /** Whether the engine accepted the order. */
   readonly isTaken: boolean;
   readonly atMs: number;
 }
 
-/** A call that a plain server ran. */
+/** A call that a plain server executed. */
 export interface RunEntry {
   readonly kind: "run";
   readonly server: string;
@@ -39,7 +41,7 @@
   readonly atMs: number;
 }
 
-/** A sample that a trainer received for the first time or again. */
+/** A sample that a trainer received; redelivered samples are listed again. */
 export interface SampleEntry {
   readonly kind: "sample";
   readonly trainer: string;
@@ -50,31 +52,35 @@
   readonly sampleId: string;
   readonly tokens: readonly number[];
   readonly spans: readonly SpanEntry[];
+  /** Weight version of the trainer when the sample arrived. */
   readonly trainerVersion: number;
   readonly maxVersionsBehind: number;
   readonly maxAgeMs: number;
   readonly atMs: number;
 }
 
-/** A run of tokens with the version that hoistscale says produced them. */
+/** Range of tokens with the weight version that hoistscale reports for them. */
 export interface SpanEntry {
   readonly weightVersion: number;
   readonly start: number;
   readonly end: number;
 }
 
-/** A step that a trainer ended. */
+/** A step that a trainer finished. */
 export interface StepEntry {
   readonly kind: "step";
   readonly trainer: string;
   readonly step: number;
+  /** Samples that the step asked for. */
   readonly slots: number;
+  /** Slots for which a sample arrived. */
   readonly received: number;
+  /** Time spent waiting for samples, in ms. */
   readonly idleMs: number;
   readonly totalMs: number;
 }
 
-/** One try of a caller's request. */
+/** One attempt to send a caller's request. */
 export interface CallAttempt {
   readonly box: string;
   readonly sentMs: number;
@@ -88,22 +94,22 @@
     | "notSent";
 }
 
-/** A caller's request, from first send to final answer. */
+/** A caller's request with all of its attempts. */
 export interface CallEntry {
   readonly kind: "call";
   readonly operation: "lookup" | "sync" | "completion";
   readonly callId: string;
   readonly tries: readonly CallAttempt[];
   readonly isAnswered: boolean;
-  /** The call that the answer says it answers. */
+  /** Call id in the answer; differs from `callId` if answers were mixed up. */
   readonly answeredId: string;
-  /** Whether the answer's own length and checksum hold. */
+  /** Whether the answer arrived complete and passed its checksum. */
   readonly isWhole: boolean;
   readonly tokens: readonly number[];
   readonly prompt: string;
 }
 
-/** Something the demo did. */
+/** A fault or planned stop that a demo or bench caused. */
 export interface EventEntry {
   readonly kind: "event";
   readonly event: "leave" | "planStop" | "stopped" | "kill";
@@ -121,11 +127,14 @@
   | CallEntry
   | EventEntry;
 
-/** Writes what really happened, one JSON text a line, before it is told. */
+/**
+ * Appends entries to a ledger, one JSON text a line. Writes are synchronous, so
+ * that an entry is on file before its effect is visible to other processes.
+ */
 export class LedgerWriter {
   readonly #descriptor: number;
 
-  /** @param file The ledger; made if missing, added to if not. */
+  /** @param file Path of the ledger; created if missing, else appended to. */
   constructor(file: string) {
     fs.mkdirSync(path.dirname(file), { recursive: true });
     this.#descriptor = fs.openSync(file, "a");
@@ -137,10 +146,11 @@
 }
 
 /**
- * Reads every ledger in a folder.
+ * Reads the entries of every ledger (`*.jsonl`) in a folder.
  *
- * @param folder The folder.
- * @returns All entries; a torn last line of a killed process is left out.
+ * @param folder Path of the folder.
+ * @returns All entries; a truncated last line, as a killed process leaves, is
+ * skipped.
  */
 export function readLedgers(folder: string): readonly LedgerEntry[] {
   return fs.readdirSync(folder)
--- a/tools/stand_ins/run_callers.ts
+++ b/tools/stand_ins/run_callers.ts
@@ -7,38 +7,43 @@
 import * as ledgers from "./ledger.ts";
 import * as sleeps from "./sleep.ts";
 
-/** What the callers' process is told. */
+/** Settings of the callers' process, passed as JSON in its first argument. */
 export interface CallerSettings {
+  /** Prefix of the call ids; unique among caller processes. */
   readonly name: string;
   readonly token: string;
+  /** Addresses of boxes to ask first. */
   readonly seeds: readonly addressBooks.ServiceAddress[];
   readonly ledgerFile: string;
   readonly service: string;
   readonly model: string;
+  /** Seed of the random choice of operations. */
   readonly seed: number;
-  /** Requests sent a second, whatever the answers do. */
+  /** Rate of an open loop: it does not depend on the answers. */
   readonly requestsPerSecond: number;
-  /** Share of syncs and of completions; the rest are lookups. */
+  /** Share of ledger syncs, from 0 to 1. */
   readonly syncShare: number;
+  /** Share of completions, from 0 to 1; the rest are lookups. */
   readonly completionShare: number;
   readonly maxTokens: number;
-  /** How long to send, in ms. */
+  /** Time during which requests are sent, in ms. */
   readonly runMs: number;
 }
 
-/** A request to be answered once. */
+/** A request of a caller; its attempts share the call id. */
 interface Call {
   readonly operation: ledgers.CallEntry["operation"];
   readonly callId: string;
   readonly prompt: string;
 }
 
-/** What one try brought. */
+/** Result of one attempt. */
 interface AttemptResult {
   readonly outcome: ledgers.CallAttempt["outcome"];
   readonly answeredId: string;
   readonly isWhole: boolean;
   readonly tokens: readonly number[];
+  /** Delay before the next attempt, in ms. */
   readonly retryAfterMs: number;
 }
 
@@ -54,7 +59,11 @@
   retryAfterMs: DEFAULT_RETRY_DELAY_MS,
 };
 
-/** Merchants and head office: each request is asked until it is answered. */
+/**
+ * Simulates callers. Each request is retried until it is answered, refused
+ * without a retry delay or past its deadline. A ledger sync is not retried
+ * after an answer that its outcome is unknown.
+ */
 class CallerProcess {
   readonly #settings: CallerSettings;
   readonly #ledger: ledgers.LedgerWriter;
@@ -73,12 +82,12 @@
     this.#random = generator.xoroshiro128plus(settings.seed);
   }
 
-  /** Sends nothing more; what is under way is still awaited. */
+  /** Stops sending new requests; `run` still waits for those in flight. */
   stop(): void {
     this.#isStopped = true;
   }
 
-  /** Sends on a fixed schedule, then waits for the last answers. */
+  /** Sends requests on a fixed schedule, then waits for all answers. */
   async run(): Promise<void> {
     const { requestsPerSecond, runMs } = this.#settings;
     const startMs = Date.now();
@@ -187,7 +196,7 @@
     return parseRefusal(answer.value.json, call);
   }
 
-  /** Callers read the same event format that engines write. */
+  /** Reads the completion with the event parser that is used for engines. */
   async #streamCompletion(
     call: Call,
     target: addressBooks.ServiceAddress,
--- a/tools/stand_ins/run_engine.ts
+++ b/tools/stand_ins/run_engine.ts
@@ -4,25 +4,26 @@
 import * as jsonServers from "./json_server.ts";
 import * as ledgers from "./ledger.ts";
 
-/** What an engine process is told. */
+/** Settings of an engine process, passed as JSON in its first argument. */
 export interface EngineProcessSettings extends engineCores.EngineSettings {
   readonly address: string;
   readonly port: number;
   readonly ledgerFile: string;
+  /** Base URL of the weight store. */
   readonly storeUrl: string;
-  /** Refuses orders with an old fencing number. */
+  /** Whether orders with an outdated fencing number are refused. */
   readonly checksFence: boolean;
-  /** Time of a weight swap, in ms. */
+  /** Duration of a weight swap, in ms. */
   readonly swapMs: number;
-  /** Share of swaps that fail. */
+  /** Share of weight swaps that fail, from 0 to 1. */
   readonly failedSwaps: number;
-  /** Share of the load reports that can't be read. */
+  /** Share of the load reports that are malformed, from 0 to 1. */
   readonly wrongReports: number;
-  /** Age of the load reports, in ms. */
+  /** Interval between updates of the load report, in ms. */
   readonly reportLagMs: number;
 }
 
-/** One engine: it serves completions, reports and orders. */
+/** Serves completions, load reports, cache events and orders over HTTP. */
 class EngineProcess {
   readonly #settings: EngineProcessSettings;
   readonly #ledger: ledgers.LedgerWriter;
@@ -40,7 +41,7 @@
     this.#report = this.#describe();
   }
 
-  /** What it says of itself; now and then what no reader can use. */
+  /** Builds the load report, malformed for a share of the calls. */
   #describe(): object {
     const report = { ...this.#core.describe(), born: this.#startedAtMs };
     const isReadable = distribution.uniformFloat64(this.#random) >=
--- a/tools/stand_ins/run_plain_server.ts
+++ b/tools/stand_ins/run_plain_server.ts
@@ -2,20 +2,23 @@
 import * as jsonServers from "./json_server.ts";
 import * as ledgers from "./ledger.ts";
 
-/** What a plain server is told. */
+/** Settings of a plain server process, passed as JSON in its first argument. */
 export interface PlainServerSettings {
   readonly id: string;
   readonly address: string;
   readonly port: number;
   readonly ledgerFile: string;
-  /** Time of one call, in ms. */
+  /** Duration of a call, in ms. */
   readonly callMs: number;
   readonly slots: number;
 }
 
 const PAYLOAD = "vintage ".repeat(64);
 
-/** One plain server: stock lookups, and ledger syncs that count. */
+/**
+ * Serves stock lookups, which may be repeated, and ledger syncs, which must run
+ * once. Every call that runs is written to the ledger.
+ */
 class PlainServerProcess {
   readonly #settings: PlainServerSettings;
   readonly #ledger: ledgers.LedgerWriter;
--- a/tools/stand_ins/run_platform.ts
+++ b/tools/stand_ins/run_platform.ts
@@ -1,13 +1,13 @@
 import * as jsonServers from "./json_server.ts";
 import * as sleeps from "./sleep.ts";
 
-/** What a platform service is told; each is a process of its own. */
+/** Settings of a platform service, passed as JSON in its first argument. */
 export type PlatformSettings =
   | {
     readonly kind: "boxList";
     readonly address: string;
     readonly port: number;
-    /** Age of what it tells, in ms. */
+    /** Delay before a change shows in the list, in ms. */
     readonly lagMs: number;
     readonly servers: readonly ListedServer[];
   }
@@ -16,14 +16,16 @@
     readonly address: string;
     readonly port: number;
     readonly models: Readonly<Record<string, number>>;
-    /** Downloads that it allows a second. */
+    /** Limit of downloads; those above it are answered with 429. */
     readonly downloadsPerSecond: number;
+    /** Duration of a download, in ms. */
     readonly downloadMs: number;
   }
   | {
     readonly kind: "scorer";
     readonly address: string;
     readonly port: number;
+    /** Time to score a sample, in ms. */
     readonly scoreMs: number;
   };
 
@@ -33,7 +35,7 @@
   readonly state: "live" | "leaving";
 }
 
-/** Entries that name no server to use. */
+/** Malformed or incomplete entries, which readers must skip. */
 const INVALID_ENTRIES = [
   { id: "w-1", service: "sommelier-lm", state: "live" },
   { id: "w-2", state: "resting", kind: 5 },
@@ -41,7 +43,10 @@
   null,
 ];
 
-/** Tells servers late; `POST /boxes/ID` with a state changes one. */
+/**
+ * Serves the list of backend servers, with a delay. `POST /boxes/ID` sets the
+ * state of a server; the state `gone` removes it.
+ */
 async function runBoxList(
   settings: Extract<PlatformSettings, { kind: "boxList" }>,
 ): Promise<void> {
@@ -52,7 +57,6 @@
     settings.port,
     ({ method, path, json, response }) => {
       if (method === "GET") {
-        // Other writers' entries stand beside those of servers.
         return jsonServers.answerJson(response, 200, {
           servers: [...reported, ...INVALID_ENTRIES],
         });
@@ -74,7 +78,7 @@
   );
 }
 
-/** Publishes versions and lets them be downloaded at a bounded rate. */
+/** Lists the latest weight versions and serves downloads up to a rate limit. */
 async function runWeightStore(
   settings: Extract<PlatformSettings, { kind: "weightStore" }>,
 ): Promise<void> {
@@ -112,7 +116,7 @@
   );
 }
 
-/** Scores a sample by its length. */
+/** Scores samples: the shorter, the higher. */
 async function runScorer(
   settings: Extract<PlatformSettings, { kind: "scorer" }>,
 ): Promise<void> {
--- a/tools/stand_ins/run_trainer.ts
+++ b/tools/stand_ins/run_trainer.ts
@@ -3,26 +3,31 @@
 import * as ledgers from "./ledger.ts";
 import * as sleeps from "./sleep.ts";
 
-/** What a trainer is told. */
+/** Settings of a trainer process, passed as JSON in its first argument. */
 export interface TrainerSettings {
   readonly name: string;
+  /** Rollout template of its steps. */
   readonly template: string;
   readonly model: string;
   readonly token: string;
+  /** Addresses of boxes to ask first. */
   readonly seeds: readonly addressBooks.ServiceAddress[];
   readonly ledgerFile: string;
+  /** Base URL of the weight store. */
   readonly storeUrl: string;
+  /** Number of steps to train. */
   readonly steps: number;
+  /** Prompts of a step. */
   readonly groups: number;
-  /** Samples for each prompt, as the template says. */
+  /** Samples of each prompt; must match the rollout template. */
   readonly groupSize: number;
-  /** Time to train on a step, in ms. */
+  /** Duration of training on a step, in ms. */
   readonly trainMs: number;
-  /** Staleness bound of the account, in versions. */
+  /** Staleness bound of the client account, in weight versions. */
   readonly maxVersionsBehind: number;
-  /** Staleness bound of the account, in ms. */
+  /** Staleness bound of the client account, in ms. */
   readonly maxAgeMs: number;
-  /** Stop after this time, in ms. */
+  /** Time after which the samples of no further step are fetched, in ms. */
   readonly endMs: number;
 }
 
@@ -37,7 +42,10 @@
 const CALL_TIMEOUT_MS = 15_000;
 const RETRY_DELAY_MS = 100;
 
-/** A trainer: asks for steps, trains, publishes weights. */
+/**
+ * Simulates a trainer: opens steps, fetches their samples, trains and publishes
+ * weights. The next step is opened before training on the current one.
+ */
 class TrainerProcess {
   readonly #settings: TrainerSettings;
   readonly #ledger: ledgers.LedgerWriter;
@@ -96,7 +104,7 @@
     await this.#callService("open", { step, prompts });
   }
 
-  /** Fetches until every slot has come once. */
+  /** Fetches samples until the step is complete; returns the slots received. */
   async #collectSamples(step: number): Promise<number> {
     const receivedSlots = new Set<number>();
     while (receivedSlots.size < this.#countSlots()) {
@@ -156,7 +164,7 @@
     });
   }
 
-  /** Asks until answered; every trainer call may be repeated. */
+  /** Repeats a call, which must be idempotent, until a box answers with 200. */
   async #callService(action: string, body: object): Promise<unknown> {
     const { name, template, token } = this.#settings;
     for (;;) {
--- a/tools/stand_ins/sleep.ts
+++ b/tools/stand_ins/sleep.ts
@@ -1,7 +1,7 @@
 /**
- * Waits on the machine's clock.
+ * Waits in real time.
  *
- * @param delayMs How long, in ms.
+ * @param delayMs Delay, in ms.
  * @returns A promise that resolves after the delay.
  */
 export function sleep(delayMs: number): Promise<void> {
