--- a/tools/bench/bench_rolling.ts
+++ b/tools/bench/bench_rolling.ts
@@ -114,7 +114,7 @@
       if (listedCounts.every((number) => number === count)) return;
       if (Date.now() > endMs) {
         throw new Error(
-          `Timed out: the boxes list ${
+          `Cannot continue the bench: the boxes list ${
             listedCounts.join(",")
           } of ${count} addresses`,
         );
