--- a/tools/bench/bench_steps.ts
+++ b/tools/bench/bench_steps.ts
@@ -8,7 +8,7 @@
 const SLOTS_PER_ENGINE = 6;
 /** Engines that the trainers below keep busy at a load of 1. */
 const ENGINES_AT_FULL_LOAD = 9.2;
-/** Time for an event relative to the mean, by engine index modulo 3. */
+/** Factors of the time for an event; engines take them in turn. */
 const SLOWDOWN_FACTORS = [0.95, 0.95, 1.3] as const;
 
 const TRAINERS: readonly stepLoads.ReplayedTrainer[] = [
--- a/tools/stand_ins/run_platform.ts
+++ b/tools/stand_ins/run_platform.ts
@@ -16,7 +16,7 @@
     readonly address: string;
     readonly port: number;
     readonly models: Readonly<Record<string, number>>;
-    /** Limit of downloads; those above it are answered with 429. */
+    /** Downloads allowed each second; others are answered with 429. */
     readonly downloadsPerSecond: number;
     /** Duration of a download, in ms. */
     readonly downloadMs: number;
