--- a/tools/bench/bench_load.ts
+++ b/tools/bench/bench_load.ts
@@ -11,7 +11,7 @@
 const US_PER_MS = 1_000;
 const SLOTS_PER_SERVER = 6;
 
-/** Outcome of a load pattern, as printed. Shares and attempts are per request. */
+/** Outcome of a load pattern, as printed; shares are per request. */
 interface LoadRow {
   readonly pattern: string;
   /** Whether the replay weighs the load of the backend servers. */
