--- a/src/admission/waiting_line.ts
+++ b/src/admission/admission_queue.ts
@@ -1,33 +1,33 @@
-import * as placeRates from "./place_rate.ts";
-import * as returnTimes from "./return_times.ts";
+import * as slotReleaseRates from "./slot_release_rate.ts";
+import * as retrySchedules from "./retry_schedule.ts";
 
 /**
  * Requests that wait at once at most. Each holds its body; with bodies of some
  * kilobytes the line stays within some megabytes of the 64 that a box has.
  */
-const MAX_WAITING = 512;
+const MAX_QUEUED = 512;
 
 /** A request that all servers refused, and that could wait for a place. */
-export interface WaitingRequest {
+export interface QueuedRequest {
   readonly id: string;
   /** Rank of its kind; 0 goes first. */
   readonly priority: number;
   /** When its answer loses its full worth, in monotonic ms. */
   readonly targetAtMs: number;
   /** When it must have got a place, or is refused, in monotonic ms. */
-  readonly giveUpAtMs: number;
+  readonly deadlineAtMs: number;
 }
 
 /** What became of a request that wanted to wait. */
-export type Entrance =
+export type EnqueueResult =
   | { readonly kind: "waiting" }
   /** It would wait in vain. */
-  | { readonly kind: "refused"; readonly returnMs: number };
+  | { readonly kind: "refused"; readonly retryAfterMs: number };
 
 /** A request that is refused after it has waited. */
 export interface ExpiredRequest {
   readonly id: string;
-  readonly returnMs: number;
+  readonly retryAfterMs: number;
 }
 
 /**
@@ -39,68 +39,70 @@
  * the line refuses at once whom it could not serve, as it knows how often a
  * place comes free.
  */
-export class WaitingLine {
-  readonly #rate = new placeRates.PlaceRate();
-  readonly #returns = new returnTimes.ReturnTimes();
-  readonly #waiting = new Map<string, WaitingRequest>();
+export class AdmissionQueue {
+  readonly #releaseRate = new slotReleaseRates.SlotReleaseRate();
+  readonly #retries = new retrySchedules.RetrySchedule();
+  readonly #queued = new Map<string, QueuedRequest>();
 
   /** How many wait. */
   count(): number {
-    return this.#waiting.size;
+    return this.#queued.size;
   }
 
   /** Lets a request wait unless its turn would come too late. */
-  enter(request: WaitingRequest, nowMs: number): Entrance {
+  enqueue(request: QueuedRequest, nowMs: number): EnqueueResult {
     const waitMs = this.#estimateWaitMs(request, nowMs);
-    const isInVain = this.#waiting.size >= MAX_WAITING ||
-      nowMs + waitMs >= request.giveUpAtMs;
-    if (isInVain) return { kind: "refused", returnMs: this.refuse(nowMs) };
-    this.#waiting.set(request.id, request);
+    const isRefused = this.#queued.size >= MAX_QUEUED ||
+      nowMs + waitMs >= request.deadlineAtMs;
+    if (isRefused) {
+      return { kind: "refused", retryAfterMs: this.scheduleRetry(nowMs) };
+    }
+    this.#queued.set(request.id, request);
     return { kind: "waiting" };
   }
 
   /** Tells a caller that can't be served now when to come back, in ms. */
-  refuse(nowMs: number): number {
-    return this.#returns.assign(nowMs, this.#rate.getIntervalMs(nowMs));
+  scheduleRetry(nowMs: number): number {
+    return this.#retries.assign(nowMs, this.#releaseRate.getIntervalMs(nowMs));
   }
 
   /** Forgets a request that no longer waits. */
-  leave(id: string): void {
-    this.#waiting.delete(id);
+  remove(id: string): void {
+    this.#queued.delete(id);
   }
 
   /** Notes that a place at a server came free. */
-  noteFreed(nowMs: number): void {
-    this.#rate.note(nowMs);
+  recordFreedSlot(nowMs: number): void {
+    this.#releaseRate.record(nowMs);
   }
 
   /** Takes the request whose turn it is out of the line. */
-  takeNext(nowMs: number): string | undefined {
-    let next: WaitingRequest | undefined;
-    for (const request of this.#waiting.values()) {
+  dequeue(nowMs: number): string | undefined {
+    let next: QueuedRequest | undefined;
+    for (const request of this.#queued.values()) {
       if (next === undefined || isBefore(request, next, nowMs)) {
         next = request;
       }
     }
-    if (next !== undefined) this.#waiting.delete(next.id);
+    if (next !== undefined) this.#queued.delete(next.id);
     return next?.id;
   }
 
   /** Takes out those whose time is over, each with when to come back. */
-  takeExpired(nowMs: number): readonly ExpiredRequest[] {
-    return [...this.#waiting.values()]
-      .filter((request) => request.giveUpAtMs <= nowMs)
+  removeExpired(nowMs: number): readonly ExpiredRequest[] {
+    return [...this.#queued.values()]
+      .filter((request) => request.deadlineAtMs <= nowMs)
       .map(({ id }) => {
-        this.#waiting.delete(id);
-        return { id, returnMs: this.refuse(nowMs) };
+        this.#queued.delete(id);
+        return { id, returnMs: this.scheduleRetry(nowMs) };
       });
   }
 
   /** Time until a request's turn; 0 where the rate of places is not known. */
-  #estimateWaitMs(request: WaitingRequest, nowMs: number): number {
-    const intervalMs = this.#rate.getIntervalMs(nowMs);
+  #estimateWaitMs(request: QueuedRequest, nowMs: number): number {
+    const intervalMs = this.#releaseRate.getIntervalMs(nowMs);
     if (intervalMs === undefined) return 0;
-    const ahead = [...this.#waiting.values()].filter((other) =>
+    const ahead = [...this.#queued.values()].filter((other) =>
       !isBefore(request, other, nowMs)
     );
     return (ahead.length + 1) * intervalMs;
@@ -114,8 +116,8 @@
  * would make the newer ones late as well.
  */
 function isBefore(
-  a: WaitingRequest,
-  b: WaitingRequest,
+  a: QueuedRequest,
+  b: QueuedRequest,
   nowMs: number,
 ): boolean {
   if (a.priority !== b.priority) return a.priority < b.priority;
--- a/src/admission/waiting_line_test.ts
+++ b/src/admission/admission_queue_test.ts
@@ -1,40 +1,40 @@
 import * as chai from "chai";
 import * as fastCheck from "fast-check";
-import * as waitingLines from "./waiting_line.ts";
+import * as admissionQueues from "./admission_queue.ts";
 
 const NOW_MS = 1_000;
 const LATE_MS = 10_000;
 
 function createRequest(
   id: string,
-  changes: Partial<waitingLines.WaitingRequest> = {},
-): waitingLines.WaitingRequest {
+  changes: Partial<admissionQueues.QueuedRequest> = {},
+): admissionQueues.QueuedRequest {
   return {
     id,
     priority: 0,
     targetAtMs: NOW_MS + 100,
-    giveUpAtMs: LATE_MS,
+    deadlineAtMs: LATE_MS,
     ...changes,
   };
 }
 
-function takeAll(
-  line: waitingLines.WaitingLine,
+function dequeueAll(
+  queue: admissionQueues.AdmissionQueue,
   nowMs: number,
 ): readonly string[] {
   const taken: string[] = [];
   for (;;) {
-    const id = line.takeNext(nowMs);
+    const id = queue.dequeue(nowMs);
     if (id === undefined) return taken;
     taken.push(id);
   }
 }
 
 describe("waiting line", () => {
-  let line = new waitingLines.WaitingLine();
+  let queue = new admissionQueues.AdmissionQueue();
 
   beforeEach(() => {
-    line = new waitingLines.WaitingLine();
+    queue = new admissionQueues.AdmissionQueue();
   });
 
   it("gives places to urgent kinds first, then to those with least time left", () => {
@@ -43,8 +43,8 @@
       createRequest("tight", { targetAtMs: NOW_MS + 50 }),
       createRequest("low", { priority: 2, targetAtMs: NOW_MS + 10 }),
     ];
-    for (const request of requests) line.enter(request, NOW_MS);
-    chai.expect(takeAll(line, NOW_MS)).to.deep.equal([
+    for (const request of requests) queue.enqueue(request, NOW_MS);
+    chai.expect(dequeueAll(queue, NOW_MS)).to.deep.equal([
       "tight",
       "slack",
       "low",
@@ -57,8 +57,8 @@
       createRequest("old", { targetAtMs: NOW_MS - 100 }),
       createRequest("inTime"),
     ];
-    for (const request of requests) line.enter(request, NOW_MS);
-    chai.expect(takeAll(line, NOW_MS)).to.deep.equal([
+    for (const request of requests) queue.enqueue(request, NOW_MS);
+    chai.expect(dequeueAll(queue, NOW_MS)).to.deep.equal([
       "inTime",
       "old",
       "older",
@@ -66,49 +66,61 @@
   });
 
   it("refuses at once whose turn would come too late", () => {
-    for (let at = 0; at < 1_000; at += 100) line.noteFreed(at);
-    const giveUpAtMs = NOW_MS + 350;
+    for (let at = 0; at < 1_000; at += 100) queue.recordFreedSlot(at);
+    const deadlineAtMs = NOW_MS + 350;
     const kinds = ["a", "b", "c", "d", "e"].map((id) =>
-      line.enter(createRequest(id, { giveUpAtMs }), NOW_MS).kind
+      queue.enqueue(createRequest(id, { deadlineAtMs: deadlineAtMs }), NOW_MS)
+        .kind
     );
     chai.expect(kinds.slice(0, 2)).to.deep.equal(["waiting", "waiting"]);
     chai.expect(kinds.at(-1)).to.equal("refused");
   });
 
   it("follows within two seconds when places come free more often", () => {
-    const giveUpAtMs = 60_000;
-    for (let at = 0; at <= 2_000; at += 400) line.noteFreed(at);
-    for (let at = 2_000; at <= 4_000; at += 10) line.noteFreed(at);
+    const deadlineAtMs = 60_000;
+    for (let at = 0; at <= 2_000; at += 400) queue.recordFreedSlot(at);
+    for (let at = 2_000; at <= 4_000; at += 10) queue.recordFreedSlot(at);
     const kinds = Array.from(
       { length: 50 },
       (_, index) =>
-        line.enter(
-          createRequest(`${index}`, { giveUpAtMs: 4_000 + 1_000 }),
+        queue.enqueue(
+          createRequest(`${index}`, { deadlineAtMs: 4_000 + 1_000 }),
           4_000,
         ).kind,
     );
     chai.expect(kinds).to.not.include("refused");
-    chai.expect(line.enter(createRequest("x", { giveUpAtMs }), 4_000).kind).to
+    chai.expect(
+      queue.enqueue(createRequest("x", { deadlineAtMs: deadlineAtMs }), 4_000)
+        .kind,
+    ).to
       .equal("waiting");
   });
 
   it("tells those that it refuses together to come back one after the other", () => {
-    for (let at = NOW_MS - 5_000; at < NOW_MS; at += 50) line.noteFreed(at);
-    const returns = Array.from({ length: 5 }, () => line.refuse(NOW_MS));
-    const gaps = returns.slice(1).map((ms, index) => ms - returns[index]!);
+    for (let at = NOW_MS - 5_000; at < NOW_MS; at += 50) {
+      queue.recordFreedSlot(at);
+    }
+    const delaysMs = Array.from(
+      { length: 5 },
+      () => queue.scheduleRetry(NOW_MS),
+    );
+    const gaps = delaysMs.slice(1).map((ms, index) => ms - delaysMs[index]!);
     for (const gap of gaps) chai.expect(gap).to.be.within(40, 80);
-    chai.expect(returns[0]).to.be.greaterThan(0);
+    chai.expect(delaysMs[0]).to.be.greaterThan(0);
   });
 
   it("names a bounded time to come back, however many are refused", () => {
-    const returns = Array.from({ length: 5_000 }, () => line.refuse(NOW_MS));
-    chai.expect(Math.max(...returns)).to.be.at.most(1_000);
+    const delaysMs = Array.from(
+      { length: 5_000 },
+      () => queue.scheduleRetry(NOW_MS),
+    );
+    chai.expect(Math.max(...delaysMs)).to.be.at.most(1_000);
   });
 
   it("bounds how many wait", () => {
     const kinds = Array.from(
       { length: 600 },
-      (_, index) => line.enter(createRequest(`${index}`), NOW_MS).kind,
+      (_, index) => queue.enqueue(createRequest(`${index}`), NOW_MS).kind,
     );
     chai.expect(kinds.filter((kind) => kind === "waiting").length).to.equal(
       512,
@@ -129,8 +141,8 @@
     );
     fastCheck.assert(
       fastCheck.property(fastCheck.array(step, { maxLength: 200 }), (steps) => {
-        const own = new waitingLines.WaitingLine();
-        const waiting = new Map<string, waitingLines.WaitingRequest>();
+        const testedQueue = new admissionQueues.AdmissionQueue();
+        const waiting = new Map<string, admissionQueues.QueuedRequest>();
         let nowMs = 0;
         for (const [index, entry] of steps.entries()) {
           nowMs += 10;
@@ -139,15 +151,15 @@
               const request = createRequest(`${index}`, {
                 priority: entry.priority,
                 targetAtMs: nowMs + entry.targetMs,
-                giveUpAtMs: nowMs + entry.patienceMs,
+                deadlineAtMs: nowMs + entry.patienceMs,
               });
-              const { kind } = own.enter(request, nowMs);
+              const { kind } = testedQueue.enqueue(request, nowMs);
               if (kind === "waiting") waiting.set(request.id, request);
               break;
             }
             case "free": {
-              own.noteFreed(nowMs);
-              const id = own.takeNext(nowMs);
+              testedQueue.recordFreedSlot(nowMs);
+              const id = testedQueue.dequeue(nowMs);
               const best = Math.min(
                 ...[...waiting.values()].map((other) => other.priority),
               );
@@ -160,23 +172,26 @@
               break;
             }
             case "expire":
-              for (const { id, returnMs } of own.takeExpired(nowMs)) {
+              for (
+                const { id, retryAfterMs: returnMs } of testedQueue
+                  .removeExpired(nowMs)
+              ) {
                 chai.expect(waiting.delete(id)).to.equal(true);
                 chai.expect(returnMs).to.be.within(1, 1_000);
               }
               for (const request of waiting.values()) {
-                chai.expect(request.giveUpAtMs).to.be.greaterThan(nowMs);
+                chai.expect(request.deadlineAtMs).to.be.greaterThan(nowMs);
               }
               break;
             case "leave": {
               const [first] = waiting.keys();
               if (first === undefined) break;
-              own.leave(first);
+              testedQueue.remove(first);
               waiting.delete(first);
               break;
             }
           }
-          chai.expect(own.count()).to.equal(waiting.size);
+          chai.expect(testedQueue.count()).to.equal(waiting.size);
         }
       }),
       { seed: 20, numRuns: 300 },
--- a/src/admission/mod.ts
+++ b/src/admission/mod.ts
@@ -10,6 +10,6 @@
  * ```
  * @module
  */
-export * from "./place_rate.ts";
-export * from "./return_times.ts";
-export * from "./waiting_line.ts";
+export * from "./slot_release_rate.ts";
+export * from "./retry_schedule.ts";
+export * from "./admission_queue.ts";
--- a/src/admission/return_times.ts
+++ b/src/admission/retry_schedule.ts
@@ -1,20 +1,20 @@
 /** Shortest time after which a refused caller comes back, in ms. */
-const MIN_RETURN_MS = 100;
+const MIN_RETRY_MS = 100;
 /**
  * Longest such time, in ms; callers heed no more than a third of what they have
  * left, which is seldom more than some seconds.
  */
-const MAX_RETURN_MS = 1_000;
+const MAX_RETRY_MS = 1_000;
 /** Time between two returns where no place was seen to come free, in ms. */
-const FIRST_INTERVAL_MS = 20;
+const DEFAULT_INTERVAL_MS = 20;
 
 /**
  * Tells refused callers when to come back: one after the other, as places come
  * free, so that those who were refused together do not return together and are
  * refused again.
  */
-export class ReturnTimes {
-  #lastAtMs = Number.NEGATIVE_INFINITY;
+export class RetrySchedule {
+  #lastRetryAtMs = Number.NEGATIVE_INFINITY;
 
   /**
    * Gives a refused caller its time.
@@ -23,13 +23,13 @@
    * @param intervalMs Mean time between two places, where it is known.
    * @returns The time after which it should come back, in ms.
    */
-  assign(nowMs: number, intervalMs = FIRST_INTERVAL_MS): number {
+  assign(nowMs: number, intervalMs = DEFAULT_INTERVAL_MS): number {
     const earliestMs = Math.max(
-      nowMs + MIN_RETURN_MS,
-      this.#lastAtMs + intervalMs,
+      nowMs + MIN_RETRY_MS,
+      this.#lastRetryAtMs + intervalMs,
     );
-    const atMs = Math.min(earliestMs, nowMs + MAX_RETURN_MS);
-    this.#lastAtMs = atMs;
+    const atMs = Math.min(earliestMs, nowMs + MAX_RETRY_MS);
+    this.#lastRetryAtMs = atMs;
     return Math.round(atMs - nowMs);
   }
 }
--- a/src/backend_server/server_role.ts
+++ b/src/backend_server/server_role.ts
@@ -22,7 +22,7 @@
  * @param use What the request is for.
  * @returns Whether it does.
  */
-export function canUse(role: ServerRole, use: ServerUse): boolean {
+export function canServeUse(role: ServerRole, use: ServerUse): boolean {
   switch (role) {
     case "mixed":
       return true;
--- a/src/box_list/box_list_client.ts
+++ b/src/box_list/box_list_client.ts
@@ -1,17 +1,17 @@
 import * as z from "zod";
-import * as backends from "../backend_server/mod.ts";
+import * as backendServers from "../backend_server/mod.ts";
 import * as httpClient from "../http_client/mod.ts";
 import * as results from "../results/mod.ts";
 
 /** Characters of an id in a log line at most. */
-const MAX_ID_CHARACTERS = 80;
+const MAX_ID_LENGTH = 80;
 
 const boxListSchema = z.object({ servers: z.array(z.unknown()).readonly() });
 
-const namedSchema = z.object({ id: z.string().max(MAX_ID_CHARACTERS) });
+const idSchema = z.object({ id: z.string().max(MAX_ID_LENGTH) });
 
 /** An entry that names no server to use. */
-export interface UnreadEntry {
+export interface InvalidEntry {
   /** Its id, as far as that can be told. */
   readonly id: string;
   /** Field at fault. */
@@ -20,11 +20,11 @@
 
 /** What a box list says. */
 export interface BoxList {
-  readonly servers: readonly backends.BackendServer[];
-  readonly unread: readonly UnreadEntry[];
+  readonly servers: readonly backendServers.BackendServer[];
+  readonly invalidEntries: readonly InvalidEntry[];
 }
 
-const TIMEOUT_MS = 1_000;
+const CALL_TIMEOUT_MS = 1_000;
 
 /** Reads the platform's box list: `GET /boxes`. */
 export class BoxListClient {
@@ -44,12 +44,12 @@
       baseUrl: this.#baseUrl,
       path: "/boxes",
       method: "GET",
-      timeoutMs: TIMEOUT_MS,
+      timeoutMs: CALL_TIMEOUT_MS,
     });
     if (answer.kind === "failure") return answer;
     const parsed = boxListSchema.safeParse(answer.value.json);
     if (parsed.success) {
-      return results.createOk(readEntries(parsed.data.servers));
+      return results.createOk(parseEntries(parsed.data.servers));
     }
     return results.createFailure(
       "connectFailed",
@@ -58,22 +58,22 @@
   }
 }
 
-function readEntries(entries: readonly unknown[]): BoxList {
-  const servers = new Map<string, backends.BackendServer>();
-  const unread: UnreadEntry[] = [];
+function parseEntries(entries: readonly unknown[]): BoxList {
+  const servers = new Map<string, backendServers.BackendServer>();
+  const invalidEntries: InvalidEntry[] = [];
   for (const entry of entries) {
-    const parsed = backends.backendServerSchema.safeParse(entry);
+    const parsed = backendServers.backendServerSchema.safeParse(entry);
     if (parsed.success) {
       servers.set(parsed.data.id, parsed.data);
       continue;
     }
     const field = parsed.error.issues[0]?.path.map(String).join(".") ?? "";
-    unread.push({ id: findId(entry), field });
+    invalidEntries.push({ id: readId(entry), field });
   }
-  return { servers: [...servers.values()], unread };
+  return { servers: [...servers.values()], invalidEntries: invalidEntries };
 }
 
-function findId(entry: unknown): string {
-  const read = namedSchema.safeParse(entry);
-  return read.success ? read.data.id : "";
+function readId(entry: unknown): string {
+  const parsed = idSchema.safeParse(entry);
+  return parsed.success ? parsed.data.id : "";
 }
--- a/src/box_list/box_list_test.ts
+++ b/src/box_list/box_list_test.ts
@@ -4,7 +4,7 @@
 import * as fastCheck from "fast-check";
 import * as boxLists from "./box_list_client.ts";
 
-const SOUND = {
+const VALID_ENTRY = {
   id: "e-1",
   service: "lm",
   kind: "language",
@@ -36,16 +36,20 @@
   it("reads the other entries beside one that names no server", async () => {
     // One entry of another writer, with a state that is none, had the whole list
     // left unread: no server that came or left was noted until it was gone.
-    const wrong = [
-      { ...SOUND, id: "w-1", state: "resting" },
+    const invalidEntries = [
+      { ...VALID_ENTRY, id: "w-1", state: "resting" },
       { id: "w-2" },
       null,
       "w-3",
     ];
-    const list = await read([wrong[0], SOUND, ...wrong.slice(1)]);
+    const list = await read([
+      invalidEntries[0],
+      VALID_ENTRY,
+      ...invalidEntries.slice(1),
+    ]);
     if (list.kind === "failure") throw new Error(list.failure.message);
     chai.expect(list.value.servers.map(({ id }) => id)).to.deep.equal(["e-1"]);
-    chai.expect(list.value.unread).to.deep.equal([
+    chai.expect(list.value.invalidEntries).to.deep.equal([
       { id: "w-1", field: "state" },
       { id: "w-2", field: "service" },
       { id: "", field: "" },
@@ -54,7 +58,7 @@
   });
 
   it("loses no sound entry to nonsense in any field of others", async () => {
-    const field = fastCheck.constantFrom(...Object.keys(SOUND));
+    const field = fastCheck.constantFrom(...Object.keys(VALID_ENTRY));
     await fastCheck.assert(
       fastCheck.asyncProperty(
         fastCheck.array(
@@ -62,12 +66,12 @@
           { maxLength: 4 },
         ),
         async (changes) => {
-          const others = changes.map(([name, value], index) => ({
-            ...SOUND,
+          const invalidEntries = changes.map(([name, value], index) => ({
+            ...VALID_ENTRY,
             id: `w-${index}`,
             [name]: name === "id" ? [value] : value,
           }));
-          const list = await read([...others, SOUND]);
+          const list = await read([...invalidEntries, VALID_ENTRY]);
           if (list.kind === "failure") throw new Error(list.failure.message);
           const ids = list.value.servers.map(({ id }) => id);
           chai.expect(ids).to.include("e-1");
--- a/src/call_claim/call_claim.ts
+++ b/src/call_claim/call_claim.ts
@@ -33,24 +33,24 @@
 /**
  * Decides on a claim: the first attempt holds it until it is released.
  *
- * @param held The claim now, if any.
- * @param wanted The claim asked for.
+ * @param current The claim now, if any.
+ * @param requested The claim asked for.
  * @returns The decision; `claimed` again for the attempt that holds it.
  */
 export function decideClaim(
-  held: CallClaim | undefined,
-  wanted: CallClaim,
+  current: CallClaim | undefined,
+  requested: CallClaim,
 ): ClaimDecision {
-  if (held === undefined) return { kind: "claimed", claim: wanted };
-  if (held.digest !== wanted.digest) return { kind: "keyReused" };
-  switch (held.state.kind) {
+  if (current === undefined) return { kind: "claimed", claim: requested };
+  if (current.digest !== requested.digest) return { kind: "keyReused" };
+  switch (current.state.kind) {
     case "answered":
-      return { kind: "answered", answer: held.state.answer };
+      return { kind: "answered", answer: current.state.answer };
     case "unknown":
       return { kind: "unknown" };
     case "pending":
-      return held.claimId === wanted.claimId
-        ? { kind: "claimed", claim: held }
+      return current.claimId === requested.claimId
+        ? { kind: "claimed", claim: current }
         : { kind: "heldByOther" };
   }
 }
@@ -58,14 +58,14 @@
 /**
  * Tells whether an attempt holds a claim that is still pending.
  *
- * @param held The claim now, if any.
+ * @param current The claim now, if any.
  * @param claimId The attempt.
  * @returns Whether the attempt may end or release the claim.
  */
-export function isPendingFor(
-  held: CallClaim | undefined,
+export function isPendingClaimOf(
+  current: CallClaim | undefined,
   claimId: string,
-): held is CallClaim {
-  return held !== undefined && held.claimId === claimId &&
-    held.state.kind === "pending";
+): current is CallClaim {
+  return current !== undefined && current.claimId === claimId &&
+    current.state.kind === "pending";
 }
--- a/src/caller/_forward.ts
+++ b/src/caller/_forward.ts
@@ -1,4 +1,4 @@
-import type * as backends from "../backend_server/mod.ts";
+import type * as backendServers from "../backend_server/mod.ts";
 import * as csp from "../csp/mod.ts";
 import * as httpClient from "../http_client/mod.ts";
 import type * as http from "node:http";
@@ -31,8 +31,8 @@
 export async function forwardCall(
   context: callerContexts.CallerContext,
   call: callerContexts.AdmittedCall,
-  server: backends.BackendServer,
-  forward: ForwardRequest,
+  server: backendServers.BackendServer,
+  request: ForwardRequest,
 ): Promise<httpClient.HttpOutcome> {
   const { table, settings: { limits } } = context;
   table.addRequest(server.id);
@@ -40,29 +40,29 @@
     address: server.address,
     port: server.port,
     method: call.request.method ?? "GET",
-    path: forward.path,
+    path: request.path,
     headers: {
       ...pickHeaders(call.request.headers),
-      "x-request-id": forward.requestId,
+      "x-request-id": request.requestId,
     },
     ...(call.body.length === 0 ? {} : { body: call.body }),
     timeoutMs: Math.max(1, call.deadlineMs - context.clock.getMonotonicMs()),
     connectTimeoutMs: limits.connectTimeoutMs,
-    isFreshConnection: forward.isFreshConnection,
-    cancellation: forward.cancellation,
+    isFreshConnection: request.isFreshConnection,
+    cancellation: request.cancellation,
   });
   table.removeRequest(server.id, outcome.kind !== "answered");
-  return checkEcho(outcome, forward.requestId);
+  return checkRequestId(outcome, request.requestId);
 }
 
 /** An answer that names another request is never given on. */
-function checkEcho(
+function checkRequestId(
   outcome: httpClient.HttpOutcome,
   requestId: string,
 ): httpClient.HttpOutcome {
   if (outcome.kind !== "answered") return outcome;
-  const echoed = outcome.head.headers["x-request-id"];
-  if (echoed === undefined || echoed === requestId) return outcome;
+  const answeredId = outcome.head.headers["x-request-id"];
+  if (answeredId === undefined || answeredId === requestId) return outcome;
   return {
     kind: "broken",
     message: "it answered another request",
@@ -75,7 +75,7 @@
  * Gives a backend server's whole answer to the caller. As a latin1 string,
  * which keeps every byte, head and body leave in one write.
  */
-export function answerWhole(
+export function sendAnswer(
   response: http.ServerResponse,
   status: number,
   contentType: string,
@@ -91,13 +91,15 @@
 }
 
 /** Reads the content type of an answer. */
-export function getContentType(head: httpClient.HttpHead): string {
+export function getContentType(head: httpClient.ResponseHead): string {
   const value = head.headers["content-type"];
   return typeof value === "string" ? value : "application/octet-stream";
 }
 
 /** Cancels what is done for a caller that goes away. */
-export function watchCaller(response: http.ServerResponse): csp.Cancellation {
+export function cancelOnDisconnect(
+  response: http.ServerResponse,
+): csp.Cancellation {
   const cancellation = new csp.Cancellation();
   response.once("close", () => {
     if (!response.writableFinished) cancellation.cancel();
--- a/src/caller/admit_call.ts
+++ b/src/caller/admit_call.ts
@@ -17,7 +17,7 @@
   request: http.IncomingMessage,
   view: control.ControlView,
 ): results.Result<accounts.ClientAccount> {
-  const token = httpServer.readBearer(request);
+  const token = httpServer.readBearerToken(request);
   if (token === undefined) {
     return results.createFailure(
       "badToken",
--- a/src/caller/caller_listener.ts
+++ b/src/caller/caller_listener.ts
@@ -3,11 +3,11 @@
 import * as httpServer from "../http_server/mod.ts";
 import * as results from "../results/mod.ts";
 import * as admitCall from "./admit_call.ts";
-import * as answerAddresses from "./answer_addresses.ts";
+import * as addressLists from "./list_addresses.ts";
 import type * as callerContexts from "./caller_context.ts";
 import * as findRoute from "./find_route.ts";
 import * as serveCompletion from "./serve_completion.ts";
-import * as serveOnce from "./serve_once.ts";
+import * as serveAtMostOnce from "./serve_at_most_once.ts";
 import * as serveRepeatable from "./serve_repeatable.ts";
 
 /** Answers the requests of trainers, which come to the same port. */
@@ -27,10 +27,10 @@
 
   constructor(
     context: callerContexts.CallerContext,
-    trainers: TrainerHandler,
+    trainerHandler: TrainerHandler,
   ) {
     this.#context = context;
-    this.#trainers = trainers;
+    this.#trainers = trainerHandler;
     const { receiveTimeoutMs } = context.settings.limits;
     this.#listener = new httpServer.HttpListener(
       (request, response) => this.#serve(request, response),
@@ -47,12 +47,12 @@
   }
 
   getInFlight(): number {
-    return this.#listener.getInFlight();
+    return this.#listener.getInFlightCount();
   }
 
   /** Asks callers, with each answer, to go to another box. */
   setDraining(): void {
-    this.#listener.setDraining();
+    this.#listener.startDraining();
   }
 
   close(force: boolean): void {
@@ -73,7 +73,10 @@
     metrics.count("caller.requests");
     const account = admitCall.findAccount(request, client.getView());
     if (account.kind === "failure") {
-      return this.#refuse(response, this.#preferLease(account.failure));
+      return this.#refuse(
+        response,
+        this.#selectAdmissionFailure(account.failure),
+      );
     }
     const admitted = admitCall.admitCall(
       account.value,
@@ -82,8 +85,8 @@
     if (admitted.kind === "failure") {
       return this.#refuse(response, admitted.failure);
     }
-    this.#countAccount(account.value.id, 1);
-    response.once("close", () => this.#countAccount(account.value.id, -1));
+    this.#adjustInFlight(account.value.id, 1);
+    response.once("close", () => this.#adjustInFlight(account.value.id, -1));
     await this.#serveAdmitted({ request, response }, account.value, route);
   }
 
@@ -118,7 +121,7 @@
       case "service":
         return route.operation.repeatable
           ? await serveRepeatable.serveRepeatable(this.#context, call, route)
-          : await serveOnce.serveOnce(this.#context, call, route);
+          : await serveAtMostOnce.serveAtMostOnce(this.#context, call, route);
       case "trainer":
         return await this.#trainers.handle(call, route);
       case "addresses":
@@ -145,15 +148,15 @@
       return this.#refuse(response, failure.failure);
     }
     const { membership } = client.getView();
-    httpServer.answerJson(
+    httpServer.respondJson(
       response,
       200,
-      answerAddresses.answerAddresses(membership, addresses.keepMs),
+      addressLists.listAddresses(membership, addresses.keepMs),
     );
   }
 
   /** A box that is not current can't judge a token. */
-  #preferLease(failure: results.Failure): results.Failure {
+  #selectAdmissionFailure(failure: results.Failure): results.Failure {
     if (this.#context.client.hasLease()) return failure;
     return results.createFailure(
       "noLease",
@@ -167,18 +170,18 @@
   #getLoad(account: accounts.ClientAccount): admitCall.AdmissionLoad {
     return {
       hasLease: this.#context.client.hasLease(),
-      inFlight: this.#listener.getInFlight(),
+      inFlight: this.#listener.getInFlightCount(),
       maxInFlight: this.#context.settings.limits.maxInFlight,
       accountInFlight: this.#inFlight.get(account.id) ?? 0,
     };
   }
 
-  #countAccount(id: string, by: number): void {
-    this.#inFlight.set(id, (this.#inFlight.get(id) ?? 0) + by);
+  #adjustInFlight(id: string, delta: number): void {
+    this.#inFlight.set(id, (this.#inFlight.get(id) ?? 0) + delta);
   }
 
   #refuse(response: http.ServerResponse, failure: results.Failure): void {
     this.#context.metrics.count("caller.failures");
-    httpServer.answerFailure(response, failure);
+    httpServer.respondFailure(response, failure);
   }
 }
--- a/src/caller/caller_path_test.ts
+++ b/src/caller/caller_path_test.ts
@@ -5,7 +5,10 @@
 
 const box = new oneBoxes.OneBox(8);
 
-function sync(key: string, json: unknown = { key }): Promise<oneBoxes.Answer> {
+function sendSync(
+  key: string,
+  json: unknown = { key },
+): Promise<oneBoxes.Answer> {
   return box.send("POST", "/services/app/sync", {
     headers: { "idempotency-key": key },
     json,
@@ -19,12 +22,12 @@
   after(() => box.stop());
 
   beforeEach(() => {
-    box.manner = "answer";
-    box.runs = [];
+    box.responseMode = "answer";
+    box.receivedUrls = [];
   });
 
   it("answers a lookup through the live server though another refuses connections", async () => {
-    for (let count = 0; count < 10; count += 1) {
+    for (let attempt = 0; attempt < 10; attempt += 1) {
       chai.expect((await box.send("GET", "/services/app/stock?sku=1")).status)
         .to
         .equal(200);
@@ -68,41 +71,41 @@
       chai.expect(answer.status).to.equal(status);
       chai.expect(answer.json.error).to.include({ name, outcome: "notRun" });
     }
-    chai.expect(box.runs).to.deep.equal([]);
+    chai.expect(box.receivedUrls).to.deep.equal([]);
   });
 
   it("gives a half-sent request up in time and runs nothing", async () => {
     const socket = net.connect(8080, box.address);
     socket.write(
-      `POST /services/app/sync HTTP/1.1\r\nhost: b\r\nauthorization: Bearer ${oneBoxes.TOKEN}\r\nidempotency-key: h\r\ncontent-length: 50\r\n\r\nhalf`,
+      `POST /services/app/sync HTTP/1.1\r\nhost: b\r\nauthorization: Bearer ${oneBoxes.ACCOUNT_TOKEN}\r\nidempotency-key: h\r\ncontent-length: 50\r\n\r\nhalf`,
     );
     const text = await new Promise<string>((resolve) =>
       socket.once("data", (chunk) => resolve(chunk.toString("utf8")))
     );
     socket.destroy();
     chai.expect(text).to.contain("408");
-    chai.expect(box.runs).to.deep.equal([]);
+    chai.expect(box.receivedUrls).to.deep.equal([]);
   });
 
   it("runs a call that must not be repeated once and gives a resend the first answer", async () => {
-    const first = await sync("k1");
-    const again = await sync("k1");
-    const other = await sync("k1", { key: "other" });
+    const first = await sendSync("k1");
+    const resent = await sendSync("k1");
+    const changed = await sendSync("k1", { key: "other" });
     chai.expect(first.status).to.equal(200);
-    chai.expect(again).to.deep.equal(first);
-    chai.expect(other.json.error).to.include({
+    chai.expect(resent).to.deep.equal(first);
+    chai.expect(changed.json.error).to.include({
       name: "keyReused",
       outcome: "notRun",
     });
-    chai.expect(box.runs.length).to.equal(1);
+    chai.expect(box.receivedUrls.length).to.equal(1);
   });
 
   for (const broken of ["truncate", "reset", "swap", "silent"] as const) {
     it(`says unknown when a server does ${broken} to a call that must not be repeated, and never runs it again`, async () => {
-      box.manner = broken;
-      const first = await sync(`k-${broken}`);
-      box.manner = "answer";
-      const again = await sync(`k-${broken}`);
+      box.responseMode = broken;
+      const first = await sendSync(`k-${broken}`);
+      box.responseMode = "answer";
+      const again = await sendSync(`k-${broken}`);
       chai.expect(first.json.error).to.include({
         name: "backendFailed",
         outcome: "unknown",
@@ -111,22 +114,22 @@
         name: "unknownOutcome",
         outcome: "unknown",
       });
-      chai.expect(box.runs.length).to.equal(1);
+      chai.expect(box.receivedUrls.length).to.equal(1);
     });
   }
 
   for (const broken of ["truncate", "swap"] as const) {
     it(`says unknown, whatever a later try met, to a lookup's caller when a server did ${broken}`, async () => {
-      box.manner = broken;
-      for (let count = 0; count < 12; count += 1) {
-        const before = box.runs.length;
+      box.responseMode = broken;
+      for (let attempt = 0; attempt < 12; attempt += 1) {
+        const runsBefore = box.receivedUrls.length;
         const answer = await box.send("GET", "/services/app/stock");
-        const hasRun = box.runs.length > before;
+        const hasRun = box.receivedUrls.length > runsBefore;
         chai.expect(answer.json.error.outcome).to.equal(
           hasRun ? "unknown" : "notRun",
         );
       }
-      chai.expect(box.runs.length).to.be.greaterThan(0);
+      chai.expect(box.receivedUrls.length).to.be.greaterThan(0);
     });
   }
 
--- a/src/caller/answer_addresses.ts
+++ b/src/caller/list_addresses.ts
@@ -11,7 +11,7 @@
 }
 
 /** Answer to "which address to use". */
-export interface AddressAnswer {
+export interface AddressList {
   readonly addresses: readonly AddressEntry[];
   /** How long the answer may be kept, in ms. */
   readonly keepMs: number;
@@ -25,10 +25,10 @@
  * @param keepMs How long the answer may be kept, in ms.
  * @returns The answer; empty when no box can serve.
  */
-export function answerAddresses(
+export function listAddresses(
   membership: control.Membership,
   keepMs: number,
-): AddressAnswer {
+): AddressList {
   const addresses = membership.boxes
     .filter((box) => !box.isDraining)
     .map((box): AddressEntry => ({
--- a/src/caller/retry_budget.ts
+++ b/src/caller/retry_budget.ts
@@ -1,11 +1,11 @@
 /** Retries that are allowed before any request was counted. */
-const FIRST_RETRIES = 10;
-const MAX_SAVED_RETRIES = 100;
+const INITIAL_BALANCE = 10;
+const MAX_BALANCE = 100;
 
 /** Bounds retries to a share of first tries, so that load is not amplified. */
 export class RetryBudget {
   readonly #ratio: number;
-  #saved = FIRST_RETRIES;
+  #balance = INITIAL_BALANCE;
 
   /** @param ratio Retries earned by each first try. */
   constructor(ratio: number) {
@@ -13,14 +13,14 @@
   }
 
   /** Notes a first try. */
-  addFirstTry(): void {
-    this.#saved = Math.min(MAX_SAVED_RETRIES, this.#saved + this.#ratio);
+  recordFirstAttempt(): void {
+    this.#balance = Math.min(MAX_BALANCE, this.#balance + this.#ratio);
   }
 
   /** Takes one retry; false when the budget is spent. */
   takeRetry(): boolean {
-    if (this.#saved < 1) return false;
-    this.#saved -= 1;
+    if (this.#balance < 1) return false;
+    this.#balance -= 1;
     return true;
   }
 }
--- a/src/caller/serve_once.ts
+++ b/src/caller/serve_at_most_once.ts
@@ -6,13 +6,13 @@
 import * as httpServer from "../http_server/mod.ts";
 import type * as replicated from "../replicated_state/mod.ts";
 import * as results from "../results/mod.ts";
-import * as forwards from "./_forward.ts";
+import * as forward from "./_forward.ts";
 import type * as callerContexts from "./caller_context.ts";
 import type * as findRoute from "./find_route.ts";
 
 const CLAIM_TIMEOUT_MS = 5_000;
-const HELD_WAIT_MS = 2_000;
-const HELD_RETRY_MS = 200;
+const MAX_CLAIM_WAIT_MS = 2_000;
+const CLAIM_RETRY_DELAY_MS = 200;
 const MAX_KEY_LENGTH = 200;
 const RETRY_AFTER_MS = 500;
 
@@ -27,7 +27,7 @@
  * @param call The call.
  * @param route Its route.
  */
-export async function serveOnce(
+export async function serveAtMostOnce(
   context: callerContexts.CallerContext,
   call: callerContexts.AdmittedCall,
   route: ServiceRoute,
@@ -42,18 +42,18 @@
       ),
     );
   }
-  await new OnceRun(context, call, route, key).run();
+  await new AtMostOnceCall(context, call, route, key).run();
 }
 
 function refuse(
   call: callerContexts.AdmittedCall,
   result: { readonly failure: results.Failure },
 ): void {
-  httpServer.answerFailure(call.response, result.failure);
+  httpServer.respondFailure(call.response, result.failure);
 }
 
 /** One attempt at a call that must not be repeated. */
-class OnceRun {
+class AtMostOnceCall {
   readonly #context: callerContexts.CallerContext;
   readonly #call: callerContexts.AdmittedCall;
   readonly #route: ServiceRoute;
@@ -73,27 +73,28 @@
   }
 
   async run(): Promise<void> {
-    const giveUpMs = this.#context.clock.getMonotonicMs() + HELD_WAIT_MS;
+    const waitDeadlineMs = this.#context.clock.getMonotonicMs() +
+      MAX_CLAIM_WAIT_MS;
     for (;;) {
       const answer = await this.#claim();
       if (answer.kind === "failure") return this.#refuseClaim(answer.failure);
-      const isHeld = answer.value.kind === "heldByOther";
-      const canWait = this.#context.clock.getMonotonicMs() < giveUpMs;
-      if (!isHeld || !canWait) return this.#actOn(answer.value);
-      await clocks.sleep(this.#context.clock, HELD_RETRY_MS);
+      const isHeldByOther = answer.value.kind === "heldByOther";
+      const canWait = this.#context.clock.getMonotonicMs() < waitDeadlineMs;
+      if (!isHeldByOther || !canWait) return this.#handleClaim(answer.value);
+      await clocks.sleep(this.#context.clock, CLAIM_RETRY_DELAY_MS);
     }
   }
 
   #claim(): Promise<results.Result<replicated.CommandAnswer>> {
     const { clock, client } = this.#context;
-    const leftMs = this.#call.deadlineMs - clock.getMonotonicMs();
+    const remainingMs = this.#call.deadlineMs - clock.getMonotonicMs();
     return client.propose({
       kind: "claimCall",
       key: this.#key,
       digest: hashCall(this.#call, this.#route),
       claimId: this.#claimId,
       atMs: clock.getWallMs(),
-    }, Math.max(1, Math.min(CLAIM_TIMEOUT_MS, leftMs)));
+    }, Math.max(1, Math.min(CLAIM_TIMEOUT_MS, remainingMs)));
   }
 
   /** Nothing was sent, so the refusal is true even if the claim lasts. */
@@ -110,12 +111,12 @@
     );
   }
 
-  async #actOn(answer: replicated.CommandAnswer): Promise<void> {
+  async #handleClaim(answer: replicated.CommandAnswer): Promise<void> {
     switch (answer.kind) {
       case "claimed":
         return await this.#send();
       case "answered":
-        return answerStored(this.#call, answer.answer);
+        return sendStoredAnswer(this.#call, answer.answer);
       case "keyReused":
         return refuse(
           this.#call,
@@ -142,11 +143,11 @@
     const outcome = await this.#forward();
     switch (outcome.kind) {
       case "answered":
-        return this.#finish(outcome);
+        return this.#completeCall(outcome);
       case "notSent":
-        return await this.#release(outcome.message);
+        return await this.#releaseClaim(outcome.message);
       case "broken":
-        return this.#abandon(outcome.message);
+        return this.#failWithUnknownOutcome(outcome.message);
     }
   }
 
@@ -154,38 +155,43 @@
   async #forward(): Promise<httpClient.HttpOutcome> {
     const neverCancelled = new csp.Cancellation();
     let excluded: ReadonlySet<string> = new Set();
-    let last: httpClient.HttpOutcome = {
+    let lastOutcome: httpClient.HttpOutcome = {
       kind: "notSent",
       message: "no backend server is live",
     };
     for (;;) {
-      const server = this.#context.table.choosePlain(
+      const server = this.#context.table.chooseForService(
         this.#route.service.name,
         excluded,
       );
-      if (server === undefined) return last;
+      if (server === undefined) return lastOutcome;
       excluded = new Set([...excluded, server.id]);
-      last = await forwards.forwardCall(this.#context, this.#call, server, {
-        path: this.#route.path,
-        requestId: this.#claimId,
-        isFreshConnection: true,
-        cancellation: neverCancelled,
-      });
-      if (last.kind !== "notSent") return last;
+      lastOutcome = await forward.forwardCall(
+        this.#context,
+        this.#call,
+        server,
+        {
+          path: this.#route.path,
+          requestId: this.#claimId,
+          isFreshConnection: true,
+          cancellation: neverCancelled,
+        },
+      );
+      if (lastOutcome.kind !== "notSent") return lastOutcome;
     }
   }
 
-  #finish(
+  #completeCall(
     outcome: Extract<httpClient.HttpOutcome, { kind: "answered" }>,
   ): void {
-    const contentType = forwards.getContentType(outcome.head);
+    const contentType = forward.getContentType(outcome.head);
     const { status } = outcome.head;
     const bodyBase64 = outcome.body.toString("base64");
-    this.#end({
+    this.#recordOutcome({
       kind: "answered",
       answer: { status, contentType, bodyBase64 },
     });
-    forwards.answerWhole(
+    forward.sendAnswer(
       this.#call.response,
       status,
       contentType,
@@ -193,8 +199,8 @@
     );
   }
 
-  #abandon(message: string): void {
-    this.#end({ kind: "unknown" });
+  #failWithUnknownOutcome(message: string): void {
+    this.#recordOutcome({ kind: "unknown" });
     refuse(
       this.#call,
       results.createFailure(
@@ -207,7 +213,7 @@
     );
   }
 
-  async #release(message: string): Promise<void> {
+  async #releaseClaim(message: string): Promise<void> {
     await this.#context.client.propose(
       { kind: "releaseCall", key: this.#key, claimId: this.#claimId },
       CLAIM_TIMEOUT_MS,
@@ -224,7 +230,9 @@
     );
   }
 
-  #end(state: Exclude<claims.ClaimState, { readonly kind: "pending" }>): void {
+  #recordOutcome(
+    state: Exclude<claims.ClaimState, { readonly kind: "pending" }>,
+  ): void {
     const command = {
       kind: "finishCall",
       key: this.#key,
@@ -245,10 +253,10 @@
     .digest("hex");
 }
 
-function answerStored(
+function sendStoredAnswer(
   call: callerContexts.AdmittedCall,
   answer: claims.StoredAnswer,
 ): void {
   const body = Buffer.from(answer.bodyBase64, "base64");
-  forwards.answerWhole(call.response, answer.status, answer.contentType, body);
+  forward.sendAnswer(call.response, answer.status, answer.contentType, body);
 }
--- a/src/caller/serve_completion.ts
+++ b/src/caller/serve_completion.ts
@@ -6,7 +6,7 @@
 import * as httpServer from "../http_server/mod.ts";
 import * as models from "../model_version/mod.ts";
 import * as results from "../results/mod.ts";
-import * as forwards from "./_forward.ts";
+import * as forward from "./_forward.ts";
 import type * as callerContexts from "./caller_context.ts";
 
 const DEFAULT_MAX_TOKENS = 256;
@@ -80,7 +80,7 @@
 ): Promise<void> {
   const parsed = parseCompletion(call.body, format);
   if (parsed.kind === "failure") {
-    return httpServer.answerFailure(call.response, parsed.failure);
+    return httpServer.respondFailure(call.response, parsed.failure);
   }
   const completion = parsed.value;
   const writer = new CompletionWriter(call.response, format, completion);
@@ -97,8 +97,8 @@
     table: context.table,
     timeoutMs: call.deadlineMs - context.clock.getMonotonicMs(),
     connectTimeoutMs: context.settings.limits.connectTimeoutMs,
-    cancellation: forwards.watchCaller(call.response),
-    onToken: (token) => writer.add(token),
+    cancellation: forward.cancelOnDisconnect(call.response),
+    onToken: (token) => writer.writeToken(token),
   });
   writer.end(end);
 }
@@ -109,7 +109,7 @@
   readonly #format: CompletionFormat;
   readonly #completion: Completion;
   readonly #id = crypto.randomUUID();
-  #tokens: engines.GeneratedToken[] = [];
+  #bufferedTokens: engines.GeneratedToken[] = [];
 
   constructor(
     response: http.ServerResponse,
@@ -121,29 +121,29 @@
     this.#completion = completion;
   }
 
-  add(token: engines.GeneratedToken): void {
+  writeToken(token: engines.GeneratedToken): void {
     if (!this.#completion.isStream) {
-      this.#tokens.push(token);
+      this.#bufferedTokens.push(token);
       return;
     }
-    this.#begin();
+    this.#writeHead();
     this.#writeEvent(this.#createBody([token], null));
   }
 
-  end(end: results.Result<generation.GenerationEnd>): void {
+  end(end: results.Result<generation.GenerationResult>): void {
     if (end.kind === "failure") {
-      return httpServer.answerFailure(this.#response, end.failure);
+      return httpServer.respondFailure(this.#response, end.failure);
     }
     if (!this.#completion.isStream) {
-      const body = this.#createBody(this.#tokens, end.value.reason);
-      return httpServer.answerJson(this.#response, 200, body);
+      const body = this.#createBody(this.#bufferedTokens, end.value.reason);
+      return httpServer.respondJson(this.#response, 200, body);
     }
-    this.#begin();
+    this.#writeHead();
     this.#writeEvent(this.#createBody([], end.value.reason));
     this.#response.end("data: [DONE]\n\n");
   }
 
-  #begin(): void {
+  #writeHead(): void {
     if (this.#response.headersSent) return;
     this.#response.writeHead(200, {
       "content-type": "text/event-stream",
--- a/src/caller/serve_repeatable.ts
+++ b/src/caller/serve_repeatable.ts
@@ -2,11 +2,11 @@
 import type * as httpClient from "../http_client/mod.ts";
 import * as httpServer from "../http_server/mod.ts";
 import * as results from "../results/mod.ts";
-import * as forwards from "./_forward.ts";
+import * as forward from "./_forward.ts";
 import type * as callerContexts from "./caller_context.ts";
 import type * as findRoute from "./find_route.ts";
 
-const MAX_TRIES = 4;
+const MAX_ATTEMPTS = 4;
 const RETRY_AFTER_MS = 500;
 
 /**
@@ -22,72 +22,77 @@
   call: callerContexts.AdmittedCall,
   route: Extract<findRoute.Route, { readonly kind: "service" }>,
 ): Promise<void> {
-  const cancellation = forwards.watchCaller(call.response);
+  const cancellation = forward.cancelOnDisconnect(call.response);
   let excluded: ReadonlySet<string> = new Set();
-  let last: httpClient.HttpOutcome = {
+  let lastOutcome: httpClient.HttpOutcome = {
     kind: "notSent",
     message: "no backend server is live",
   };
-  context.budget.addFirstTry();
-  for (let attempt = 0; attempt < MAX_TRIES; attempt += 1) {
-    if (attempt > 0 && !canRetry(context, call, last)) break;
-    const server = context.table.choosePlain(route.service.name, excluded);
+  context.budget.recordFirstAttempt();
+  for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
+    if (attempt > 0 && !canRetry(context, call, lastOutcome)) break;
+    const server = context.table.chooseForService(route.service.name, excluded);
     if (server === undefined) break;
     excluded = new Set([...excluded, server.id]);
-    const outcome = await forwards.forwardCall(context, call, server, {
+    const outcome = await forward.forwardCall(context, call, server, {
       path: route.path,
       requestId: crypto.randomUUID(),
       isFreshConnection: false,
       cancellation,
     });
     if (outcome.kind === "answered") {
-      const type = forwards.getContentType(outcome.head);
-      return forwards.answerWhole(
+      const type = forward.getContentType(outcome.head);
+      return forward.sendAnswer(
         call.response,
         outcome.head.status,
         type,
         outcome.body,
       );
     }
-    last = mergeOutcomes(last, outcome);
+    lastOutcome = mergeOutcomes(lastOutcome, outcome);
   }
-  httpServer.answerFailure(call.response, createLastFailure(last).failure);
+  httpServer.respondFailure(
+    call.response,
+    createFinalFailure(lastOutcome).failure,
+  );
 }
 
 /** Once a try may have run, no later try makes "not run" true again. */
 function mergeOutcomes(
-  before: httpClient.HttpOutcome,
-  now: httpClient.HttpOutcome,
+  previous: httpClient.HttpOutcome,
+  current: httpClient.HttpOutcome,
 ): httpClient.HttpOutcome {
-  return before.kind === "broken" ? before : now;
+  return previous.kind === "broken" ? previous : current;
 }
 
 function canRetry(
   context: callerContexts.CallerContext,
   call: callerContexts.AdmittedCall,
-  last: httpClient.HttpOutcome,
+  lastOutcome: httpClient.HttpOutcome,
 ): boolean {
   if (context.clock.getMonotonicMs() >= call.deadlineMs) return false;
   if (call.response.destroyed) return false;
-  if (last.kind === "notSent") return true;
+  if (lastOutcome.kind === "notSent") return true;
   if (!context.budget.takeRetry()) return false;
   context.metrics.count("caller.retries");
   return true;
 }
 
-function createLastFailure(
-  last: httpClient.HttpOutcome,
+function createFinalFailure(
+  lastOutcome: httpClient.HttpOutcome,
 ): { readonly failure: results.Failure } {
-  if (last.kind === "notSent") {
+  if (lastOutcome.kind === "notSent") {
     return results.createFailure(
       "noBackendServer",
-      `Cannot serve the call: ${last.message}`,
+      `Cannot serve the call: ${lastOutcome.message}`,
       {
         retryAfterMs: RETRY_AFTER_MS,
       },
     );
   }
-  const message = last.kind === "broken" ? last.message : "it did not answer";
+  const message = lastOutcome.kind === "broken"
+    ? lastOutcome.message
+    : "it did not answer";
   return results.createFailure(
     "backendFailed",
     `Cannot serve the call: ${message}`,
--- a/src/cli/admin_client.ts
+++ b/src/cli/admin_client.ts
@@ -7,10 +7,10 @@
   readonly token: string;
 }
 
-const TIMEOUT_MS = 70_000;
+const REQUEST_TIMEOUT_MS = 70_000;
 
 /** The part of an error answer that is read. */
-interface ErrorAnswer {
+interface ErrorBody {
   readonly error?: {
     readonly name?: string;
     readonly message?: string;
@@ -27,7 +27,7 @@
  * @param json Body, if any.
  * @returns The answer, or the failure that the box told.
  */
-export async function sendAdmin(
+export async function sendAdminRequest(
   options: AdminOptions,
   method: string,
   path: string,
@@ -37,19 +37,19 @@
     baseUrl: options.baseUrl,
     method,
     path,
-    timeoutMs: TIMEOUT_MS,
+    timeoutMs: REQUEST_TIMEOUT_MS,
     headers: { authorization: `Bearer ${options.token}` },
     ...(json === undefined ? {} : { json }),
   });
   if (answer.kind === "failure") return answer;
   if (answer.value.status === 200) return results.createOk(answer.value.json);
-  return readFailure(answer.value.json as ErrorAnswer);
+  return parseFailure(answer.value.json as ErrorBody);
 }
 
-function readFailure(answer: ErrorAnswer): results.Result<unknown> {
+function parseFailure(answer: ErrorBody): results.Result<unknown> {
   const name = answer.error?.name ?? "internal";
   const code = name in results.RESULT_CODES
-    ? name as results.CodeName
+    ? name as results.ResultCodeName
     : "internal";
   const message = answer.error?.message ?? "Cannot read the box's answer";
   return results.createFailure(code, message, {
--- a/src/cli/admin_commands.ts
+++ b/src/cli/admin_commands.ts
@@ -5,7 +5,7 @@
 import * as results from "../results/mod.ts";
 import type * as templates from "../rollout_template/mod.ts";
 import * as reports from "./_report.ts";
-import * as adminClients from "./admin_client.ts";
+import * as adminClient from "./admin_client.ts";
 
 /** Options of every command that asks a box. */
 export interface AdminArguments {
@@ -24,17 +24,17 @@
   readonly waitMs: number;
 }
 
-function ask(
+function sendRequest(
   args: AdminArguments,
   method: string,
   path: string,
   json?: unknown,
 ): Promise<results.Result<unknown>> {
   const options = { baseUrl: args.admin, token: args.token };
-  return adminClients.sendAdmin(options, method, path, json);
+  return adminClient.sendAdminRequest(options, method, path, json);
 }
 
-function report(
+function reportReply(
   args: AdminArguments,
   answer: results.Result<unknown>,
   format: (value: never) => string,
@@ -47,16 +47,19 @@
 function parseValues(
   pairs: readonly string[],
 ): results.Result<Readonly<Record<string, unknown>>> {
-  const bad = pairs.find((pair) => !pair.includes("="));
-  if (bad !== undefined) {
+  const malformed = pairs.find((pair) => !pair.includes("="));
+  if (malformed !== undefined) {
     return results.createFailure(
       "badArguments",
-      `Cannot read '${bad}': it is not name=value`,
+      `Cannot read '${malformed}': it is not name=value`,
     );
   }
   const entries = pairs.map((pair) => {
-    const at = pair.indexOf("=");
-    return [pair.slice(0, at), parseValue(pair.slice(at + 1))] as const;
+    const separator = pair.indexOf("=");
+    return [
+      pair.slice(0, separator),
+      parseValue(pair.slice(separator + 1)),
+    ] as const;
   });
   return results.createOk(Object.fromEntries(entries));
 }
@@ -70,10 +73,10 @@
 }
 
 function formatChange(answer: operators.ChangeAnswer): string {
-  const force = answer.isInForce
+  const status = answer.isInForce
     ? `in force everywhere after ${answer.inForceMs} ms`
     : "not yet known to be in force everywhere";
-  return `accepted as revision ${answer.revision}, ${force}`;
+  return `accepted as revision ${answer.revision}, ${status}`;
 }
 
 function formatTemplate(template: templates.RolloutTemplate): string {
@@ -92,12 +95,12 @@
 export async function listTemplates(
   args: AdminArguments & { readonly account: string },
 ): Promise<number> {
-  const answer = await ask(
+  const answer = await sendRequest(
     args,
     "GET",
     `/v1/accounts/${args.account}/templates`,
   );
-  return report(
+  return reportReply(
     args,
     answer,
     (value: { readonly templates: readonly templates.RolloutTemplate[] }) =>
@@ -118,7 +121,11 @@
   args: AdminArguments & { readonly account: string; readonly name: string },
 ): Promise<number> {
   const path = `/v1/accounts/${args.account}/templates/${args.name}`;
-  return report(args, await ask(args, "GET", path), formatTemplate);
+  return reportReply(
+    args,
+    await sendRequest(args, "GET", path),
+    formatTemplate,
+  );
 }
 
 /** Sets parameters of a template against its current or a stated revision. */
@@ -152,13 +159,13 @@
   if (typeof baseRevision !== "number") {
     return reports.reportFailure(baseRevision);
   }
-  const answer = await ask(args, "PUT", path, {
+  const answer = await sendRequest(args, "PUT", path, {
     ...build(values.value),
     baseRevision,
     requestId: args.requestId ?? crypto.randomUUID(),
     waitMs: args.waitMs,
   });
-  return report(args, answer, formatChange);
+  return reportReply(args, answer, formatChange);
 }
 
 /** Reads the revision that stands; 0 for what does not exist yet. */
@@ -166,7 +173,7 @@
   args: AdminArguments,
   path: string,
 ): Promise<number | results.Failure> {
-  const current = await ask(args, "GET", path);
+  const current = await sendRequest(args, "GET", path);
   if (current.kind === "ok") {
     return (current.value as { readonly revision: number }).revision;
   }
@@ -191,8 +198,8 @@
 export async function showAccount(
   args: AdminArguments & { readonly account: string },
 ): Promise<number> {
-  const answer = await ask(args, "GET", `/v1/accounts/${args.account}`);
-  return report(
+  const answer = await sendRequest(args, "GET", `/v1/accounts/${args.account}`);
+  return reportReply(
     args,
     answer,
     (
@@ -214,7 +221,11 @@
 
 /** Shows the leader, replicas, boxes and backend servers. */
 export async function showStatus(args: AdminArguments): Promise<number> {
-  return report(args, await ask(args, "GET", "/v1/status"), formatStatus);
+  return reportReply(
+    args,
+    await sendRequest(args, "GET", "/v1/status"),
+    formatStatus,
+  );
 }
 
 function formatStatus(
@@ -268,12 +279,12 @@
 /** Lists accepted changes. */
 export async function listAudit(args: AuditArguments): Promise<number> {
   const { account, template, operator, after, limit } = args;
-  const wanted = Object.entries({ account, template, operator, after, limit })
+  const filters = Object.entries({ account, template, operator, after, limit })
     .filter(([, value]) => value !== undefined)
     .map(([name, value]) => [name, String(value)] as [string, string]);
-  const query = new URLSearchParams(wanted);
-  const answer = await ask(args, "GET", `/v1/audit?${query}`);
-  return report(
+  const query = new URLSearchParams(filters);
+  const answer = await sendRequest(args, "GET", `/v1/audit?${query}`);
+  return reportReply(
     args,
     answer,
     (value: { readonly records: readonly audit.AuditRecord[] }) =>
@@ -292,9 +303,9 @@
 
 /** Begins the planned stop of the asked box. */
 export async function startDrain(args: AdminArguments): Promise<number> {
-  return report(
+  return reportReply(
     args,
-    await ask(args, "POST", "/v1/drain"),
+    await sendRequest(args, "POST", "/v1/drain"),
     () => "the box is being stopped",
   );
 }
@@ -303,6 +314,8 @@
 export async function setLogLevel(
   args: AdminArguments & { readonly level: string },
 ): Promise<number> {
-  const answer = await ask(args, "PUT", "/v1/log-level", { level: args.level });
-  return report(args, answer, () => `the log level is ${args.level}`);
+  const answer = await sendRequest(args, "PUT", "/v1/log-level", {
+    level: args.level,
+  });
+  return reportReply(args, answer, () => `the log level is ${args.level}`);
 }
--- a/src/cli/run_cli.ts
+++ b/src/cli/run_cli.ts
@@ -11,17 +11,17 @@
 /** Version of the program. */
 export const VERSION = "0.1.0";
 
-const DEFAULT_ADMIN = "http://127.0.0.1:8081";
+const DEFAULT_ADMIN_URL = "http://127.0.0.1:8081";
 const DEFAULT_WAIT_MS = 10_000;
-const AUDIT_LIMIT = 50;
+const DEFAULT_AUDIT_LIMIT = 50;
 
-type Run = (exitCode: number | Promise<number>) => void;
+type SetExitCode = (exitCode: number | Promise<number>) => void;
 
 function addAdminOptions<T>(parser: yargsTypes.Argv<T>) {
   return parser.options({
     admin: {
       type: "string",
-      default: process.env["HOISTSCALE_ADMIN"] ?? DEFAULT_ADMIN,
+      default: process.env["HOISTSCALE_ADMIN"] ?? DEFAULT_ADMIN_URL,
       describe: "Administration address of a box (HOISTSCALE_ADMIN)",
     },
     token: {
@@ -55,7 +55,7 @@
 
 function addTemplateCommands(
   parser: yargsTypes.Argv,
-  run: Run,
+  setExitCode: SetExitCode,
 ): yargsTypes.Argv {
   return parser
     .command(
@@ -66,7 +66,7 @@
           type: "string",
           demandOption: true,
         }),
-      (args) => run(adminCommands.listTemplates(args)),
+      (args) => setExitCode(adminCommands.listTemplates(args)),
     )
     .command(
       "show <account> <name>",
@@ -75,7 +75,7 @@
         addAdminOptions(args)
           .positional("account", { type: "string", demandOption: true })
           .positional("name", { type: "string", demandOption: true }),
-      (args) => run(adminCommands.showTemplate(args)),
+      (args) => setExitCode(adminCommands.showTemplate(args)),
     )
     .command(
       "set <account> <name> <values..>",
@@ -89,14 +89,14 @@
             array: true,
             demandOption: true,
           }),
-      (args) => run(adminCommands.setTemplate(args)),
+      (args) => setExitCode(adminCommands.setTemplate(args)),
     )
     .demandCommand(1, "Say what to do: list, show or set");
 }
 
 function addAccountCommands(
   parser: yargsTypes.Argv,
-  run: Run,
+  setExitCode: SetExitCode,
 ): yargsTypes.Argv {
   return parser
     .command(
@@ -107,7 +107,7 @@
           type: "string",
           demandOption: true,
         }),
-      (args) => run(adminCommands.showAccount(args)),
+      (args) => setExitCode(adminCommands.showAccount(args)),
     )
     .command(
       "set <account> [values..]",
@@ -127,12 +127,17 @@
             describe: "Valid token of the account; may be given more than once",
           }),
       (args) =>
-        run(adminCommands.setAccount({ ...args, tokens: args.accountToken })),
+        setExitCode(
+          adminCommands.setAccount({ ...args, tokens: args.accountToken }),
+        ),
     )
     .demandCommand(1, "Say what to do: show or set");
 }
 
-function addBoxCommands(parser: yargsTypes.Argv, run: Run): yargsTypes.Argv {
+function addBoxCommands(
+  parser: yargsTypes.Argv,
+  setExitCode: SetExitCode,
+): yargsTypes.Argv {
   const settingsOption = {
     type: "string",
     demandOption: true,
@@ -143,39 +148,44 @@
       "serve",
       "Run the daemon of a box",
       { settings: settingsOption },
-      (args) => run(runServe.runServe(args.settings)),
+      (args) => setExitCode(runServe.runServe(args.settings)),
     )
     .command(
       "check",
       "Check a settings file",
       { settings: settingsOption },
-      (args) => run(checkSettings(args.settings)),
+      (args) => setExitCode(checkSettings(args.settings)),
     )
     .command(
       "make-state",
       "Make the data folder for the first start of a replica set",
       { settings: settingsOption },
-      (args) => run(makeState(args.settings)),
+      (args) => setExitCode(makeState(args.settings)),
     );
 }
 
 function addAdminCommands(
   parser: yargsTypes.Argv,
-  run: Run,
+  setExitCode: SetExitCode,
 ): yargsTypes.Argv {
   return parser
-    .command("version", "Print the version", {}, () => run(printVersion()))
+    .command(
+      "version",
+      "Print the version",
+      {},
+      () => setExitCode(printVersion()),
+    )
     .command(
       "status",
       "Show leader, replicas, boxes, leases",
       addAdminOptions,
-      (args) => run(adminCommands.showStatus(args)),
+      (args) => setExitCode(adminCommands.showStatus(args)),
     )
     .command(
       "drain",
       "Begin the planned stop of the asked box",
       addAdminOptions,
-      (args) => run(adminCommands.startDrain(args)),
+      (args) => setExitCode(adminCommands.startDrain(args)),
     )
     .command(
       "server-role <server> <role>",
@@ -184,7 +194,7 @@
         addChangeOptions(args)
           .positional("server", { type: "string", demandOption: true })
           .positional("role", { type: "string", demandOption: true }),
-      (args) => run(adminCommands.setRole(args)),
+      (args) => setExitCode(adminCommands.setRole(args)),
     )
     .command(
       "log-level <level>",
@@ -194,7 +204,7 @@
           type: "string",
           demandOption: true,
         }),
-      (args) => run(adminCommands.setLogLevel(args)),
+      (args) => setExitCode(adminCommands.setLogLevel(args)),
     )
     .command(
       "audit",
@@ -205,9 +215,9 @@
           template: { type: "string" },
           operator: { type: "string" },
           after: { type: "number", describe: "Only after this revision" },
-          limit: { type: "number", default: AUDIT_LIMIT },
+          limit: { type: "number", default: DEFAULT_AUDIT_LIMIT },
         }),
-      (args) => run(adminCommands.listAudit(args)),
+      (args) => setExitCode(adminCommands.listAudit(args)),
     );
 }
 
@@ -229,7 +239,7 @@
       outcome: "notRun",
     });
   }
-  const made = await consensus.makeDataFolder({
+  const made = await consensus.initializeDataFolder({
     folder: control.dataFolder,
     owner: box.id,
     wallMs: new clocks.SystemClock().getWallMs(),
@@ -252,20 +262,23 @@
  */
 export async function runCli(args: readonly string[]): Promise<number> {
   let exitCode: number | Promise<number> = 0;
-  function run(result: number | Promise<number>): void {
+  function setExitCode(result: number | Promise<number>): void {
     exitCode = result;
   }
   const program = yargs([...args]).scriptName("hoistscale");
-  const parser = addAdminCommands(addBoxCommands(program, run), run)
+  const parser = addAdminCommands(
+    addBoxCommands(program, setExitCode),
+    setExitCode,
+  )
     .command(
       "template",
       "Rollout templates",
-      (inner) => addTemplateCommands(inner, run),
+      (inner) => addTemplateCommands(inner, setExitCode),
     )
     .command(
       "account",
       "Client accounts",
-      (inner) => addAccountCommands(inner, run),
+      (inner) => addAccountCommands(inner, setExitCode),
     )
     .demandCommand(1, "Say what to do")
     .strict()
--- a/src/cli/run_serve.ts
+++ b/src/cli/run_serve.ts
@@ -4,7 +4,7 @@
 import * as reports from "./_report.ts";
 
 /** Exit code after a second stop signal. */
-const CUT_EXIT_CODE = 130;
+const FORCED_STOP_EXIT_CODE = 130;
 
 /**
  * Runs the daemon of a box until it is stopped. The first SIGTERM or SIGINT
@@ -42,7 +42,7 @@
   for (const signal of ["SIGTERM", "SIGINT"] as const) {
     process.on(signal, () => {
       count += 1;
-      if (count > 1) process.exit(CUT_EXIT_CODE);
+      if (count > 1) process.exit(FORCED_STOP_EXIT_CODE);
       daemon.drain();
     });
   }
--- a/src/client_account/account_keys.ts
+++ b/src/client_account/account_keys.ts
@@ -25,7 +25,7 @@
   };
 
 /** A sender, or why the request is refused. */
-export type KeyVerdict =
+export type KeyCheckResult =
   | Sender
   | { readonly kind: "refused"; readonly reason: string };
 
@@ -53,7 +53,7 @@
   }
 
   /** Finds the account that holds a key. */
-  find(key: string): KeyedAccount | undefined {
+  findByKey(key: string): KeyedAccount | undefined {
     if (key === "" || key.length > MAX_KEY_CHARACTERS) return undefined;
     return this.#byKeySha256.get(clientAccounts.hashToken(key));
   }
@@ -74,13 +74,13 @@
   accounts: AccountKeys | undefined,
   key: string | undefined,
   allowsAnonymous: boolean,
-): KeyVerdict {
+): KeyCheckResult {
   if (accounts === undefined) return { kind: "unasked" };
   if (key === undefined) {
     if (allowsAnonymous) return { kind: "anonymous" };
     return { kind: "refused", reason: "no key was shown" };
   }
-  const account = accounts.find(key);
+  const account = accounts.findByKey(key);
   if (account === undefined) {
     return { kind: "refused", reason: "no account holds the key" };
   }
@@ -94,28 +94,28 @@
  * @param accounts The accounts, in the order of the configuration.
  * @returns The first fault with the path of its field, or undefined.
  */
-export function findAccountFault(
+export function findAccountError(
   accounts: readonly KeyedAccount[],
 ): string | undefined {
   const names = new Set<string>();
-  const holders = new Map<string, string>();
-  for (const [at, { name, keySha256s }] of accounts.entries()) {
-    if (name === "") return `accounts.${at}.name: it is empty`;
-    if (names.has(name)) return `accounts.${at}.name: ${name} stands twice`;
+  const ownersByKey = new Map<string, string>();
+  for (const [index, { name, keySha256s }] of accounts.entries()) {
+    if (name === "") return `accounts.${index}.name: it is empty`;
+    if (names.has(name)) return `accounts.${index}.name: ${name} stands twice`;
     names.add(name);
-    for (const [keyAt, sha256] of keySha256s.entries()) {
-      const holder = holders.get(sha256);
-      if (holder !== undefined && holder !== name) {
-        return `accounts.${at}.keys.${keyAt}: ${holder} and ${name} share it`;
+    for (const [keyIndex, sha256] of keySha256s.entries()) {
+      const owner = ownersByKey.get(sha256);
+      if (owner !== undefined && owner !== name) {
+        return `accounts.${index}.keys.${keyIndex}: ${owner} and ${name} share it`;
       }
-      holders.set(sha256, name);
+      ownersByKey.set(sha256, name);
     }
   }
   return undefined;
 }
 
 /** Digits of a key's digest that tell keys apart in a log. */
-const SHOWN_DIGITS = 8;
+const LOGGED_DIGEST_DIGITS = 8;
 
 /**
  * Describes a key for a log line, which must not show it.
@@ -127,6 +127,6 @@
   if (key === undefined) return "none";
   return clientAccounts.hashToken(key.slice(0, MAX_KEY_CHARACTERS)).slice(
     0,
-    SHOWN_DIGITS,
+    LOGGED_DIGEST_DIGITS,
   );
 }
--- a/src/client_account/account_keys_test.ts
+++ b/src/client_account/account_keys_test.ts
@@ -20,7 +20,7 @@
     what: string,
     key: string | undefined,
     allowsAnonymous: boolean,
-    verdict: accountKeys.KeyVerdict["kind"],
+    verdict: accountKeys.KeyCheckResult["kind"],
   ])[] = [
     ["a key of an account", "n-2", false, "account"],
     ["a key where none is needed", "n-1", true, "account"],
@@ -34,8 +34,8 @@
   ];
   for (const [what, key, allowsAnonymous, verdict] of cases) {
     it(`judges ${what}: ${verdict}`, () => {
-      const judged = accountKeys.checkKey(ACCOUNTS, key, allowsAnonymous);
-      chai.expect(judged.kind).to.equal(verdict);
+      const result = accountKeys.checkKey(ACCOUNTS, key, allowsAnonymous);
+      chai.expect(result.kind).to.equal(verdict);
     });
   }
 
@@ -53,27 +53,28 @@
     );
   });
 
-  const faults: Readonly<Record<string, readonly accountKeys.KeyedAccount[]>> =
-    {
-      "accounts.1.keys.0: north and south share it": [
-        createAccount("north", ["a", "b"]),
-        createAccount("south", ["b"]),
-      ],
-      "accounts.1.name: north stands twice": [
-        createAccount("north", []),
-        createAccount("north", ["a"]),
-      ],
-      "accounts.0.name: it is empty": [createAccount("", [])],
-    };
-  for (const [fault, accounts] of Object.entries(faults)) {
-    it(`finds a fault: ${fault}`, () => {
-      chai.expect(accountKeys.findAccountFault(accounts)).to.equal(fault);
+  const errorCases: Readonly<
+    Record<string, readonly accountKeys.KeyedAccount[]>
+  > = {
+    "accounts.1.keys.0: north and south share it": [
+      createAccount("north", ["a", "b"]),
+      createAccount("south", ["b"]),
+    ],
+    "accounts.1.name: north stands twice": [
+      createAccount("north", []),
+      createAccount("north", ["a"]),
+    ],
+    "accounts.0.name: it is empty": [createAccount("", [])],
+  };
+  for (const [error, accounts] of Object.entries(errorCases)) {
+    it(`finds a fault: ${error}`, () => {
+      chai.expect(accountKeys.findAccountError(accounts)).to.equal(error);
     });
   }
 
   it("finds no fault where an account lists one key twice", () => {
     const accounts = [createAccount("north", ["a", "a"])];
-    chai.expect(accountKeys.findAccountFault(accounts)).to.equal(undefined);
+    chai.expect(accountKeys.findAccountError(accounts)).to.equal(undefined);
   });
 
   it("describes a key without showing it", () => {
--- a/src/clock/gathered_call.ts
+++ b/src/clock/coalesced_call.ts
@@ -1,7 +1,7 @@
 import type * as clocks from "./clock.ts";
 
 /** How calls are gathered. */
-export interface GatheredCallOptions {
+export interface CoalescedCallOptions {
   readonly clock: clocks.Clock;
   /** Time from the first call to the action, in ms. */
   readonly delayMs: number;
@@ -9,21 +9,21 @@
 }
 
 /** Carries out one action for all calls that come within a while. */
-export class GatheredCall {
-  readonly #options: GatheredCallOptions;
-  #isDue = false;
+export class CoalescedCall {
+  readonly #options: CoalescedCallOptions;
+  #isScheduled = false;
 
-  constructor(options: GatheredCallOptions) {
+  constructor(options: CoalescedCallOptions) {
     this.#options = options;
   }
 
   /** Has the action carried out soon, once. */
   schedule(): void {
-    if (this.#isDue) return;
-    this.#isDue = true;
+    if (this.#isScheduled) return;
+    this.#isScheduled = true;
     const { clock, delayMs, action } = this.#options;
     clock.startTimer(delayMs, () => {
-      this.#isDue = false;
+      this.#isScheduled = false;
       action();
     });
   }
--- a/src/clock/fake_clock.ts
+++ b/src/clock/fake_clock.ts
@@ -10,7 +10,7 @@
 export class FakeClock implements clocks.Clock {
   #nowMs: number;
   /** How far the wall clock is ahead of the monotonic one. */
-  #wallAheadMs = 0;
+  #wallOffsetMs = 0;
   #sequence = 0;
   #timers: readonly PendingTimer[] = [];
 
@@ -20,7 +20,7 @@
   }
 
   getWallMs(): number {
-    return this.#nowMs + this.#wallAheadMs;
+    return this.#nowMs + this.#wallOffsetMs;
   }
 
   getMonotonicMs(): number {
@@ -44,20 +44,20 @@
    * Lets time pass while the machine is suspended: the monotonic clock stands,
    * and so do its timers.
    */
-  suspend(forMs: number): void {
-    this.#wallAheadMs += forMs;
+  suspend(durationMs: number): void {
+    this.#wallOffsetMs += durationMs;
   }
 
   /** Sets the wall clock by so much. */
-  stepWall(byMs: number): void {
-    this.#wallAheadMs += byMs;
+  stepWall(offsetMs: number): void {
+    this.#wallOffsetMs += offsetMs;
   }
 
   /** Moves time forward by `byMs`, running due timers in order. */
-  extendBy(byMs: number): void {
-    const endMs = this.#nowMs + byMs;
+  advance(durationMs: number): void {
+    const endMs = this.#nowMs + durationMs;
     for (;;) {
-      const next = this.#findNext(endMs);
+      const next = this.#findNextDueTimer(endMs);
       if (next === undefined) break;
       this.#timers = this.#timers.filter((other) => other !== next);
       this.#nowMs = next.dueMs;
@@ -66,7 +66,7 @@
     this.#nowMs = endMs;
   }
 
-  #findNext(endMs: number): PendingTimer | undefined {
+  #findNextDueTimer(endMs: number): PendingTimer | undefined {
     return this.#timers
       .filter((timer) => timer.dueMs <= endMs)
       .sort((a, b) => a.dueMs - b.dueMs || a.sequence - b.sequence)[0];
--- a/src/clock/mod.ts
+++ b/src/clock/mod.ts
@@ -11,7 +11,7 @@
  */
 export * from "./clock.ts";
 export * from "./fake_clock.ts";
-export * from "./gathered_call.ts";
+export * from "./coalesced_call.ts";
 export * from "./sleep.ts";
-export * from "./suspension_watch.ts";
+export * from "./suspension_detector.ts";
 export * from "./system_clock.ts";
--- a/src/clock/suspension_watch.ts
+++ b/src/clock/suspension_detector.ts
@@ -4,9 +4,9 @@
  * How much further the time of day may have come than the monotonic clock, in ms,
  * without a sign that the machine was suspended: both are read one after the other.
  */
-const TOLERANCE_MS = 50;
+const DRIFT_TOLERANCE_MS = 50;
 /** How fast a time of day that is being corrected may gain on it, as a share. */
-const MAX_SLEW = 0.001;
+const MAX_SLEW_RATIO = 0.001;
 
 /**
  * Finds out whether the machine may have been suspended: its monotonic clock
@@ -14,17 +14,17 @@
  * forward looks the same, so this serves to end what this process promised to
  * others, and never to take what others promised for ended.
  */
-export class SuspensionWatch {
+export class SuspensionDetector {
   readonly #clock: Pick<clocks.Clock, "getWallMs" | "getMonotonicMs">;
   /** Time of day less monotonic time, as far as it was followed, in ms. */
   #offsetMs: number;
-  #lookedAtMs: number;
-  #wokeAtMs = Number.NEGATIVE_INFINITY;
+  #checkedAtMs: number;
+  #resumedAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(clock: Pick<clocks.Clock, "getWallMs" | "getMonotonicMs">) {
     this.#clock = clock;
-    this.#lookedAtMs = clock.getMonotonicMs();
-    this.#offsetMs = clock.getWallMs() - this.#lookedAtMs;
+    this.#checkedAtMs = clock.getMonotonicMs();
+    this.#offsetMs = clock.getWallMs() - this.#checkedAtMs;
   }
 
   /**
@@ -33,21 +33,21 @@
    * @returns Monotonic ms before which the machine may have been suspended; what
    * was timed before may be older than it seems. Negative infinity for never.
    */
-  getWokeAtMs(): number {
+  getResumedAtMs(): number {
     // A process that gets no processor between two readings must not be taken for
     // one whose machine was suspended: both orders of reading have to agree.
     const beforeMs = this.#clock.getMonotonicMs();
     const wallMs = this.#clock.getWallMs();
     const nowMs = this.#clock.getMonotonicMs();
-    const leastMs = wallMs - nowMs - this.#offsetMs;
-    const mostMs = wallMs - beforeMs - this.#offsetMs;
-    const slewMs = (nowMs - this.#lookedAtMs) * MAX_SLEW;
-    this.#lookedAtMs = nowMs;
-    if (leastMs > TOLERANCE_MS) {
-      this.#wokeAtMs = nowMs;
-      this.#offsetMs += leastMs;
-    } else if (mostMs < 0) this.#offsetMs += mostMs;
-    else this.#offsetMs += Math.max(0, Math.min(leastMs, slewMs));
-    return this.#wokeAtMs;
+    const minDriftMs = wallMs - nowMs - this.#offsetMs;
+    const maxDriftMs = wallMs - beforeMs - this.#offsetMs;
+    const maxSlewMs = (nowMs - this.#checkedAtMs) * MAX_SLEW_RATIO;
+    this.#checkedAtMs = nowMs;
+    if (minDriftMs > DRIFT_TOLERANCE_MS) {
+      this.#resumedAtMs = nowMs;
+      this.#offsetMs += minDriftMs;
+    } else if (maxDriftMs < 0) this.#offsetMs += maxDriftMs;
+    else this.#offsetMs += Math.max(0, Math.min(minDriftMs, maxSlewMs));
+    return this.#resumedAtMs;
   }
 }
--- a/src/consensus/_append_requests.ts
+++ b/src/consensus/_append_requests.ts
@@ -1,10 +1,10 @@
-import * as feedings from "./_feeding.ts";
+import * as appendWindows from "./_append_window.ts";
 import type * as messages from "./message.ts";
 import * as replicaLogs from "./replica_log.ts";
 import type * as replicaStates from "./replica_state.ts";
 
 /** What is sent to a follower, and how far it is then. */
-export interface SentAppend {
+export interface PreparedAppend {
   readonly progress: replicaStates.Progress;
   readonly effect: replicaStates.Effect;
 }
@@ -41,7 +41,7 @@
   to: string,
   progress: replicaStates.Progress,
   message: messages.AppendRequest | undefined,
-): SentAppend {
+): PreparedAppend {
   if (message === undefined) {
     const nextIndex = replicaLogs.getLastIndex(state.log) + 1;
     return {
@@ -61,12 +61,12 @@
  * to all at once, four snapshots held each other up (fake clock: an emptied voter
  * lacked 816 entries 5.1 s after its start).
  */
-function createWaiting(
+function createHeartbeat(
   state: replicaStates.ReplicaState,
   to: string,
   progress: replicaStates.Progress,
   nowMs: number,
-): SentAppend {
+): PreparedAppend {
   const { log, term, commitIndex } = state;
   const message: messages.AppendRequest = {
     kind: "appendRequest",
@@ -89,20 +89,21 @@
   state: replicaStates.ReplicaState,
   followers: ReadonlyMap<string, replicaStates.Progress>,
   nowMs: number,
-): readonly (readonly [string, SentAppend])[] {
+): readonly (readonly [string, PreparedAppend])[] {
   const requests = new Map<string, messages.AppendRequest | undefined>();
   return [...followers].map(([to, progress]) => {
     const { nextIndex } = progress;
-    const count = feedings.countSendable(state, to, progress, nowMs);
+    const count = appendWindows.countSendable(state, to, progress, nowMs);
     const key = `${nextIndex} ${count}`;
     if (!requests.has(key)) {
       requests.set(key, createRequest(state, nextIndex, count, nowMs));
     }
     const message = requests.get(key);
     if (
-      message === undefined && !feedings.isInTurn(state, to, progress, nowMs)
+      message === undefined &&
+      !appendWindows.canSendSnapshot(state, to, progress, nowMs)
     ) {
-      return [to, createWaiting(state, to, progress, nowMs)] as const;
+      return [to, createHeartbeat(state, to, progress, nowMs)] as const;
     }
     return [to, createAppend(state, to, progress, message)] as const;
   });
@@ -110,5 +111,5 @@
 
 function isEstablished(state: replicaStates.ReplicaState): boolean {
   return state.role.kind === "leader" &&
-    state.commitIndex >= state.role.firstIndex;
+    state.commitIndex >= state.role.termStartIndex;
 }
--- a/src/consensus/_feeding.ts
+++ b/src/consensus/_append_window.ts
@@ -1,4 +1,4 @@
-import * as authorities from "./authority.ts";
+import * as authorities from "./leader_lease.ts";
 import * as entrySizes from "./_entry_size.ts";
 import * as replicaLogs from "./replica_log.ts";
 import * as replicaStates from "./replica_state.ts";
@@ -7,36 +7,36 @@
  * Entries on their way to an admitted follower at most, some seconds of a full
  * load: a follower that pauses does not fill the leader's sockets.
  */
-const PIPELINE_ENTRIES = 240;
+const MAX_IN_FLIGHT_ENTRIES = 240;
 /** Bytes on their way to it at most; some thirtieth of a store's heap. */
-const PIPELINE_BYTES = 4 * 1024 * 1024;
+const MAX_IN_FLIGHT_BYTES = 4 * 1024 * 1024;
 /**
  * Bytes of one message, unless one entry alone is larger. Encoded whole, messages
  * of 2 MB and more took a leader of 140 MB of heap out of memory while it fed
  * a replica (real processes, entries of 98 KB).
  */
-const MESSAGE_BYTES = 512 * 1024;
+const MAX_MESSAGE_BYTES = 512 * 1024;
 /** Messages on their way to a fed replica: one is encoded while one is taken in. */
-const FEED_MESSAGES = 2;
+const MAX_CATCH_UP_MESSAGES = 2;
 /** Entries in a message to a fed replica at first. */
-const FEED_FIRST_ENTRIES = 8;
+const INITIAL_CATCH_UP_BATCH = 8;
 /** Entries to which its messages shrink while the leader is held up. */
-const FEED_LEAST_ENTRIES = 32;
+const MIN_CATCH_UP_BATCH = 32;
 /** Entries in a message to a fed replica at most, under a megabyte usually. */
-const FEED_MOST_ENTRIES = 96;
+const MAX_CATCH_UP_BATCH = 96;
 /** By how much these messages grow and shrink. */
-const FEED_FACTOR = 2;
+const BATCH_FACTOR = 2;
 /**
  * Share of the election timeout for which a leader still has authority where it is
  * not held up: its quorum has answered what was sent two heartbeats ago.
  */
-const EASE_SHARE = 1 / 3;
+const HEADROOM_FRACTION = 1 / 3;
 /** Replicas that are fed at once; the others wait for their turn. */
-const FED_AT_ONCE = 1;
+const MAX_CATCH_UPS = 1;
 /** Replicas that are tried at once while none of them moves. */
-const TRIED_AT_ONCE = 2;
+const MAX_STALLED_CATCH_UPS = 2;
 /** Time without an answer, or without progress, after which another is fed, in ms. */
-const SILENT_MS = 1_000;
+const STALL_TIMEOUT_MS = 1_000;
 
 /** What may be on its way to a follower. */
 interface Window {
@@ -70,8 +70,13 @@
   const { maxBatchEntries } = state.config;
   const { nextIndex } = progress;
   // What it holds is not known yet; only what is new is sent.
-  if (!Number.isFinite(progress.answeredSentAtMs)) {
-    return countWithin(state.log, nextIndex, maxBatchEntries, MESSAGE_BYTES);
+  if (!Number.isFinite(progress.lastAckedSentAtMs)) {
+    return countFitting(
+      state.log,
+      nextIndex,
+      maxBatchEntries,
+      MAX_MESSAGE_BYTES,
+    );
   }
   const window = findWindow(state, to, progress, nowMs);
   if (window === undefined) return 0;
@@ -80,8 +85,8 @@
   if (unconfirmed >= window.entries) return 0;
   const sentBytes = sumBytes(state.log, firstIndex, unconfirmed);
   if (unconfirmed > 0 && sentBytes >= window.bytes) return 0;
-  const most = Math.min(window.batch, window.entries - unconfirmed);
-  return countWithin(state.log, nextIndex, most, MESSAGE_BYTES);
+  const limit = Math.min(window.batch, window.entries - unconfirmed);
+  return countFitting(state.log, nextIndex, limit, MAX_MESSAGE_BYTES);
 }
 
 /**
@@ -94,13 +99,14 @@
  * @param nowMs Monotonic time, in ms.
  * @returns Whether it may.
  */
-export function isInTurn(
+export function canSendSnapshot(
   state: replicaStates.ReplicaState,
   to: string,
   progress: replicaStates.Progress,
   nowMs: number,
 ): boolean {
-  return progress.identity.isAdmitted || listFed(state, nowMs).includes(to);
+  return progress.identity.isAdmitted ||
+    selectCatchUps(state, nowMs).includes(to);
 }
 
 /**
@@ -116,22 +122,25 @@
  * @param nowMs Monotonic time, in ms.
  * @returns The number of entries.
  */
-export function updateBatch(
+export function updateBatchSize(
   state: replicaStates.ReplicaState,
   before: replicaStates.Progress,
   gained: number,
   nowMs: number,
 ): number {
-  const { feedEntries = FEED_FIRST_ENTRIES } = before;
-  const { getAuthorityUntilMs, NEVER_SUSPENDED } = authorities;
-  const leftMs = getAuthorityUntilMs(state, nowMs, NEVER_SUSPENDED) - nowMs;
-  const isAtEase = leftMs > state.config.electionTimeoutMs * EASE_SHARE;
-  const isGaining = gained > feedEntries / FEED_FACTOR;
-  if (isAtEase || !isGaining) {
-    return Math.min(FEED_MOST_ENTRIES, feedEntries * FEED_FACTOR);
+  const { catchUpBatchEntries: feedEntries = INITIAL_CATCH_UP_BATCH } = before;
+  const { getLeaseExpiryMs: getAuthorityUntilMs, NEVER_SUSPENDED } =
+    authorities;
+  const remainingMs = getAuthorityUntilMs(state, nowMs, NEVER_SUSPENDED) -
+    nowMs;
+  const hasHeadroom =
+    remainingMs > state.config.electionTimeoutMs * HEADROOM_FRACTION;
+  const isGaining = gained > feedEntries / BATCH_FACTOR;
+  if (hasHeadroom || !isGaining) {
+    return Math.min(MAX_CATCH_UP_BATCH, feedEntries * BATCH_FACTOR);
   }
-  const fewer = Math.floor(feedEntries / FEED_FACTOR);
-  return Math.min(feedEntries, Math.max(FEED_LEAST_ENTRIES, fewer));
+  const halved = Math.floor(feedEntries / BATCH_FACTOR);
+  return Math.min(feedEntries, Math.max(MIN_CATCH_UP_BATCH, halved));
 }
 
 function findWindow(
@@ -143,35 +152,39 @@
   const { maxBatchEntries } = state.config;
   if (progress.identity.isAdmitted || !isFarBehind(state, progress)) {
     return {
-      entries: PIPELINE_ENTRIES,
-      bytes: PIPELINE_BYTES,
+      entries: MAX_IN_FLIGHT_ENTRIES,
+      bytes: MAX_IN_FLIGHT_BYTES,
       batch: maxBatchEntries,
     };
   }
-  if (!listFed(state, nowMs).includes(to)) return undefined;
-  const { feedEntries = Math.min(FEED_FIRST_ENTRIES, maxBatchEntries) } =
-    progress;
+  if (!selectCatchUps(state, nowMs).includes(to)) return undefined;
+  const {
+    catchUpBatchEntries: feedEntries = Math.min(
+      INITIAL_CATCH_UP_BATCH,
+      maxBatchEntries,
+    ),
+  } = progress;
   return {
-    entries: FEED_MESSAGES * feedEntries,
-    bytes: FEED_MESSAGES * MESSAGE_BYTES,
+    entries: MAX_CATCH_UP_MESSAGES * feedEntries,
+    bytes: MAX_CATCH_UP_MESSAGES * MAX_MESSAGE_BYTES,
     batch: feedEntries,
   };
 }
 
 /** Counts entries from an index on that fit; one always fits. */
-function countWithin(
+function countFitting(
   log: replicaLogs.ReplicaLog,
   fromIndex: number,
-  most: number,
-  bytes: number,
+  limit: number,
+  maxBytes: number,
 ): number {
-  let left = bytes;
-  const entries = replicaLogs.getEntries(log, fromIndex, most);
-  const tooMuch = entries.findIndex((entry) => {
-    left -= entrySizes.estimateBytes(entry);
-    return left < 0;
+  let remaining = maxBytes;
+  const entries = replicaLogs.getEntries(log, fromIndex, limit);
+  const overflowAt = entries.findIndex((entry) => {
+    remaining -= entrySizes.estimateBytes(entry);
+    return remaining < 0;
   });
-  return tooMuch < 0 ? entries.length : Math.max(1, tooMuch);
+  return overflowAt < 0 ? entries.length : Math.max(1, overflowAt);
 }
 
 function sumBytes(
@@ -188,7 +201,7 @@
   progress: replicaStates.Progress,
 ): boolean {
   const lag = replicaLogs.getLastIndex(state.log) - progress.matchIndex;
-  return lag > replicaStates.NEAR_ENTRIES;
+  return lag > replicaStates.MAX_CAUGHT_UP_LAG_ENTRIES;
 }
 
 /**
@@ -196,31 +209,33 @@
  * that hold most. Where none has moved for long, two of them: one that takes
  * nothing in must not keep another, which is to take its place, empty for good.
  */
-function listFed(
+function selectCatchUps(
   state: replicaStates.ReplicaState,
   nowMs: number,
 ): readonly string[] {
   if (state.role.kind !== "leader") return [];
   const voters = replicaStates.listVoters(state);
-  const waiting = [...state.role.progress]
+  const candidates = [...state.role.progress]
     .filter(([, progress]) =>
       !progress.identity.isAdmitted && isFarBehind(state, progress) &&
-      nowMs - progress.answeredSentAtMs < SILENT_MS
+      nowMs - progress.lastAckedSentAtMs < STALL_TIMEOUT_MS
     )
     .toSorted(([a, left], [b, right]) =>
       Number(voters.includes(b)) - Number(voters.includes(a)) ||
       right.matchIndex - left.matchIndex ||
       (a < b ? -1 : 1)
     );
-  const moving = waiting.filter(([, progress]) => !isStalled(progress, nowMs));
-  const fed = moving.length > 0
-    ? moving.slice(0, FED_AT_ONCE)
-    : waiting.slice(0, TRIED_AT_ONCE);
-  return fed.map(([id]) => id);
+  const advancing = candidates.filter(([, progress]) =>
+    !isStalled(progress, nowMs)
+  );
+  const selected = advancing.length > 0
+    ? advancing.slice(0, MAX_CATCH_UPS)
+    : candidates.slice(0, MAX_STALLED_CATCH_UPS);
+  return selected.map(([id]) => id);
 }
 
 /** Whether a replica answers, but has confirmed nothing new for long. */
 function isStalled(progress: replicaStates.Progress, nowMs: number): boolean {
-  const { movedAtMs } = progress;
-  return movedAtMs !== undefined && nowMs - movedAtMs > SILENT_MS;
+  const { lastProgressAtMs: movedAtMs } = progress;
+  return movedAtMs !== undefined && nowMs - movedAtMs > STALL_TIMEOUT_MS;
 }
--- a/src/consensus/_feeding_watch.ts
+++ b/src/consensus/_catch_up_monitor.ts
@@ -3,10 +3,10 @@
 import * as replicaStates from "./replica_state.ts";
 
 /** Between two notices of how followers are fed, in ms. */
-const FEEDING_NOTICE_MS = 1_000;
+const NOTICE_INTERVAL_MS = 1_000;
 
 /** What is known of a follower since this replica leads. */
-type WatchedFollower =
+type FollowerState =
   /** It has not answered yet. */
   | { readonly kind: "unheard"; readonly sinceMs: number }
   /** It answered, and does not count in a quorum. */
@@ -15,56 +15,56 @@
     readonly incarnation: number;
     readonly sinceMs: number;
     /** Last entry that it held at the last notice. */
-    readonly toldIndex: number;
+    readonly reportedIndex: number;
   }
   | { readonly kind: "counted"; readonly incarnation: number };
 
 /** Follows how a leader feeds the replicas that do not count yet. */
-export class FeedingWatch {
-  readonly #tell: notices.TakeNotice;
-  #watched: ReadonlyMap<string, WatchedFollower> = new Map();
+export class CatchUpMonitor {
+  readonly #notify: notices.NoticeHandler;
+  #followers: ReadonlyMap<string, FollowerState> = new Map();
   /** When the next notice is due; undefined while all followers count. */
-  #dueMs: number | undefined;
+  #nextNoticeMs: number | undefined;
 
-  constructor(tell: notices.TakeNotice) {
-    this.#tell = tell;
+  constructor(notify: notices.NoticeHandler) {
+    this.#notify = notify;
   }
 
   /** Looks at the followers; a replica that does not lead has none. */
   observe(state: replicaStates.ReplicaState, nowMs: number): void {
     const { role } = state;
     const progress = role.kind === "leader" ? [...role.progress] : [];
-    const before = this.#watched;
-    this.#watched = new Map(
+    const before = this.#followers;
+    this.#followers = new Map(
       progress.map(([id, entry]) =>
-        [id, watchFollower(before.get(id), entry, nowMs)] as const
+        [id, updateFollower(before.get(id), entry, nowMs)] as const
       ),
     );
-    this.#tellAdmitted(state, before, nowMs);
-    this.#tellFeeding(state, nowMs);
+    this.#reportAdmitted(state, before, nowMs);
+    this.#reportCatchUps(state, nowMs);
   }
 
   /** How long the follower that is fed longest has not counted, in ms. */
-  getLongestMs(nowMs: number): number {
-    const times = [...this.#watched.values()].flatMap((item) =>
+  getLongestCatchUpMs(nowMs: number): number {
+    const times = [...this.#followers.values()].flatMap((item) =>
       item.kind === "fed" ? [nowMs - item.sinceMs] : []
     );
     return Math.max(0, ...times);
   }
 
-  #tellAdmitted(
+  #reportAdmitted(
     state: replicaStates.ReplicaState,
-    before: ReadonlyMap<string, WatchedFollower>,
+    before: ReadonlyMap<string, FollowerState>,
     nowMs: number,
   ): void {
-    for (const [id, now] of this.#watched) {
+    for (const [id, now] of this.#followers) {
       if (now.kind !== "counted") continue;
       const { incarnation } = now;
-      const fedMs = measureFeeding(before.get(id), incarnation, nowMs);
+      const fedMs = measureCatchUpMs(before.get(id), incarnation, nowMs);
       if (fedMs === undefined) continue;
       const { term } = state;
       const index = getMatchIndex(state, id);
-      this.#tell({
+      this.#notify({
         kind: "followerAdmitted",
         id,
         incarnation,
@@ -75,39 +75,40 @@
     }
   }
 
-  #tellFeeding(state: replicaStates.ReplicaState, nowMs: number): void {
-    const lacking = [...this.#watched].filter(([, item]) =>
+  #reportCatchUps(state: replicaStates.ReplicaState, nowMs: number): void {
+    const notAdmitted = [...this.#followers].filter(([, item]) =>
       item.kind !== "counted"
     );
-    if (lacking.length === 0) {
-      this.#dueMs = undefined;
+    if (notAdmitted.length === 0) {
+      this.#nextNoticeMs = undefined;
       return;
     }
-    this.#dueMs ??= nowMs + FEEDING_NOTICE_MS;
-    if (nowMs < this.#dueMs) return;
-    this.#dueMs = nowMs + FEEDING_NOTICE_MS;
-    this.#tell({
+    this.#nextNoticeMs ??= nowMs + NOTICE_INTERVAL_MS;
+    if (nowMs < this.#nextNoticeMs) return;
+    this.#nextNoticeMs = nowMs + NOTICE_INTERVAL_MS;
+    this.#notify({
       kind: "feeding",
       term: state.term,
       lastIndex: replicaLogs.getLastIndex(state.log),
-      followers: lacking.flatMap(([id, item]) =>
+      followers: notAdmitted.flatMap(([id, item]) =>
         describeFollower(state, id, item, nowMs) ?? []
       ),
     });
-    this.#watched = new Map(
-      [...this.#watched].map(([id, item]) =>
-        [id, noteTold(item, getMatchIndex(state, id))] as const
+    this.#followers = new Map(
+      [...this.#followers].map(([id, item]) =>
+        [id, recordReportedIndex(item, getMatchIndex(state, id))] as const
       ),
     );
   }
 }
 
-function watchFollower(
-  before: WatchedFollower | undefined,
+function updateFollower(
+  before: FollowerState | undefined,
   progress: replicaStates.Progress,
   nowMs: number,
-): WatchedFollower {
-  const { identity, matchIndex, answeredSentAtMs } = progress;
+): FollowerState {
+  const { identity, matchIndex, lastAckedSentAtMs: answeredSentAtMs } =
+    progress;
   const { incarnation, isAdmitted } = identity;
   if (!Number.isFinite(answeredSentAtMs)) {
     return before?.kind === "unheard"
@@ -117,15 +118,20 @@
   if (isAdmitted) return { kind: "counted", incarnation };
   const isSame = before?.kind === "fed" && before.incarnation === incarnation;
   if (isSame) return before;
-  return { kind: "fed", incarnation, sinceMs: nowMs, toldIndex: matchIndex };
+  return {
+    kind: "fed",
+    incarnation,
+    sinceMs: nowMs,
+    reportedIndex: matchIndex,
+  };
 }
 
 /**
  * Tells how long a follower that counts now was fed; undefined where it counted
  * before, or where this leader has just begun to hear it.
  */
-function measureFeeding(
-  before: WatchedFollower | undefined,
+function measureCatchUpMs(
+  before: FollowerState | undefined,
   incarnation: number,
   nowMs: number,
 ): number | undefined {
@@ -144,40 +150,42 @@
 function describeFollower(
   state: replicaStates.ReplicaState,
   id: string,
-  watched: WatchedFollower,
+  follower: FollowerState,
   nowMs: number,
-): notices.FeedingFollower | undefined {
+): notices.UnadmittedFollower | undefined {
   const isVoter = replicaStates.listVoters(state).includes(id);
-  switch (watched.kind) {
+  switch (follower.kind) {
     case "counted":
       return undefined;
     case "unheard": {
-      const sinceMs = Math.round(nowMs - watched.sinceMs);
+      const sinceMs = Math.round(nowMs - follower.sinceMs);
       return { kind: "unheard", id, isVoter, sinceMs };
     }
     case "fed": {
       const matchIndex = getMatchIndex(state, id);
-      const answeredSentAtMs = findProgress(state, id)?.answeredSentAtMs ??
+      const answeredSentAtMs = findProgress(state, id)?.lastAckedSentAtMs ??
         nowMs;
       return {
         kind: "fed",
         id,
         isVoter,
-        incarnation: watched.incarnation,
+        incarnation: follower.incarnation,
         lag: replicaLogs.getLastIndex(state.log) - matchIndex,
-        confirmed: matchIndex - watched.toldIndex,
+        confirmed: matchIndex - follower.reportedIndex,
         silentMs: Math.round(nowMs - answeredSentAtMs),
-        fedMs: Math.round(nowMs - watched.sinceMs),
+        fedMs: Math.round(nowMs - follower.sinceMs),
       };
     }
   }
 }
 
-function noteTold(
-  watched: WatchedFollower,
-  toldIndex: number,
-): WatchedFollower {
-  return watched.kind === "fed" ? { ...watched, toldIndex } : watched;
+function recordReportedIndex(
+  follower: FollowerState,
+  reportedIndex: number,
+): FollowerState {
+  return follower.kind === "fed"
+    ? { ...follower, reportedIndex: reportedIndex }
+    : follower;
 }
 
 function getMatchIndex(
--- a/src/consensus/_commit.ts
+++ b/src/consensus/_commit.ts
@@ -2,7 +2,7 @@
 import type * as replicaStates from "./replica_state.ts";
 
 /** Takes entries up to an index as committed; never goes back. */
-export function commitTo(
+export function advanceCommitIndex(
   state: replicaStates.ReplicaState,
   index: number,
 ): replicaStates.Transition {
--- a/src/consensus/_log_budget.ts
+++ b/src/consensus/_compaction_policy.ts
@@ -8,12 +8,12 @@
  */
 const SNAPSHOT_BYTES = 24 * 1024 * 1024;
 /** Bytes of entries that stay in memory beside a snapshot, for those that lag. */
-const KEPT_BYTES = 8 * 1024 * 1024;
+const MAX_RETAINED_BYTES = 8 * 1024 * 1024;
 /** Bytes that stay while a follower needs the entries. */
-const FED_BYTES = 32 * 1024 * 1024;
+const MAX_NEEDED_BYTES = 32 * 1024 * 1024;
 
 /** Says when a log is cut, and where: by its entries or by their bytes. */
-export class LogBudget {
+export class CompactionPolicy {
   readonly #snapshotEntries: number;
   #appliedBytes = 0;
 
@@ -23,7 +23,7 @@
   }
 
   /** Notes entries that were applied. */
-  add(entries: readonly replicaLogs.Entry[]): void {
+  recordApplied(entries: readonly replicaLogs.Entry[]): void {
     for (const entry of entries) {
       this.#appliedBytes += entrySizes.estimateBytes(entry);
     }
@@ -54,23 +54,24 @@
    * @param neededIndex Entries after it are needed by a replica that is fed.
    * @returns The index; not above the snapshot's.
    */
-  findCut(
+  findTrimIndex(
     log: replicaLogs.ReplicaLog,
     index: number,
     neededIndex: number,
   ): number {
-    const kept = replicaLogs.getEntries(
+    const covered = replicaLogs.getEntries(
       log,
       log.snapshotIndex + 1,
       index - log.snapshotIndex,
     );
-    const leastIndex = index - Math.floor(this.#snapshotEntries / 2);
+    const retainedAfterIndex = index - Math.floor(this.#snapshotEntries / 2);
     let bytes = 0;
-    for (const entry of kept.toReversed()) {
+    for (const entry of covered.toReversed()) {
       bytes += entrySizes.estimateBytes(entry);
-      const isNeeded = entry.index > neededIndex && bytes <= FED_BYTES;
-      const isNear = entry.index > leastIndex && bytes <= KEPT_BYTES;
-      if (!isNeeded && !isNear) return entry.index;
+      const isNeeded = entry.index > neededIndex && bytes <= MAX_NEEDED_BYTES;
+      const isRecent = entry.index > retainedAfterIndex &&
+        bytes <= MAX_RETAINED_BYTES;
+      if (!isNeeded && !isRecent) return entry.index;
     }
     return log.snapshotIndex;
   }
--- a/src/consensus/_driver_event.ts
+++ b/src/consensus/_driver_event.ts
@@ -2,7 +2,7 @@
 import type * as results from "../results/mod.ts";
 import type * as replicaStates from "./replica_state.ts";
 
-const MAX_EVENTS_A_ROUND = 512;
+const MAX_BATCH_EVENTS = 512;
 
 /** Told what became of a proposal. */
 export type Settle = (result: results.Result<unknown>) => void;
@@ -20,15 +20,15 @@
   | Proposal;
 
 /** Takes what waits in the inbox, so that one sync serves many events. */
-export function collectRound(
+export function collectBatch(
   inbox: csp.Channel<DriverEvent>,
   first: DriverEvent,
 ): readonly DriverEvent[] {
-  const round: DriverEvent[] = [first];
-  while (round.length < MAX_EVENTS_A_ROUND) {
+  const batch: DriverEvent[] = [first];
+  while (batch.length < MAX_BATCH_EVENTS) {
     const next = inbox.poll();
     if (next === undefined) break;
-    round.push(next);
+    batch.push(next);
   }
-  return round;
+  return batch;
 }
--- a/src/consensus/_durable_writer.ts
+++ b/src/consensus/_durable_writer.ts
@@ -5,7 +5,7 @@
 import type * as savedRecords from "./_saved_record.ts";
 
 /** Between two tries to write to a full disk, in ms. */
-const DISK_FULL_MS = 200;
+const DISK_FULL_RETRY_MS = 200;
 
 /** Writes a replica's log; a full disk is waited for, any other error thrown. */
 export class DurableWriter {
@@ -13,7 +13,7 @@
   readonly #clock: clocks.Clock;
   #isStopped = false;
   /** When the write under way began, in monotonic ms. */
-  #writingSinceMs: number | undefined;
+  #writeStartMs: number | undefined;
 
   constructor(log: storage.DurableLog, clock: clocks.Clock) {
     this.#log = log;
@@ -22,15 +22,15 @@
 
   /** Appends records, again and again while the disk is full. */
   *append(records: readonly savedRecords.SavedRecord[]): csp.Step<void> {
-    yield* this.#measure(this.#retry(() => this.#log.append(records)));
+    yield* this.#trackDuration(this.#retry(() => this.#log.append(records)));
   }
 
   /** Replaces the log by a snapshot, again and again while the disk is full. */
-  *restore(
+  *installSnapshot(
     snapshot: messages.Snapshot,
     records: readonly savedRecords.SavedRecord[],
   ): csp.Step<void> {
-    yield* this.#measure(
+    yield* this.#trackDuration(
       this.#retry(() => this.#log.compact(toStored(snapshot), records)),
     );
   }
@@ -40,9 +40,9 @@
    *
    * @returns Whether it is written; not so when the disk is full.
    */
-  async writeDraft(snapshot: messages.Snapshot): Promise<boolean> {
+  async writeSnapshot(snapshot: messages.Snapshot): Promise<boolean> {
     try {
-      await this.#log.writeDraft(toStored(snapshot));
+      await this.#log.writeSnapshotDraft(toStored(snapshot));
       return true;
     } catch (error) {
       if (storage.isDiskFull(error)) return false;
@@ -51,11 +51,13 @@
   }
 
   /** Shortens the log by the written snapshot; all stays when the disk is full. */
-  *takeDraft(
+  *compactLog(
     records: readonly savedRecords.SavedRecord[],
   ): csp.Step<boolean> {
     try {
-      yield* this.#measure(csp.waitFor(this.#log.takeDraft(records)));
+      yield* this.#trackDuration(
+        csp.waitFor(this.#log.installSnapshotDraft(records)),
+      );
       return true;
     } catch (error) {
       if (storage.isDiskFull(error)) return false;
@@ -65,8 +67,8 @@
 
   /** How long the write under way has lasted, in ms; 0 for none. */
   getWritingMs(): number {
-    if (this.#writingSinceMs === undefined) return 0;
-    return Math.round(this.#clock.getMonotonicMs() - this.#writingSinceMs);
+    if (this.#writeStartMs === undefined) return 0;
+    return Math.round(this.#clock.getMonotonicMs() - this.#writeStartMs);
   }
 
   /** Waits for a disk no longer; what is under way is not finished. */
@@ -79,12 +81,12 @@
   }
 
   /** Keeps since when a write that the replica waits for is under way. */
-  *#measure<T>(write: csp.Step<T>): csp.Step<T> {
-    this.#writingSinceMs = this.#clock.getMonotonicMs();
+  *#trackDuration<T>(write: csp.Step<T>): csp.Step<T> {
+    this.#writeStartMs = this.#clock.getMonotonicMs();
     try {
       return yield* write;
     } finally {
-      this.#writingSinceMs = undefined;
+      this.#writeStartMs = undefined;
     }
   }
 
@@ -95,7 +97,7 @@
       } catch (error) {
         if (!storage.isDiskFull(error)) throw error;
       }
-      yield* csp.waitFor(clocks.sleep(this.#clock, DISK_FULL_MS));
+      yield* csp.waitFor(clocks.sleep(this.#clock, DISK_FULL_RETRY_MS));
     }
   }
 }
--- a/src/consensus/_election.ts
+++ b/src/consensus/_election.ts
@@ -1,26 +1,30 @@
-import * as authorities from "./authority.ts";
+import * as authorities from "./leader_lease.ts";
 import * as electionDelays from "./_election_delay.ts";
 import * as formerLeaders from "./_former_leader.ts";
-import * as latenesses from "./_lateness.ts";
+import * as heartbeatGaps from "./_heartbeat_gap.ts";
 import type * as messages from "./message.ts";
 import * as replicaLogs from "./replica_log.ts";
 import * as replications from "./_replication.ts";
 import * as replicaStates from "./replica_state.ts";
 
 /** Draws the next election time: one to two election timeouts from now. */
-export function resetElection(
+export function resetElectionTimer(
   state: replicaStates.ReplicaState,
   nowMs: number,
 ): replicaStates.ReplicaState {
-  if (formerLeaders.canHurry(state, nowMs)) {
+  if (formerLeaders.canStartEarlyElection(state, nowMs)) {
     const waitMs = state.config.electionTimeoutMs *
-      formerLeaders.HURRY_SHARE;
+      formerLeaders.EARLY_ELECTION_FRACTION;
     return { ...state, electionAtMs: nowMs + waitMs };
   }
   const { seed, electionTimeoutMs } = state.config;
-  const electionAtMs = nowMs + latenesses.getPatienceMs(state) +
-    electionDelays.drawDelay(seed, state.draws, electionTimeoutMs);
-  return { ...state, electionAtMs, draws: state.draws + 1 };
+  const electionAtMs = nowMs + heartbeatGaps.getExtraDelayMs(state) +
+    electionDelays.drawDelay(seed, state.electionDelayCount, electionTimeoutMs);
+  return {
+    ...state,
+    electionAtMs,
+    electionDelayCount: state.electionDelayCount + 1,
+  };
 }
 
 /** Enters a term as follower, saving the change of term. */
@@ -57,7 +61,7 @@
     lastIndex,
     lastTerm,
   };
-  return replicaStates.listOthers(state).map((to) => ({
+  return replicaStates.listOtherVoters(state).map((to) => ({
     kind: "send",
     to,
     message,
@@ -70,11 +74,11 @@
   nowMs: number,
 ): replicaStates.Transition {
   const votes = new Set([state.config.id]);
-  const next = resetElection(
+  const next = resetElectionTimer(
     { ...state, role: { kind: "preCandidate", votes } },
     nowMs,
   );
-  if (votes.size >= replicaStates.getQuorum(state)) {
+  if (votes.size >= replicaStates.getQuorumSize(state)) {
     return startElection(next, nowMs);
   }
   return {
@@ -91,13 +95,13 @@
   const term = state.term + 1;
   const votes = new Set([state.config.id]);
   const votedFor = state.config.id;
-  const next = resetElection(
+  const next = resetElectionTimer(
     { ...state, term, votedFor, role: { kind: "candidate", votes } },
     nowMs,
   );
   const save: replicaStates.Effect = { kind: "saveVote", term, votedFor };
-  if (votes.size >= replicaStates.getQuorum(state)) {
-    const won = startLeading(next, nowMs);
+  if (votes.size >= replicaStates.getQuorumSize(state)) {
+    const won = startLeadership(next, nowMs);
     return { state: won.state, effects: [save, ...won.effects] };
   }
   return {
@@ -106,7 +110,7 @@
   };
 }
 
-function startLeading(
+function startLeadership(
   state: replicaStates.ReplicaState,
   nowMs: number,
 ): replicaStates.Transition {
@@ -126,9 +130,9 @@
     role: {
       kind: "leader",
       progress,
-      heartbeatAtMs: nowMs,
-      firstIndex,
-      sinceMs: nowMs,
+      nextHeartbeatAtMs: nowMs,
+      termStartIndex: firstIndex,
+      leaderSinceMs: nowMs,
     },
   };
   const sent = replications.sendAppends(leading, nowMs);
@@ -153,13 +157,13 @@
   nowMs: number,
 ): boolean {
   if (state.role.kind === "leader") {
-    return nowMs < authorities.getAuthorityUntilMs(
+    return nowMs < authorities.getLeaseExpiryMs(
       state,
       nowMs,
       authorities.NEVER_SUSPENDED,
     );
   }
-  return nowMs < state.heardAtMs + state.config.electionTimeoutMs;
+  return nowMs < state.leaderContactAtMs + state.config.electionTimeoutMs;
 }
 
 /** Why a vote is refused whatever the candidate's log holds. */
@@ -170,7 +174,7 @@
   nowMs: number,
 ): messages.VoteRefusal | undefined {
   const isBlocked = !request.isTransfer && hasRecentLeader(state, nowMs) &&
-    !formerLeaders.isOwnLeader(state, from);
+    !formerLeaders.isKnownLeader(state, from);
   if (isBlocked) return "leaderHeard";
   if (request.term < state.term) return "oldTerm";
   return state.identity.isAdmitted ? undefined : "notAdmitted";
@@ -214,7 +218,7 @@
     );
     return { ...refused, effects: [...entered.effects, ...refused.effects] };
   }
-  const voted = resetElection({ ...current, votedFor: from }, nowMs);
+  const voted = resetElectionTimer({ ...current, votedFor: from }, nowMs);
   return {
     state: voted,
     effects: [
@@ -278,12 +282,12 @@
     ...state,
     role: { ...role, votes },
   };
-  if (votes.size < replicaStates.getQuorum(state)) {
+  if (votes.size < replicaStates.getQuorumSize(state)) {
     return { state: counted, effects: [] };
   }
   return reply.isPreVote
     ? startElection(counted, nowMs)
-    : startLeading(counted, nowMs);
+    : startLeadership(counted, nowMs);
 }
 
 /**
--- a/src/consensus/_election_delay.ts
+++ b/src/consensus/_election_delay.ts
@@ -7,7 +7,7 @@
  * had equal ones for ever; left alone with each other they never elected a
  * leader (356 candidacies in 120 s on a fake clock).
  */
-const WARM_UP_DRAWS = 24;
+const DISCARDED_OUTPUTS = 24;
 /** Keeps the seeds of two replicas apart for as many draws. */
 const SEED_STRIDE = 7_919;
 
@@ -25,6 +25,6 @@
   timeoutMs: number,
 ): number {
   const random = generator.xoroshiro128plus(seed * SEED_STRIDE + draw);
-  for (let turn = 0; turn < WARM_UP_DRAWS; turn += 1) random.next();
+  for (let index = 0; index < DISCARDED_OUTPUTS; index += 1) random.next();
   return timeoutMs + uniform.uniformInt(random, 0, timeoutMs);
 }
--- a/src/consensus/_entry_size.ts
+++ b/src/consensus/_entry_size.ts
@@ -1,10 +1,10 @@
 import type * as replicaLogs from "./replica_log.ts";
 
 /** Bytes of a number, a key's quotes or what else stands around a value, about. */
-const VALUE_BYTES = 8;
+const VALUE_OVERHEAD_BYTES = 8;
 
 /** Sizes of commands; a command does not change once it is in a log. */
-const known = new WeakMap<object, number>();
+const sizeCache = new WeakMap<object, number>();
 
 /**
  * Estimates the bytes of an entry in a message. Encoding it only for its size
@@ -16,24 +16,24 @@
 export function estimateBytes(entry: replicaLogs.Entry): number {
   const { command } = entry;
   if (typeof command !== "object" || command === null) {
-    return measureValue(command);
+    return estimateValueBytes(command);
   }
-  const size = known.get(command) ?? measureValue(command);
-  known.set(command, size);
+  const size = sizeCache.get(command) ?? estimateValueBytes(command);
+  sizeCache.set(command, size);
   return size;
 }
 
-function measureValue(value: unknown): number {
-  if (typeof value === "string") return measureText(value);
-  if (typeof value !== "object" || value === null) return VALUE_BYTES;
-  let size = VALUE_BYTES;
+function estimateValueBytes(value: unknown): number {
+  if (typeof value === "string") return estimateTextBytes(value);
+  if (typeof value !== "object" || value === null) return VALUE_OVERHEAD_BYTES;
+  let size = VALUE_OVERHEAD_BYTES;
   for (const [key, inner] of Object.entries(value)) {
-    size += key.length + measureValue(inner);
+    size += key.length + estimateValueBytes(inner);
   }
   return size;
 }
 
 /** Bytes of a text in a message: its characters may take three, or be escaped. */
-function measureText(text: string): number {
-  return Buffer.byteLength(JSON.stringify(text)) + VALUE_BYTES;
+function estimateTextBytes(text: string): number {
+  return Buffer.byteLength(JSON.stringify(text)) + VALUE_OVERHEAD_BYTES;
 }
--- a/src/consensus/_follow.ts
+++ b/src/consensus/_follow.ts
@@ -47,7 +47,7 @@
   const added = findNewEntries(state.log, entries);
   const log = replicaLogs.appendEntries(state.log, added);
   const index = Math.max(previousIndex + entries.length, log.snapshotIndex);
-  const committed = commits.commitTo(
+  const committed = commits.advanceCommitIndex(
     { ...state, log },
     Math.min(request.commitIndex, index),
   );
@@ -110,7 +110,7 @@
   }
   // A late snapshot must not take away entries after it that were confirmed.
   if (replicaLogs.getTermAt(state.log, index) === snapshot.term) {
-    const committed = commits.commitTo(state, index);
+    const committed = commits.advanceCommitIndex(state, index);
     return {
       state: committed.state,
       effects: [createReply(index), ...committed.effects],
--- a/src/consensus/_former_leader.ts
+++ b/src/consensus/_former_leader.ts
@@ -6,7 +6,7 @@
  * restarted. Its voters need not wait: after a restart of all, it leads again
  * within some 150 ms instead of 450 to 900.
  */
-export const HURRY_SHARE = 0.25;
+export const EARLY_ELECTION_FRACTION = 0.25;
 
 /** Command of the entry that each leader begins its term with. */
 export interface NoOperation {
@@ -35,13 +35,13 @@
 }
 
 /** Whether this replica led when it was stopped, just before. */
-export function canHurry(
+export function canStartEarlyElection(
   state: replicaStates.ReplicaState,
   nowMs: number,
 ): boolean {
-  const { former, config, term } = state;
+  const { formerLeader: former, config, term } = state;
   return former?.id === config.id && former.term === term &&
-    nowMs < former.hurryUntilMs;
+    nowMs < former.earlyElectionUntilMs;
 }
 
 /**
@@ -49,11 +49,11 @@
  * when it stopped. Votes are refused while that leader may still have authority;
  * one that asks for votes has none.
  */
-export function isOwnLeader(
+export function isKnownLeader(
   state: replicaStates.ReplicaState,
   candidate: string,
 ): boolean {
-  const { role, former, term } = state;
+  const { role, formerLeader: former, term } = state;
   if (role.kind === "follower" && role.leader !== undefined) {
     return role.leader === candidate;
   }
--- a/src/consensus/_lateness.ts
+++ b/src/consensus/_heartbeat_gap.ts
@@ -3,17 +3,17 @@
 /** Share of the longest gap that counts after the next message. */
 const GAP_DECAY = 0.8;
 /** Gaps for which a follower waits before it asks to lead. */
-const GAPS_TO_WAIT = 2;
+const GAPS_TO_ALLOW = 2;
 /** Longest wait for a late leader beside the usual one, in ms. */
-const MOST_WAIT_MS = 2_000;
+const MAX_EXTRA_DELAY_MS = 2_000;
 
 /** Notes how late a leader's message comes after the one before. */
-export function noteLateness(
+export function recordHeartbeat(
   state: replicaStates.ReplicaState,
   term: number,
   nowMs: number,
-): replicaStates.Lateness {
-  const { lateness, heardAtMs } = state;
+): replicaStates.HeartbeatGap {
+  const { heartbeatGap: lateness, leaderContactAtMs: heardAtMs } = state;
   if (lateness.term !== term) return { term, gapMs: 0 };
   const gapMs = Math.max(nowMs - heardAtMs, lateness.gapMs * GAP_DECAY);
   return { term, gapMs };
@@ -29,8 +29,8 @@
  * @param state The replica.
  * @returns The additional wait, in ms.
  */
-export function getPatienceMs(state: replicaStates.ReplicaState): number {
-  const { lateness, config } = state;
-  const waitMs = GAPS_TO_WAIT * lateness.gapMs - config.electionTimeoutMs;
-  return Math.min(MOST_WAIT_MS, Math.max(0, waitMs));
+export function getExtraDelayMs(state: replicaStates.ReplicaState): number {
+  const { heartbeatGap: lateness, config } = state;
+  const delayMs = GAPS_TO_ALLOW * lateness.gapMs - config.electionTimeoutMs;
+  return Math.min(MAX_EXTRA_DELAY_MS, Math.max(0, delayMs));
 }
--- a/src/consensus/_leader_watch.ts
+++ b/src/consensus/_leader_monitor.ts
@@ -5,55 +5,55 @@
 import * as replicaStatuses from "./replica_status.ts";
 
 /** Time without a leader after which it is told, and between two notices, in ms. */
-const LEADERLESS_MS = 2_000;
+const NOTICE_INTERVAL_MS = 2_000;
 /**
  * Longest time between two notices of a replica that votes nowhere, in ms.
  * Leaders feed no spare that they don't need, so such a one may never hear any.
  */
-const SPARE_NOTICE_MS = 60_000;
+const MAX_NON_VOTER_INTERVAL_MS = 60_000;
 
 /** An answer to a vote request, and when it came. */
-interface HeardAnswer {
+interface ReceivedReply {
   readonly reply: messages.VoteReply;
   readonly atMs: number;
 }
 
 /** Follows since when a replica knows no leader, and what its voters answer. */
-export class LeaderWatch {
-  readonly #tell: notices.TakeNotice;
+export class LeaderMonitor {
+  readonly #notify: notices.NoticeHandler;
   /** When a leader that may act was known last, in monotonic ms. */
-  #knownAtMs: number;
+  #leaderSeenAtMs: number;
   /** Time without a leader after which the next notice is due, in ms. */
-  #dueAfterMs = LEADERLESS_MS;
+  #nextNoticeAfterMs = NOTICE_INTERVAL_MS;
   /** Last answer of each voter. */
-  #answers: ReadonlyMap<string, HeardAnswer> = new Map();
+  #replies: ReadonlyMap<string, ReceivedReply> = new Map();
 
   /**
    * @param nowMs Monotonic time at which the replica was opened, in ms.
-   * @param tell Takes the notices.
+   * @param notify Takes the notices.
    */
-  constructor(nowMs: number, tell: notices.TakeNotice) {
-    this.#knownAtMs = nowMs;
-    this.#tell = tell;
+  constructor(nowMs: number, notify: notices.NoticeHandler) {
+    this.#leaderSeenAtMs = nowMs;
+    this.#notify = notify;
   }
 
   /** Notes what a voter answered; only voters are kept, so they are few. */
-  noteAnswer(
+  recordReply(
     state: replicaStates.ReplicaState,
     from: string,
     reply: messages.VoteReply,
     nowMs: number,
   ): void {
-    const others = replicaStates.listOthers(state);
-    const kept = [...this.#answers].filter(([id]) => others.includes(id));
-    this.#answers = others.includes(from)
+    const others = replicaStates.listOtherVoters(state);
+    const kept = [...this.#replies].filter(([id]) => others.includes(id));
+    this.#replies = others.includes(from)
       ? new Map([...kept, [from, { reply, atMs: nowMs }] as const])
       : new Map(kept);
   }
 
   /** Time since a leader that may act was known, in ms. */
-  getSinceMs(nowMs: number): number {
-    return Math.round(nowMs - this.#knownAtMs);
+  getLeaderlessMs(nowMs: number): number {
+    return Math.round(nowMs - this.#leaderSeenAtMs);
   }
 
   /**
@@ -67,15 +67,15 @@
     nowMs: number,
     writingMs: number,
   ): void {
-    const knownAtMs = hasAuthority ? nowMs : state.heardAtMs;
-    if (knownAtMs > this.#knownAtMs) {
-      this.#knownAtMs = knownAtMs;
-      this.#dueAfterMs = LEADERLESS_MS;
+    const seenAtMs = hasAuthority ? nowMs : state.leaderContactAtMs;
+    if (seenAtMs > this.#leaderSeenAtMs) {
+      this.#leaderSeenAtMs = seenAtMs;
+      this.#nextNoticeAfterMs = NOTICE_INTERVAL_MS;
     }
-    const sinceMs = this.getSinceMs(nowMs);
-    if (sinceMs < this.#dueAfterMs) return;
-    this.#dueAfterMs = getNextMs(state, sinceMs);
-    this.#tell(this.#describe(state, nowMs, writingMs));
+    const sinceMs = this.getLeaderlessMs(nowMs);
+    if (sinceMs < this.#nextNoticeAfterMs) return;
+    this.#nextNoticeAfterMs = getNextNoticeMs(state, sinceMs);
+    this.#notify(this.#describe(state, nowMs, writingMs));
   }
 
   #describe(
@@ -89,15 +89,15 @@
       kind: "leaderless",
       role: role.kind,
       term,
-      sinceMs: this.getSinceMs(nowMs),
+      sinceMs: this.getLeaderlessMs(nowMs),
       isAdmitted: identity.isAdmitted,
       lastIndex,
       lastTerm: replicaLogs.getTermAt(log, lastIndex) ?? 0,
       commitIndex,
       set: replicaStatuses.describeVoterSet(state),
-      asked: replicaStates.listOthers(state).map((id) => ({
+      asked: replicaStates.listOtherVoters(state).map((id) => ({
         id,
-        answer: describeAnswer(this.#answers.get(id), nowMs),
+        answer: describeReply(this.#replies.get(id), nowMs),
       })),
       writingMs,
     };
@@ -105,22 +105,22 @@
 }
 
 /** Voters are told of at each interval, others after ever longer ones. */
-function getNextMs(
+function getNextNoticeMs(
   state: replicaStates.ReplicaState,
   sinceMs: number,
 ): number {
   const isInSet = replicaStates.listVoters(state).includes(state.config.id);
-  if (isInSet) return sinceMs + LEADERLESS_MS;
-  return sinceMs + Math.min(sinceMs, SPARE_NOTICE_MS);
+  if (isInSet) return sinceMs + NOTICE_INTERVAL_MS;
+  return sinceMs + Math.min(sinceMs, MAX_NON_VOTER_INTERVAL_MS);
 }
 
-function describeAnswer(
-  heard: HeardAnswer | undefined,
+function describeReply(
+  received: ReceivedReply | undefined,
   nowMs: number,
 ): notices.VoteAnswer {
-  if (heard === undefined) return { kind: "none" };
-  const { isPreVote, isGranted, refusal: reason } = heard.reply;
-  const ageMs = Math.round(nowMs - heard.atMs);
+  if (received === undefined) return { kind: "none" };
+  const { isPreVote, isGranted, refusal: reason } = received.reply;
+  const ageMs = Math.round(nowMs - received.atMs);
   return isGranted
     ? { kind: "granted", isPreVote, ageMs }
     : { kind: "refused", isPreVote, reason, ageMs };
--- a/src/consensus/_applied_machine.ts
+++ b/src/consensus/_log_applier.ts
@@ -1,58 +1,58 @@
 import type * as proposalTables from "./_proposals.ts";
-import type * as machines from "./machine.ts";
+import type * as machines from "./state_machine.ts";
 import type * as messages from "./message.ts";
 import type * as replicaLogs from "./replica_log.ts";
 import * as replicaSets from "./replica_set.ts";
 
 /** A machine, and how far the log has been applied to it. */
-export class AppliedMachine {
-  readonly #machine: machines.Machine;
+export class LogApplier {
+  readonly #machine: machines.StateMachine;
   readonly #proposals: proposalTables.ProposalTable;
-  #index: number;
-  #term: number;
+  #appliedIndex: number;
+  #appliedTerm: number;
 
   /** @param log The log whose snapshot the machine was restored from. */
   constructor(
-    machine: machines.Machine,
+    machine: machines.StateMachine,
     proposals: proposalTables.ProposalTable,
     log: replicaLogs.ReplicaLog,
   ) {
     this.#machine = machine;
     this.#proposals = proposals;
-    this.#index = log.snapshotIndex;
-    this.#term = log.snapshotTerm;
+    this.#appliedIndex = log.snapshotIndex;
+    this.#appliedTerm = log.snapshotTerm;
   }
 
   /** Index of the last entry that the machine holds. */
-  getIndex(): number {
-    return this.#index;
+  getAppliedIndex(): number {
+    return this.#appliedIndex;
   }
 
   /** Applies a committed entry, and answers who proposed it. */
   apply(entry: replicaLogs.Entry): void {
-    if (entry.index <= this.#index) return;
+    if (entry.index <= this.#appliedIndex) return;
     const answer = this.#machine.apply(entry.command);
-    this.#index = entry.index;
-    this.#term = entry.term;
+    this.#appliedIndex = entry.index;
+    this.#appliedTerm = entry.term;
     this.#proposals.settle(entry, answer);
   }
 
   /** Takes a snapshot that is ahead of the machine. */
   restore(snapshot: messages.Snapshot): void {
-    if (snapshot.index <= this.#index) return;
+    if (snapshot.index <= this.#appliedIndex) return;
     this.#machine.restore(snapshot.state);
-    this.#index = snapshot.index;
-    this.#term = snapshot.term;
+    this.#appliedIndex = snapshot.index;
+    this.#appliedTerm = snapshot.term;
     this.#proposals.dropUpTo(snapshot.index);
   }
 
   /** Makes a snapshot of what the machine holds now. */
   createSnapshot(log: replicaLogs.ReplicaLog): messages.Snapshot {
     const state = this.#machine.save();
-    const set = replicaSets.findReplicaSet(log, this.#index);
+    const set = replicaSets.findReplicaSet(log, this.#appliedIndex);
     return {
-      index: this.#index,
-      term: this.#term,
+      index: this.#appliedIndex,
+      term: this.#appliedTerm,
       state,
       voters: set?.voters,
     };
--- a/src/consensus/_log_cutter.ts
+++ b/src/consensus/_log_compactor.ts
@@ -1,15 +1,15 @@
 import * as csp from "../csp/mod.ts";
-import type * as appliedMachines from "./_applied_machine.ts";
+import type * as logAppliers from "./_log_applier.ts";
 import type * as durableWriters from "./_durable_writer.ts";
-import * as logBudgets from "./_log_budget.ts";
+import * as compactionPolicies from "./_compaction_policy.ts";
 import type * as messages from "./message.ts";
 import type * as replicaLogs from "./replica_log.ts";
 import * as replicaStates from "./replica_state.ts";
 import * as savedRecords from "./_saved_record.ts";
-import * as snapshotDrafts from "./_snapshot_drafts.ts";
+import * as snapshotWriters from "./_snapshot_writer.ts";
 
 /** What a log cutter needs. */
-export interface LogCutterOptions {
+export interface LogCompactorOptions {
   readonly writer: durableWriters.DurableWriter;
   /** Entries after which a snapshot is taken. */
   readonly snapshotEntries: number;
@@ -20,33 +20,33 @@
 }
 
 /** Keeps a replica's log short: writes snapshots beside it and cuts it by them. */
-export class LogCutter {
+export class LogCompactor {
   readonly #writer: durableWriters.DurableWriter;
-  readonly #drafts: snapshotDrafts.SnapshotDrafts;
-  readonly #budget: logBudgets.LogBudget;
+  readonly #snapshots: snapshotWriters.SnapshotWriter;
+  readonly #policy: compactionPolicies.CompactionPolicy;
   #snapshotIndex: number;
 
-  constructor(options: LogCutterOptions) {
+  constructor(options: LogCompactorOptions) {
     const { writer, snapshotEntries, snapshotIndex, onFatal } = options;
     this.#writer = writer;
-    this.#drafts = new snapshotDrafts.SnapshotDrafts(writer, onFatal);
-    this.#budget = new logBudgets.LogBudget(snapshotEntries);
+    this.#snapshots = new snapshotWriters.SnapshotWriter(writer, onFatal);
+    this.#policy = new compactionPolicies.CompactionPolicy(snapshotEntries);
     this.#snapshotIndex = snapshotIndex;
   }
 
   /** Notes entries that were applied. */
-  add(entries: readonly replicaLogs.Entry[]): void {
-    this.#budget.add(entries);
+  recordApplied(entries: readonly replicaLogs.Entry[]): void {
+    this.#policy.recordApplied(entries);
   }
 
   /** Writes a snapshot beside the log once enough was applied. */
-  startDraft(
-    applied: appliedMachines.AppliedMachine,
+  startSnapshot(
+    applier: logAppliers.LogApplier,
     log: replicaLogs.ReplicaLog,
   ): void {
-    const count = applied.getIndex() - this.#snapshotIndex;
-    if (this.#drafts.isBusy() || !this.#budget.claimSnapshot(count)) return;
-    this.#drafts.start(applied.createSnapshot(log));
+    const count = applier.getAppliedIndex() - this.#snapshotIndex;
+    if (this.#snapshots.isBusy() || !this.#policy.claimSnapshot(count)) return;
+    this.#snapshots.start(applier.createSnapshot(log));
   }
 
   /**
@@ -56,17 +56,17 @@
    * @param neededIndex Entries after it are needed by a replica that is fed.
    * @returns The replica with the shorter log.
    */
-  *cut(
+  *compact(
     state: replicaStates.ReplicaState,
     neededIndex: number,
   ): csp.Step<replicaStates.ReplicaState> {
-    const index = this.#drafts.take();
+    const index = this.#snapshots.takeWrittenIndex();
     if (index === undefined || index <= this.#snapshotIndex) return state;
-    const records = savedRecords.createRest(state, index);
-    if (!(yield* this.#writer.takeDraft(records))) return state;
+    const records = savedRecords.createRecordsAfter(state, index);
+    if (!(yield* this.#writer.compactLog(records))) return state;
     this.#snapshotIndex = index;
-    const cut = this.#budget.findCut(state.log, index, neededIndex);
-    return replicaStates.trimLog(state, cut);
+    const trimIndex = this.#policy.findTrimIndex(state.log, index, neededIndex);
+    return replicaStates.trimLog(state, trimIndex);
   }
 
   /** Puts a snapshot that was taken from a leader in the place of the log. */
@@ -75,13 +75,16 @@
     state: replicaStates.ReplicaState,
   ): csp.Step<void> {
     // Both write the same file.
-    yield* csp.waitFor(this.#drafts.settle());
-    yield* this.#writer.restore(snapshot, savedRecords.createHead(state));
+    yield* csp.waitFor(this.#snapshots.waitUntilIdle());
+    yield* this.#writer.installSnapshot(
+      snapshot,
+      savedRecords.createHeadRecords(state),
+    );
     this.#snapshotIndex = snapshot.index;
   }
 
   /** Resolves once nothing is being written. */
-  settle(): Promise<void> {
-    return this.#drafts.settle();
+  waitUntilIdle(): Promise<void> {
+    return this.#snapshots.waitUntilIdle();
   }
 }
--- a/src/consensus/_membership.ts
+++ b/src/consensus/_membership.ts
@@ -7,7 +7,7 @@
 const NO_EFFECTS: readonly replicaStates.Effect[] = [];
 
 /** Keeps progress of exactly the replicas that a leader feeds now. */
-function renewProgress(
+function updateProgress(
   state: replicaStates.ReplicaState,
 ): replicaStates.ReplicaState {
   const { role } = state;
@@ -32,11 +32,11 @@
   const isSame = learners.length === state.learners.length &&
     learners.every((id) => state.learners.includes(id));
   if (isSame) return { state, effects: NO_EFFECTS };
-  const renewed = renewProgress({ ...state, learners });
-  if (renewed.role.kind !== "leader") {
-    return { state: renewed, effects: NO_EFFECTS };
+  const updated = updateProgress({ ...state, learners });
+  if (updated.role.kind !== "leader") {
+    return { state: updated, effects: NO_EFFECTS };
   }
-  return replications.sendAppends(renewed, nowMs);
+  return replications.sendAppends(updated, nowMs);
 }
 
 /**
@@ -59,7 +59,7 @@
   };
   const log = replicaLogs.appendEntries(state.log, [entry]);
   const sent = replications.sendAppends(
-    renewProgress({ ...state, log }),
+    updateProgress({ ...state, log }),
     nowMs,
   );
   return {
@@ -73,14 +73,15 @@
   voters: readonly string[],
 ): boolean {
   const { role, commitIndex } = state;
-  if (role.kind !== "leader" || commitIndex < role.firstIndex) return false;
+  if (role.kind !== "leader" || commitIndex < role.termStartIndex) return false;
   const pending = sets.findReplicaSet(state.log)?.index ?? 0;
   if (pending > commitIndex || !voters.includes(state.config.id)) return false;
   const before = replicaStates.listVoters(state);
-  if (!sets.isSingleStep(before, voters)) return false;
+  if (!sets.isSingleVoterChange(before, voters)) return false;
   return voters.filter((id) => !before.includes(id)).every((id) => {
     const progress = role.progress.get(id);
     return progress !== undefined && progress.identity.isAdmitted &&
-      commitIndex - progress.matchIndex <= replicaStates.NEAR_ENTRIES;
+      commitIndex - progress.matchIndex <=
+        replicaStates.MAX_CAUGHT_UP_LAG_ENTRIES;
   });
 }
--- a/src/consensus/_notice_teller.ts
+++ b/src/consensus/_notice_reporter.ts
@@ -1,54 +1,62 @@
 import type * as clocks from "../clock/mod.ts";
-import * as feedingWatches from "./_feeding_watch.ts";
-import * as leaderWatches from "./_leader_watch.ts";
+import * as catchUpMonitors from "./_catch_up_monitor.ts";
+import * as leaderMonitors from "./_leader_monitor.ts";
 import type * as notices from "./replica_notice.ts";
 import type * as replicaOptions from "./replica_options.ts";
 import * as replicaStates from "./replica_state.ts";
 import * as replicaStatuses from "./replica_status.ts";
 
 /** What a teller needs. */
-type TellerOptions = Pick<
+type ReporterOptions = Pick<
   replicaOptions.ReplicaDriverOptions,
   "clock" | "onNotice"
 >;
 
 /** Tells what changed about a replica since it was looked at last. */
-export class NoticeTeller {
+export class NoticeReporter {
   readonly #clock: clocks.Clock;
-  readonly #tell: notices.TakeNotice;
-  #role = "";
-  #voters = "";
+  readonly #notify: notices.NoticeHandler;
+  #lastRole = "";
+  #lastVoters = "";
   #hadAuthority = false;
   #wasAdmitted: boolean;
   readonly #openedAtMs: number;
-  readonly #feeding: feedingWatches.FeedingWatch;
-  readonly #leader: leaderWatches.LeaderWatch;
+  readonly #catchUps: catchUpMonitors.CatchUpMonitor;
+  readonly #leaderMonitor: leaderMonitors.LeaderMonitor;
 
   /**
    * @param options Where notices go; none are told unless `onNotice` is given.
    * @param opened The replica as it was opened.
    */
-  constructor(options: TellerOptions, opened: replicaStates.ReplicaState) {
+  constructor(options: ReporterOptions, opened: replicaStates.ReplicaState) {
     const { clock, onNotice = () => {} } = options;
     this.#clock = clock;
-    this.#tell = onNotice;
+    this.#notify = onNotice;
     this.#wasAdmitted = opened.identity.isAdmitted;
     this.#openedAtMs = clock.getMonotonicMs();
-    this.#feeding = new feedingWatches.FeedingWatch(onNotice);
-    this.#leader = new leaderWatches.LeaderWatch(this.#openedAtMs, onNotice);
+    this.#catchUps = new catchUpMonitors.CatchUpMonitor(onNotice);
+    this.#leaderMonitor = new leaderMonitors.LeaderMonitor(
+      this.#openedAtMs,
+      onNotice,
+    );
   }
 
   /** Notes an answer to a vote request, and tells of a refusal. */
-  noteEvent(
+  recordEvent(
     state: replicaStates.ReplicaState,
     event: replicaStates.ReplicaEvent,
   ): void {
     if (event.kind !== "message" || event.message.kind !== "voteReply") return;
     const { from, message: reply } = event;
-    this.#leader.noteAnswer(state, from, reply, this.#clock.getMonotonicMs());
+    this.#leaderMonitor.recordReply(
+      state,
+      from,
+      reply,
+      this.#clock.getMonotonicMs(),
+    );
     const { refusal: reason, term } = reply;
     if (reason === undefined) return;
-    this.#tell({ kind: "voteRefused", by: from, term, reason });
+    this.#notify({ kind: "voteRefused", by: from, term, reason });
   }
 
   /**
@@ -63,7 +71,7 @@
     writingMs: number,
   ): void {
     const nowMs = this.#clock.getMonotonicMs();
-    this.#leader.observe(state, hasAuthority, nowMs, writingMs);
+    this.#leaderMonitor.observe(state, hasAuthority, nowMs, writingMs);
   }
 
   /** Looks at the replica; tells each change once. */
@@ -72,8 +80,8 @@
     this.#observeRole(state);
     this.#observeVoters(state);
     this.#observeAdmission(state, nowMs);
-    this.#feeding.observe(state, nowMs);
-    this.#leader.observe(state, hasAuthority, nowMs, 0);
+    this.#catchUps.observe(state, nowMs);
+    this.#leaderMonitor.observe(state, hasAuthority, nowMs, 0);
     this.#observeAuthority(state, hasAuthority, nowMs);
   }
 
@@ -85,8 +93,8 @@
   ): replicaStatuses.ReplicaHealth {
     this.observeLeader(state, hasAuthority, writingMs);
     const nowMs = this.#clock.getMonotonicMs();
-    const leaderlessMs = this.#leader.getSinceMs(nowMs);
-    const fedMs = this.#feeding.getLongestMs(nowMs);
+    const leaderlessMs = this.#leaderMonitor.getLeaderlessMs(nowMs);
+    const fedMs = this.#catchUps.getLongestCatchUpMs(nowMs);
     const times = { hasAuthority, leaderlessMs, writingMs, fedMs };
     return replicaStatuses.describeHealth(state, times, nowMs);
   }
@@ -94,26 +102,26 @@
   #observeRole(state: replicaStates.ReplicaState): void {
     const { term, role } = state;
     const leader = replicaStatuses.getLeader(state);
-    const shown = `${role.kind} ${term} ${leader}`;
-    if (shown === this.#role) return;
-    this.#role = shown;
-    this.#tell({ kind: "role", role: role.kind, term, leader });
+    const key = `${role.kind} ${term} ${leader}`;
+    if (key === this.#lastRole) return;
+    this.#lastRole = key;
+    this.#notify({ kind: "role", role: role.kind, term, leader });
   }
 
   #observeVoters(state: replicaStates.ReplicaState): void {
     const set = replicaStatuses.describeVoterSet(state);
     if (set.voters.length === 0) return;
-    const shown = `${set.voters.join(",")} ${set.index} ${set.isCommitted}`;
-    if (shown === this.#voters) return;
-    this.#voters = shown;
-    this.#tell({ kind: "voters", set, term: state.term });
+    const key = `${set.voters.join(",")} ${set.index} ${set.isCommitted}`;
+    if (key === this.#lastVoters) return;
+    this.#lastVoters = key;
+    this.#notify({ kind: "voters", set, term: state.term });
   }
 
   #observeAdmission(state: replicaStates.ReplicaState, nowMs: number): void {
     const { identity, term, commitIndex } = state;
     if (identity.isAdmitted === this.#wasAdmitted) return;
     this.#wasAdmitted = identity.isAdmitted;
-    this.#tell({
+    this.#notify({
       kind: "admitted",
       incarnation: identity.incarnation,
       term,
@@ -143,6 +151,6 @@
         lag: lastIndex - matchIndex,
       }));
     const { term } = state;
-    this.#tell({ kind: "authority", hasAuthority, term, lastIndex, silent });
+    this.#notify({ kind: "authority", hasAuthority, term, lastIndex, silent });
   }
 }
--- a/src/consensus/_open_replica.ts
+++ b/src/consensus/_open_replica.ts
@@ -21,14 +21,14 @@
 export async function openReplica(
   options: replicaOptions.ReplicaDriverOptions,
 ): Promise<OpenedReplica> {
-  const { config, clock, dataFolder, machine } = options;
+  const { config, clock, dataFolder, stateMachine: machine } = options;
   const { log, loaded } = await storage.DurableLog.open(dataFolder, config.id);
   const snapshot = savedRecords.toSnapshot(loaded.snapshot);
   const records = loaded.records as readonly savedRecords.SavedRecord[];
-  const made = savedRecords.createFirst(records, clock.getWallMs());
-  await log.append(made);
+  const initial = savedRecords.createInitialRecords(records, clock.getWallMs());
+  await log.append(initial);
   if (snapshot !== undefined) machine.restore(snapshot.state);
-  const saved = savedRecords.rebuildReplica(snapshot, [...records, ...made]);
+  const saved = savedRecords.rebuildReplica(snapshot, [...records, ...initial]);
   const nowMs = clock.getMonotonicMs();
   const state = stepReplica.createReplica(config, saved, nowMs);
   options.onNotice?.(describeOpened(state, loaded.tornBytes));
--- a/src/consensus/_progress.ts
+++ b/src/consensus/_progress.ts
@@ -2,7 +2,7 @@
 import type * as replicaStates from "./replica_state.ts";
 
 /** A replica whose disk was lost holds nothing of what it held before. */
-export function forgetFormerSelf(
+export function resetForNewIncarnation(
   known: replicaStates.Progress,
   reply: messages.AppendReply,
 ): replicaStates.Progress {
@@ -10,7 +10,7 @@
   return {
     nextIndex: reply.index + 1,
     matchIndex: 0,
-    answeredSentAtMs: Number.NEGATIVE_INFINITY,
+    lastAckedSentAtMs: Number.NEGATIVE_INFINITY,
     identity: reply.identity,
   };
 }
@@ -20,7 +20,7 @@
  * before: each of those messages is answered like the first one, and going back
  * for each sends the same entries again and again.
  */
-function moveBack(
+function resetNextIndex(
   progress: replicaStates.Progress,
   reply: messages.AppendReply,
   nowMs: number,
@@ -35,27 +35,27 @@
 }
 
 /** What is known of a follower after an answer. */
-export function noteAnswer(
+export function recordReply(
   old: replicaStates.Progress,
   reply: messages.AppendReply,
   nowMs: number,
 ): replicaStates.Progress {
   const { identity, sentAtMs, index } = reply;
-  const { movedAtMs = nowMs } = old;
-  const answeredSentAtMs = Math.max(old.answeredSentAtMs, sentAtMs);
-  const heard = {
+  const { lastProgressAtMs: progressAtMs = nowMs } = old;
+  const ackedSentAtMs = Math.max(old.lastAckedSentAtMs, sentAtMs);
+  const replied = {
     ...old,
     identity,
-    answeredSentAtMs,
-    answeredAtMs: nowMs,
-    movedAtMs,
+    lastAckedSentAtMs: ackedSentAtMs,
+    lastReplyAtMs: nowMs,
+    lastProgressAtMs: progressAtMs,
   };
-  if (!reply.isMatch) return moveBack(heard, reply, nowMs);
-  const hasMoved = index > old.matchIndex;
+  if (!reply.isMatch) return resetNextIndex(replied, reply, nowMs);
+  const hasAdvanced = index > old.matchIndex;
   return {
-    ...heard,
+    ...replied,
     matchIndex: Math.max(old.matchIndex, index),
     nextIndex: Math.max(old.nextIndex, index + 1),
-    movedAtMs: hasMoved ? nowMs : movedAtMs,
+    lastProgressAtMs: hasAdvanced ? nowMs : progressAtMs,
   };
 }
--- a/src/consensus/_proposals.ts
+++ b/src/consensus/_proposals.ts
@@ -7,7 +7,7 @@
 const OVERLOADED_RETRY_MS = 100;
 
 /** A proposal that waits to be committed. */
-export interface WaitingProposal {
+export interface PendingProposal {
   readonly index: number;
   readonly term: number;
   readonly settle: (result: results.Result<unknown>) => void;
@@ -15,13 +15,13 @@
 
 /** The proposals of this replica that are not yet settled. */
 export class ProposalTable {
-  readonly #waiting = new Map<number, WaitingProposal>();
+  readonly #pending = new Map<number, PendingProposal>();
 
   /** Adds a proposal; one that waited at its index was overwritten. */
-  add(proposal: WaitingProposal): void {
-    const old = this.#waiting.get(proposal.index);
-    if (old !== undefined) refuseOverwritten(old);
-    this.#waiting.set(proposal.index, proposal);
+  add(proposal: PendingProposal): void {
+    const old = this.#pending.get(proposal.index);
+    if (old !== undefined) rejectOverwritten(old);
+    this.#pending.set(proposal.index, proposal);
   }
 
   /** Adds proposals whose commands a leader appends from an index on. */
@@ -37,18 +37,18 @@
 
   /** Settles the proposal at a committed entry. */
   settle(entry: replicaLogs.Entry, answer: unknown): void {
-    const proposal = this.#waiting.get(entry.index);
+    const proposal = this.#pending.get(entry.index);
     if (proposal === undefined) return;
-    this.#waiting.delete(entry.index);
-    if (proposal.term !== entry.term) return refuseOverwritten(proposal);
+    this.#pending.delete(entry.index);
+    if (proposal.term !== entry.term) return rejectOverwritten(proposal);
     proposal.settle(results.createOk(answer));
   }
 
   /** Gives up proposals that a snapshot covers; what became of them is unknown. */
   dropUpTo(index: number): void {
-    for (const [at, proposal] of this.#waiting) {
+    for (const [at, proposal] of this.#pending) {
       if (at > index) continue;
-      this.#waiting.delete(at);
+      this.#pending.delete(at);
       proposal.settle(results.createFailure(
         "changeUnknown",
         "Cannot confirm the change: a snapshot replaced the log",
@@ -58,7 +58,7 @@
   }
 }
 
-function refuseOverwritten(proposal: WaitingProposal): void {
+function rejectOverwritten(proposal: PendingProposal): void {
   proposal.settle(results.createFailure(
     "notLeader",
     "Cannot accept the change: another leader replaced it",
@@ -90,7 +90,7 @@
 }
 
 /** Tells proposals that this replica does not lead. */
-export function refuseProposals(
+export function rejectProposals(
   proposals: readonly driverEvents.Proposal[],
   leader: string | undefined,
 ): void {
--- a/src/consensus/_replication.ts
+++ b/src/consensus/_replication.ts
@@ -1,7 +1,7 @@
 import * as appendRequests from "./_append_requests.ts";
 import * as commits from "./_commit.ts";
-import * as feedings from "./_feeding.ts";
-import * as formerSelves from "./_former_self.ts";
+import * as appendWindows from "./_append_window.ts";
+import * as staleIncarnations from "./_stale_incarnation.ts";
 import type * as messages from "./message.ts";
 import * as progresses from "./_progress.ts";
 import * as replicaLogs from "./replica_log.ts";
@@ -12,9 +12,9 @@
  * waits for it; by heartbeats alone it took up to 90 ms. Commits that come in
  * between go along.
  */
-const COMMIT_NEWS_MS = 15;
+const MAX_COMMIT_DELAY_MS = 15;
 
-const NO_TRANSITION_EFFECTS: readonly replicaStates.Effect[] = [];
+const NO_EFFECTS: readonly replicaStates.Effect[] = [];
 
 /** Sends each follower what it lacks and may be sent, or a heartbeat. */
 export function sendAppends(
@@ -25,9 +25,12 @@
   if (role.kind !== "leader") return { state, effects: [] };
   const sent = appendRequests.createAppends(state, role.progress, nowMs);
   const progress = new Map(sent.map(([to, append]) => [to, append.progress]));
-  const heartbeatAtMs = nowMs + state.config.heartbeatMs;
-  const next = { ...state, role: { ...role, progress, heartbeatAtMs } };
-  return advanceCommit({
+  const heartbeatDueAtMs = nowMs + state.config.heartbeatMs;
+  const next = {
+    ...state,
+    role: { ...role, progress, nextHeartbeatAtMs: heartbeatDueAtMs },
+  };
+  return commitReplicated({
     state: next,
     effects: sent.map(([, append]) => append.effect),
   });
@@ -43,7 +46,7 @@
   if (role.kind !== "leader") return { state, effects: [] };
   const progress = role.progress.get(to);
   if (progress === undefined) return { state, effects: [] };
-  const count = feedings.countSendable(state, to, progress, nowMs);
+  const count = appendWindows.countSendable(state, to, progress, nowMs);
   if (count === 0) return { state, effects: [] };
   const message = appendRequests.createRequest(
     state,
@@ -59,21 +62,21 @@
   };
 }
 
-function advanceCommit(
+function commitReplicated(
   transition: replicaStates.Transition,
 ): replicaStates.Transition {
   const { state } = transition;
   if (state.role.kind !== "leader") return transition;
-  const matches = replicaStates.listAdmitted(state).map((progress) =>
+  const matches = replicaStates.listAdmittedProgress(state).map((progress) =>
     progress.matchIndex
   );
   const own = replicaStates.isVoter(state)
     ? [replicaLogs.getLastIndex(state.log)]
     : [];
   const sorted = [...own, ...matches].sort((a, b) => b - a);
-  const index = sorted[replicaStates.getQuorum(state) - 1] ?? 0;
+  const index = sorted[replicaStates.getQuorumSize(state) - 1] ?? 0;
   if (replicaLogs.getTermAt(state.log, index) !== state.term) return transition;
-  const committed = commits.commitTo(state, index);
+  const committed = commits.advanceCommitIndex(state, index);
   return {
     state: committed.state,
     effects: [...transition.effects, ...committed.effects],
@@ -102,7 +105,7 @@
 }
 
 /** Has later messages to a follower that was fed take more entries, or fewer. */
-function updateFeeding(
+function updateCatchUpBatch(
   state: replicaStates.ReplicaState,
   from: string,
   before: replicaStates.Progress,
@@ -114,11 +117,21 @@
   if (progress === undefined) return state;
   if (progress.matchIndex <= before.matchIndex) return state;
   const lag = replicaLogs.getLastIndex(state.log) - progress.matchIndex;
-  const gained = (before.feedLag ?? Number.POSITIVE_INFINITY) - lag;
-  const feedEntries = feedings.updateBatch(state, before, gained, nowMs);
+  const entriesGained = (before.catchUpLagEntries ?? Number.POSITIVE_INFINITY) -
+    lag;
+  const feedEntries = appendWindows.updateBatchSize(
+    state,
+    before,
+    entriesGained,
+    nowMs,
+  );
   const next = new Map([
     ...role.progress,
-    [from, { ...progress, feedEntries, feedLag: lag }] as const,
+    [from, {
+      ...progress,
+      catchUpBatchEntries: feedEntries,
+      catchUpLagEntries: lag,
+    }] as const,
   ]);
   return { ...state, role: { ...role, progress: next } };
 }
@@ -137,21 +150,21 @@
   const known = role.progress.get(from);
   if (known === undefined) return { state, effects: [] };
   if (reply.identity.incarnation < known.identity.incarnation) {
-    return formerSelves.refuseAnswer(state, from, known, reply);
+    return staleIncarnations.handleStaleReply(state, from, known, reply);
   }
-  const old = progresses.forgetFormerSelf(known, reply);
-  const progress = progresses.noteAnswer(old, reply, nowMs);
+  const old = progresses.resetForNewIncarnation(known, reply);
+  const progress = progresses.recordReply(old, reply, nowMs);
   const map = new Map([...role.progress, [from, progress] as const]);
-  const noted: replicaStates.ReplicaState = {
+  const updated: replicaStates.ReplicaState = {
     ...state,
     role: { ...role, progress: map },
   };
   const isBehind = progress.nextIndex <= replicaLogs.getLastIndex(state.log);
   const sent = isBehind
-    ? sendAppendTo(noted, from, nowMs)
-    : { state: noted, effects: NO_TRANSITION_EFFECTS };
-  const adapted = updateFeeding(sent.state, from, old, nowMs);
-  const advanced = advanceCommit({ ...sent, state: adapted });
+    ? sendAppendTo(updated, from, nowMs)
+    : { state: updated, effects: NO_EFFECTS };
+  const adapted = updateCatchUpBatch(sent.state, from, old, nowMs);
+  const advanced = commitReplicated({ ...sent, state: adapted });
   if (advanced.state.commitIndex === state.commitIndex) return advanced;
   return { ...advanced, state: advanceHeartbeat(advanced.state, nowMs) };
 }
@@ -163,6 +176,9 @@
 ): replicaStates.ReplicaState {
   const { role } = state;
   if (role.kind !== "leader") return state;
-  const heartbeatAtMs = Math.min(role.heartbeatAtMs, nowMs + COMMIT_NEWS_MS);
-  return { ...state, role: { ...role, heartbeatAtMs } };
+  const heartbeatAtMs = Math.min(
+    role.nextHeartbeatAtMs,
+    nowMs + MAX_COMMIT_DELAY_MS,
+  );
+  return { ...state, role: { ...role, nextHeartbeatAtMs: heartbeatAtMs } };
 }
--- a/src/consensus/_saved_record.ts
+++ b/src/consensus/_saved_record.ts
@@ -31,7 +31,7 @@
 }
 
 /** Gives the identity that an empty data folder is given, if it has none. */
-export function createFirst(
+export function createInitialRecords(
   records: readonly SavedRecord[],
   wallMs: number,
 ): readonly SavedRecord[] {
@@ -41,26 +41,26 @@
 }
 
 /** Term of the entry that founds a replica set. */
-const FOUNDING_TERM = 1;
+const BOOTSTRAP_TERM = 1;
 
 /**
  * Gives the records of a replica that founds a replica set: all founders write
  * the same first entry, so it counts as committed from the start.
  */
-export function createFounding(
+export function createBootstrapRecords(
   voters: readonly string[],
   wallMs: number,
 ): readonly SavedRecord[] {
   const command: replicaSets.ReplicaSetCommand = { kind: "replicaSet", voters };
   return [
     { kind: "identity", identity: { incarnation: wallMs, isAdmitted: true } },
-    { kind: "vote", term: FOUNDING_TERM },
-    { kind: "entry", entry: { index: 1, term: FOUNDING_TERM, command } },
+    { kind: "vote", term: BOOTSTRAP_TERM },
+    { kind: "entry", entry: { index: 1, term: BOOTSTRAP_TERM, command } },
   ];
 }
 
 /** Gives the records that a new log begins with. */
-export function createHead(
+export function createHeadRecords(
   state: replicaStates.ReplicaState,
 ): readonly SavedRecord[] {
   const { term, votedFor, identity } = state;
@@ -68,14 +68,14 @@
 }
 
 /** Gives the records that a log begins with after a snapshot of an index. */
-export function createRest(
+export function createRecordsAfter(
   state: replicaStates.ReplicaState,
   index: number,
 ): readonly SavedRecord[] {
   const { log } = state;
   const rest = replicaLogs.getEntries(log, index + 1, log.entries.length);
   return [
-    ...createHead(state),
+    ...createHeadRecords(state),
     ...rest.map((entry): SavedRecord => ({ kind: "entry", entry })),
   ];
 }
--- a/src/consensus/_snapshot_transfer.ts
+++ b/src/consensus/_snapshot_transfer.ts
@@ -4,15 +4,15 @@
 import type * as replicaStates from "./replica_state.ts";
 
 /** Parts on their way to a replica at first, and after some were lost. */
-const WINDOW = 4;
+const INITIAL_WINDOW = 4;
 /** Parts on their way at most: some 2 MB. */
-const MOST_WINDOW = 16;
+const MAX_WINDOW = 16;
 /** Parts by which more are on their way after each that came. */
 const WINDOW_GROWTH = 1;
 /** Time for which a snapshot is kept where another replica leads meanwhile, in ms. */
-const KEPT_MS = 20_000;
+const PAUSED_EXPIRY_MS = 20_000;
 /** Snapshots of which a replica keeps the parts that came. */
-const KEPT_SNAPSHOTS = 2;
+const MAX_PARTIAL_SNAPSHOTS = 2;
 /** Silence after which the parts under way are sent again, in ms. */
 const RESEND_MS = 600;
 
@@ -23,11 +23,11 @@
   /** Parts that the replica has confirmed. */
   confirmed: number;
   sent: number;
-  movedAtMs: number;
+  progressAtMs: number;
   /** Parts that may be on their way. */
   window: number;
   /** Whether this replica leads no more, or did not when it last looked. */
-  isResting: boolean;
+  isPaused: boolean;
 }
 
 /** What a sender needs. */
@@ -37,7 +37,7 @@
   /** Makes a snapshot of the present state. */
   readonly createSnapshot: () => messages.Snapshot;
   /** Told of each snapshot that begins to be sent. */
-  readonly onNotice?: notices.TakeNotice | undefined;
+  readonly onNotice?: notices.NoticeHandler | undefined;
 }
 
 /**
@@ -49,7 +49,7 @@
   readonly #transfers = new Map<string, Transfer>();
   /** Last index of the newest snapshot that each replica was sent. */
   readonly #sentIndexes = new Map<string, number>();
-  #count = 0;
+  #transferCount = 0;
 
   constructor(options: SnapshotSenderOptions) {
     this.#options = options;
@@ -60,23 +60,23 @@
     const nowMs = this.#options.clock.getMonotonicMs();
     const known = this.#transfers.get(to);
     if (known !== undefined) {
-      if (!known.isResting && nowMs - known.movedAtMs < RESEND_MS) return;
+      if (!known.isPaused && nowMs - known.progressAtMs < RESEND_MS) return;
       known.sent = known.confirmed;
-      known.movedAtMs = nowMs;
-      known.window = WINDOW;
-      known.isResting = false;
+      known.progressAtMs = nowMs;
+      known.window = INITIAL_WINDOW;
+      known.isPaused = false;
       return this.#sendParts(to, term, known);
     }
-    this.#count += 1;
+    this.#transferCount += 1;
     const snapshot = this.#options.createSnapshot();
     const transfer: Transfer = {
-      id: `${term}.${snapshot.index}.${this.#count}`,
+      id: `${term}.${snapshot.index}.${this.#transferCount}`,
       snapshot,
       confirmed: 0,
       sent: 0,
-      movedAtMs: nowMs,
-      window: WINDOW,
-      isResting: false,
+      progressAtMs: nowMs,
+      window: INITIAL_WINDOW,
+      isPaused: false,
     };
     this.#transfers.set(to, transfer);
     this.#sentIndexes.set(to, snapshot.index);
@@ -91,7 +91,7 @@
   }
 
   /** Sends what follows the parts that a replica has. */
-  takeReply(
+  handleReply(
     from: string,
     reply: messages.SnapshotPartReply,
     term: number,
@@ -105,14 +105,16 @@
     if (reply.received === transfer.confirmed) return;
     // A replica that was started again holds none of what its former process
     // confirmed; without going back its transfer never ends.
-    const hasLost = reply.received < transfer.confirmed;
+    const hasRestarted = reply.received < transfer.confirmed;
     transfer.confirmed = reply.received;
-    transfer.sent = hasLost
+    transfer.sent = hasRestarted
       ? reply.received
       : Math.max(transfer.sent, reply.received);
-    transfer.movedAtMs = this.#options.clock.getMonotonicMs();
-    const grown = hasLost ? WINDOW : transfer.window + WINDOW_GROWTH;
-    transfer.window = Math.min(MOST_WINDOW, grown);
+    transfer.progressAtMs = this.#options.clock.getMonotonicMs();
+    const grown = hasRestarted
+      ? INITIAL_WINDOW
+      : transfer.window + WINDOW_GROWTH;
+    transfer.window = Math.min(MAX_WINDOW, grown);
     this.#sendParts(from, term, transfer);
   }
 
@@ -121,11 +123,11 @@
    * this one leads again soon: begun anew with each reign, a snapshot never came
    * whole on boxes where a reign took 0.5 to 2 s.
    */
-  drop(): void {
+  pause(): void {
     const nowMs = this.#options.clock.getMonotonicMs();
     for (const [to, transfer] of this.#transfers) {
-      transfer.isResting = true;
-      if (nowMs - transfer.movedAtMs < KEPT_MS) continue;
+      transfer.isPaused = true;
+      if (nowMs - transfer.progressAtMs < PAUSED_EXPIRY_MS) continue;
       this.#transfers.delete(to);
       this.#sentIndexes.delete(to);
     }
@@ -166,7 +168,7 @@
 }
 
 /** What came of one snapshot. */
-interface Collected {
+interface PartialSnapshot {
   received: number;
   readonly values: unknown[];
 }
@@ -174,7 +176,7 @@
 /** Collects the parts of snapshots that leaders send. */
 export class SnapshotReceiver {
   /** By the transfers' names; the one whose part came last stands last. */
-  readonly #collected = new Map<string, Collected>();
+  readonly #partials = new Map<string, PartialSnapshot>();
 
   /**
    * Takes a part.
@@ -182,18 +184,18 @@
    * @param message The part.
    * @returns The reply, and the snapshot once it is whole.
    */
-  take(message: messages.SnapshotPart): {
+  addPart(message: messages.SnapshotPart): {
     readonly reply: messages.SnapshotPartReply;
     readonly whole: messages.SnapshotRequest | undefined;
   } {
     const { transfer, part, parts, head, term, sentAtMs } = message;
-    const collected = this.#find(transfer);
-    const isNext = part === collected.received;
+    const partial = this.#findPartial(transfer);
+    const isNext = part === partial.received;
     if (isNext) {
-      collected.received += 1;
-      collected.values.push(...message.values);
+      partial.received += 1;
+      partial.values.push(...message.values);
     }
-    const { received } = collected;
+    const { received } = partial;
     const reply: messages.SnapshotPartReply = {
       kind: "snapshotPartReply",
       transfer,
@@ -201,9 +203,9 @@
     };
     const isWhole = isNext && received >= parts;
     if (!isWhole) return { reply, whole: undefined };
-    const snapshot: messages.Snapshot = { ...head, state: collected.values };
-    this.#collected.clear();
-    this.#collected.set(transfer, { received, values: [] });
+    const snapshot: messages.Snapshot = { ...head, state: partial.values };
+    this.#partials.clear();
+    this.#partials.set(transfer, { received, values: [] });
     const whole: messages.SnapshotRequest = {
       kind: "snapshotRequest",
       term,
@@ -214,12 +216,14 @@
   }
 
   /** What came of a transfer; of others only the newest are kept. */
-  #find(transfer: string): Collected {
-    const known = this.#collected.get(transfer) ?? { received: 0, values: [] };
-    this.#collected.delete(transfer);
-    this.#collected.set(transfer, known);
-    for (const name of [...this.#collected.keys()].slice(0, -KEPT_SNAPSHOTS)) {
-      this.#collected.delete(name);
+  #findPartial(transfer: string): PartialSnapshot {
+    const known = this.#partials.get(transfer) ?? { received: 0, values: [] };
+    this.#partials.delete(transfer);
+    this.#partials.set(transfer, known);
+    for (
+      const name of [...this.#partials.keys()].slice(0, -MAX_PARTIAL_SNAPSHOTS)
+    ) {
+      this.#partials.delete(name);
     }
     return known;
   }
@@ -242,8 +246,8 @@
   }
 
   /** Sends no more while another replica leads. */
-  drop(): void {
-    this.#sender.drop();
+  pause(): void {
+    this.#sender.pause();
   }
 
   /**
@@ -272,19 +276,19 @@
    * @param term The term of this replica.
    * @returns The message for the replica itself, if it is one or completes one.
    */
-  take(
+  handleMessage(
     from: string,
     message: messages.DriverMessage,
     term: number,
   ): messages.Message | undefined {
     switch (message.kind) {
       case "snapshotPart": {
-        const { reply, whole } = this.#receiver.take(message);
+        const { reply, whole } = this.#receiver.addPart(message);
         this.#options.send(from, reply);
         return whole;
       }
       case "snapshotPartReply":
-        this.#sender.takeReply(from, message, term);
+        this.#sender.handleReply(from, message, term);
         return undefined;
       default:
         return message;
--- a/src/consensus/_snapshot_drafts.ts
+++ b/src/consensus/_snapshot_writer.ts
@@ -2,7 +2,7 @@
 import type * as messages from "./message.ts";
 
 /** A snapshot that is written beside the log. */
-interface Draft {
+interface PendingSnapshot {
   readonly index: number;
   state: "writing" | "written" | "failed";
 }
@@ -11,11 +11,11 @@
  * Writes snapshots beside the log, one at a time, so that a large state does
  * not hold up what comes meanwhile.
  */
-export class SnapshotDrafts {
+export class SnapshotWriter {
   readonly #writer: durableWriters.DurableWriter;
   readonly #onFatal: (error: unknown) => void;
-  #draft: Draft | undefined;
-  #settled: Promise<void> = Promise.resolve();
+  #pending: PendingSnapshot | undefined;
+  #idle: Promise<void> = Promise.resolve();
 
   /** @param onFatal Told of a failed write, but for a full disk. */
   constructor(
@@ -27,34 +27,40 @@
   }
 
   isBusy(): boolean {
-    return this.#draft !== undefined;
+    return this.#pending !== undefined;
   }
 
   start(snapshot: messages.Snapshot): void {
-    const draft: Draft = { index: snapshot.index, state: "writing" };
-    this.#draft = draft;
-    this.#settled = this.#write(snapshot, draft);
+    const pending: PendingSnapshot = {
+      index: snapshot.index,
+      state: "writing",
+    };
+    this.#pending = pending;
+    this.#idle = this.#write(snapshot, pending);
   }
 
   /** Gives the index of a snapshot that is now written, once. */
-  take(): number | undefined {
-    const draft = this.#draft;
-    if (draft === undefined || draft.state === "writing") return undefined;
-    this.#draft = undefined;
-    return draft.state === "written" ? draft.index : undefined;
+  takeWrittenIndex(): number | undefined {
+    const pending = this.#pending;
+    if (pending === undefined || pending.state === "writing") return undefined;
+    this.#pending = undefined;
+    return pending.state === "written" ? pending.index : undefined;
   }
 
   /** Resolves once nothing is being written. */
-  settle(): Promise<void> {
-    return this.#settled;
+  waitUntilIdle(): Promise<void> {
+    return this.#idle;
   }
 
-  async #write(snapshot: messages.Snapshot, draft: Draft): Promise<void> {
+  async #write(
+    snapshot: messages.Snapshot,
+    pending: PendingSnapshot,
+  ): Promise<void> {
     try {
-      const isWritten = await this.#writer.writeDraft(snapshot);
-      draft.state = isWritten ? "written" : "failed";
+      const isWritten = await this.#writer.writeSnapshot(snapshot);
+      pending.state = isWritten ? "written" : "failed";
     } catch (error) {
-      draft.state = "failed";
+      pending.state = "failed";
       this.#onFatal(error);
     }
   }
--- a/src/consensus/_former_self.ts
+++ b/src/consensus/_stale_incarnation.ts
@@ -6,7 +6,7 @@
  * whose clock was stepped back before its first start; passed over for good, it
  * would stay empty for as long as this leader leads, and no other box may be lost.
  */
-export function refuseAnswer(
+export function handleStaleReply(
   state: replicaStates.ReplicaState,
   from: string,
   known: replicaStates.Progress,
--- a/src/consensus/feeding_test.ts
+++ b/src/consensus/append_window_test.ts
@@ -8,12 +8,12 @@
 const ENTRIES = 2_000;
 const BATCH = leaderFixtures.CONFIG.maxBatchEntries;
 /** A leader keeps its authority throughout. */
-const LONG_MS = 60_000;
+const ELECTION_TIMEOUT_MS = 60_000;
 const ADMITTED = { incarnation: 0, isAdmitted: true };
-const EMPTIED = { incarnation: 1, isAdmitted: false };
+const UNADMITTED = { incarnation: 1, isAdmitted: false };
 
 /** A leader with a long log, and what it sends to one follower. */
-class LeaderUnderLoad {
+class LeaderHarness {
   #state: replicaStates.ReplicaState;
   #nowMs = 1_000;
 
@@ -31,7 +31,7 @@
         })),
       ),
     });
-    const config = { ...leader.config, electionTimeoutMs: LONG_MS };
+    const config = { ...leader.config, electionTimeoutMs: ELECTION_TIMEOUT_MS };
     this.#state = { ...leader, config };
   }
 
@@ -58,7 +58,7 @@
     );
   }
 
-  answer(reply: Partial<messages.AppendReply>): number {
+  receiveReply(reply: Partial<messages.AppendReply>): number {
     return this.step({
       kind: "message",
       from: "b",
@@ -68,7 +68,7 @@
         isMatch: true,
         index: 0,
         sentAtMs: this.#nowMs,
-        identity: EMPTIED,
+        identity: UNADMITTED,
         ...reply,
       },
     });
@@ -77,45 +77,45 @@
 
 describe("feeding a replica that lost its disk", () => {
   it("has two batches on their way, whatever is proposed meanwhile", () => {
-    const leader = new LeaderUnderLoad();
-    let sent = leader.answer({ isMatch: false });
-    for (let turn = 0; turn < 50; turn += 1) {
-      sent += leader.step({ kind: "propose", commands: [turn] });
+    const leader = new LeaderHarness();
+    let sent = leader.receiveReply({ isMatch: false });
+    for (let round = 0; round < 50; round += 1) {
+      sent += leader.step({ kind: "propose", commands: [round] });
       sent += leader.step({ kind: "tick" });
     }
     chai.expect(sent).to.equal(2 * BATCH);
   });
 
   it("sends the next batch once one is confirmed", () => {
-    const leader = new LeaderUnderLoad();
-    leader.answer({ isMatch: false });
+    const leader = new LeaderHarness();
+    leader.receiveReply({ isMatch: false });
     leader.step({ kind: "tick" });
     leader.step({ kind: "propose", commands: ["x"] });
-    chai.expect(leader.answer({ index: BATCH })).to.equal(BATCH);
+    chai.expect(leader.receiveReply({ index: BATCH })).to.equal(BATCH);
   });
 
   it("goes back once for all that was sent before", () => {
-    const leader = new LeaderUnderLoad();
+    const leader = new LeaderHarness();
     const sentAtMs = leader.getNowMs();
-    leader.answer({ isMatch: false, sentAtMs });
+    leader.receiveReply({ isMatch: false, sentAtMs });
     leader.step({ kind: "propose", commands: ["x"] });
-    const again = leader.answer({ isMatch: false, sentAtMs }) +
-      leader.answer({ isMatch: false, sentAtMs });
-    chai.expect(again).to.equal(0);
+    const resent = leader.receiveReply({ isMatch: false, sentAtMs }) +
+      leader.receiveReply({ isMatch: false, sentAtMs });
+    chai.expect(resent).to.equal(0);
   });
 
   it("goes back again where entries were lost on their way", () => {
-    const leader = new LeaderUnderLoad();
-    leader.answer({ isMatch: false });
+    const leader = new LeaderHarness();
+    leader.receiveReply({ isMatch: false });
     leader.step({ kind: "propose", commands: ["x"] });
-    chai.expect(leader.answer({ isMatch: false })).to.equal(BATCH);
+    chai.expect(leader.receiveReply({ isMatch: false })).to.equal(BATCH);
   });
 
   it("does not hold back entries from a follower that counts", () => {
-    const leader = new LeaderUnderLoad();
-    let sent = leader.answer({ index: ENTRIES, identity: ADMITTED });
-    for (let turn = 0; turn < 50; turn += 1) {
-      sent += leader.step({ kind: "propose", commands: [turn] });
+    const leader = new LeaderHarness();
+    let sent = leader.receiveReply({ index: ENTRIES, identity: ADMITTED });
+    for (let round = 0; round < 50; round += 1) {
+      sent += leader.step({ kind: "propose", commands: [round] });
     }
     chai.expect(sent).to.equal(50);
   });
--- a/src/consensus/feeding_watch_test.ts
+++ b/src/consensus/catch_up_monitor_test.ts
@@ -4,7 +4,7 @@
 import type * as replicaStates from "./replica_state.ts";
 
 describe("watch over feeding", () => {
-  function proposeEntries(
+  function appendEntries(
     state: replicaStates.ReplicaState,
     count: number,
   ): replicaStates.ReplicaState {
@@ -21,12 +21,12 @@
     const recorder = new fixtures.NoticeRecorder(leader);
     recorder.observe(leader, true);
     recorder.observe(
-      fixtures.changeProgress(leader, { identity: fixtures.EMPTIED }),
+      fixtures.changeProgress(leader, { identity: fixtures.UNADMITTED }),
       true,
     );
-    recorder.clock.extendBy(1_200);
+    recorder.clock.advance(1_200);
     recorder.observe(
-      fixtures.changeProgress(leader, { identity: fixtures.EMPTIED }),
+      fixtures.changeProgress(leader, { identity: fixtures.UNADMITTED }),
       true,
     );
     const caughtUp = fixtures.changeProgress(leader, {
@@ -35,7 +35,7 @@
     });
     recorder.observe(caughtUp, true);
     recorder.observe(caughtUp, true);
-    chai.expect(recorder.list("followerAdmitted")).to.deep.equal([{
+    chai.expect(recorder.listByKind("followerAdmitted")).to.deep.equal([{
       kind: "followerAdmitted",
       id: "b",
       incarnation: 7,
@@ -53,7 +53,7 @@
       fixtures.changeProgress(leader, { identity: fixtures.ADMITTED }),
       true,
     );
-    const [notice] = recorder.list("followerAdmitted");
+    const [notice] = recorder.listByKind("followerAdmitted");
     chai.expect(notice?.id).to.equal("b");
     chai.expect(notice?.fedMs).to.equal(0);
   });
@@ -61,37 +61,42 @@
   it("tells nothing of a follower that counts when a new leader first hears it", () => {
     const leader = fixtures.createLeader();
     const recorder = new fixtures.NoticeRecorder(leader);
-    const unheard = fixtures.changeProgress(leader, {
-      answeredSentAtMs: Number.NEGATIVE_INFINITY,
+    const unanswered = fixtures.changeProgress(leader, {
+      lastAckedSentAtMs: Number.NEGATIVE_INFINITY,
       identity: { incarnation: 0, isAdmitted: false },
     });
-    recorder.observe(unheard);
+    recorder.observe(unanswered);
     recorder.observe(
       fixtures.changeProgress(leader, { identity: fixtures.ADMITTED }),
       true,
     );
-    chai.expect(recorder.list("followerAdmitted")).to.deep.equal([]);
+    chai.expect(recorder.listByKind("followerAdmitted")).to.deep.equal([]);
   });
 
   it("tells each second how far the followers are that do not count", () => {
-    const leader = proposeEntries(fixtures.createLeader(), 100);
+    const leader = appendEntries(fixtures.createLeader(), 100);
     const recorder = new fixtures.NoticeRecorder(leader);
-    const fed = { identity: fixtures.EMPTIED, matchIndex: 0 };
-    recorder.observe(fixtures.changeProgress(leader, fed), true);
-    recorder.clock.extendBy(999);
-    recorder.observe(fixtures.changeProgress(leader, fed), true);
-    chai.expect(recorder.list("feeding")).to.deep.equal([]);
-    recorder.clock.extendBy(1);
-    const at30 = fixtures.changeProgress(leader, { ...fed, matchIndex: 30 });
+    const unadmitted = { identity: fixtures.UNADMITTED, matchIndex: 0 };
+    recorder.observe(fixtures.changeProgress(leader, unadmitted), true);
+    recorder.clock.advance(999);
+    recorder.observe(fixtures.changeProgress(leader, unadmitted), true);
+    chai.expect(recorder.listByKind("feeding")).to.deep.equal([]);
+    recorder.clock.advance(1);
+    const at30 = fixtures.changeProgress(leader, {
+      ...unadmitted,
+      matchIndex: 30,
+    });
     recorder.observe(at30, true);
-    recorder.clock.extendBy(999);
+    recorder.clock.advance(999);
     recorder.observe(at30, true);
-    recorder.clock.extendBy(1);
+    recorder.clock.advance(1);
     recorder.observe(
-      fixtures.changeProgress(leader, { ...fed, matchIndex: 72 }),
+      fixtures.changeProgress(leader, { ...unadmitted, matchIndex: 72 }),
       true,
     );
-    chai.expect(recorder.list("feeding").map(({ followers }) => followers)).to
+    chai.expect(
+      recorder.listByKind("feeding").map(({ followers }) => followers),
+    ).to
       .deep
       .equal([
         [{
@@ -119,15 +124,17 @@
 
   it("tells of a voter that has never answered this leader", () => {
     const leader = fixtures.createLeader();
-    const unheard = fixtures.changeProgress(leader, {
-      answeredSentAtMs: Number.NEGATIVE_INFINITY,
+    const unanswered = fixtures.changeProgress(leader, {
+      lastAckedSentAtMs: Number.NEGATIVE_INFINITY,
       identity: { incarnation: 0, isAdmitted: false },
     });
     const recorder = new fixtures.NoticeRecorder(leader);
-    recorder.observe(unheard, true);
-    recorder.clock.extendBy(1_000);
-    recorder.observe(unheard, true);
-    chai.expect(recorder.list("feeding").flatMap(({ followers }) => followers))
+    recorder.observe(unanswered, true);
+    recorder.clock.advance(1_000);
+    recorder.observe(unanswered, true);
+    chai.expect(
+      recorder.listByKind("feeding").flatMap(({ followers }) => followers),
+    )
       .to
       .deep.equal([
         { kind: "unheard", id: "b", isVoter: true, sinceMs: 1_000 },
@@ -137,22 +144,24 @@
   it("tells nothing of feeding while all followers count, nor without the lead", () => {
     const leader = fixtures.createLeader();
     const recorder = new fixtures.NoticeRecorder(leader);
-    const fed = fixtures.changeProgress(leader, { identity: fixtures.EMPTIED });
-    recorder.observe(fed, true);
-    recorder.clock.extendBy(900);
-    recorder.observe({ ...fed, role: { kind: "follower" } });
-    recorder.clock.extendBy(200);
-    recorder.observe(fed, true);
-    recorder.clock.extendBy(900);
+    const unadmitted = fixtures.changeProgress(leader, {
+      identity: fixtures.UNADMITTED,
+    });
+    recorder.observe(unadmitted, true);
+    recorder.clock.advance(900);
+    recorder.observe({ ...unadmitted, role: { kind: "follower" } });
+    recorder.clock.advance(200);
+    recorder.observe(unadmitted, true);
+    recorder.clock.advance(900);
     recorder.observe(
       fixtures.changeProgress(leader, { identity: fixtures.ADMITTED }),
       true,
     );
-    recorder.clock.extendBy(2_000);
+    recorder.clock.advance(2_000);
     recorder.observe(
       fixtures.changeProgress(leader, { identity: fixtures.ADMITTED }),
       true,
     );
-    chai.expect(recorder.list("feeding")).to.deep.equal([]);
+    chai.expect(recorder.listByKind("feeding")).to.deep.equal([]);
   });
 });
--- a/src/consensus/clock_step_test.ts
+++ b/src/consensus/clock_step_test.ts
@@ -20,7 +20,7 @@
 const ROUNDS = 40;
 const ROUND_MS = 20;
 /** The leader keeps its authority throughout. */
-const LONG_MS = 60_000;
+const ELECTION_TIMEOUT_MS = 60_000;
 
 /** A leader that has committed all entries, the last one in its own term. */
 function createLeader(): replicaStates.ReplicaState {
@@ -41,12 +41,12 @@
   return {
     ...leader,
     commitIndex: ENTRIES,
-    role: { ...leader.role, firstIndex: ENTRIES },
-    config: { ...leader.config, electionTimeoutMs: LONG_MS },
+    role: { ...leader.role, termStartIndex: ENTRIES },
+    config: { ...leader.config, electionTimeoutMs: ELECTION_TIMEOUT_MS },
   };
 }
 
-function createEmptied(): replicaStates.ReplicaState {
+function createWipedFollower(): replicaStates.ReplicaState {
   return stepReplica.createReplica(
     { ...leaderFixtures.CONFIG, id: "b" },
     {
@@ -79,32 +79,32 @@
 describe("a replica whose clock was stepped back before its disk was lost", () => {
   it("is fed and counts again under the same leader", () => {
     let leader = createLeader();
-    let emptied = createEmptied();
+    let follower = createWipedFollower();
     let toLeader: readonly messages.Message[] = [];
     for (let round = 1; round <= ROUNDS; round += 1) {
       const nowMs = round * ROUND_MS;
-      let toEmptied: readonly messages.Message[] = [];
+      let toFollower: readonly messages.Message[] = [];
       for (const message of toLeader) {
         const event = { kind: "message", from: "b", message } as const;
-        const taken = step(leader, event, "b", nowMs);
-        leader = taken.state;
-        toEmptied = [...toEmptied, ...taken.sent];
+        const handled = step(leader, event, "b", nowMs);
+        leader = handled.state;
+        toFollower = [...toFollower, ...handled.sent];
       }
       const ticked = step(leader, { kind: "tick" }, "b", nowMs);
       leader = ticked.state;
       toLeader = [];
-      for (const message of [...toEmptied, ...ticked.sent]) {
+      for (const message of [...toFollower, ...ticked.sent]) {
         const event = { kind: "message", from: "a", message } as const;
-        const taken = step(emptied, event, "a", nowMs);
-        emptied = taken.state;
-        toLeader = [...toLeader, ...taken.sent];
+        const handled = step(follower, event, "a", nowMs);
+        follower = handled.state;
+        toLeader = [...toLeader, ...handled.sent];
       }
     }
-    chai.expect(replicaLogs.getLastIndex(emptied.log)).to.equal(ENTRIES);
-    chai.expect(emptied.identity.isAdmitted).to.equal(true);
+    chai.expect(replicaLogs.getLastIndex(follower.log)).to.equal(ENTRIES);
+    chai.expect(follower.identity.isAdmitted).to.equal(true);
     if (leader.role.kind !== "leader") throw new Error("a leads no more");
-    const known = leader.role.progress.get("b");
-    chai.expect(known?.matchIndex).to.equal(ENTRIES);
-    chai.expect(known?.identity).to.deep.equal(emptied.identity);
+    const progress = leader.role.progress.get("b");
+    chai.expect(progress?.matchIndex).to.equal(ENTRIES);
+    chai.expect(progress?.identity).to.deep.equal(follower.identity);
   });
 });
--- a/src/consensus/commit_news_test.ts
+++ b/src/consensus/commit_delay_test.ts
@@ -40,11 +40,13 @@
       },
     }, 102);
     chai.expect(state.commitIndex).to.equal(index);
-    const told = step({ kind: "tick" }, 102 + 15).flatMap((effect) =>
+    const sentCommitIndexes = step({ kind: "tick" }, 102 + 15).flatMap((
+      effect,
+    ) =>
       effect.kind === "send" && effect.message.kind === "appendRequest"
         ? [effect.message.commitIndex]
         : []
     );
-    chai.expect(told).to.deep.equal([index, index]);
+    chai.expect(sentCommitIndexes).to.deep.equal([index, index]);
   });
 });
--- a/src/consensus/consensus_test.ts
+++ b/src/consensus/consensus_test.ts
@@ -7,25 +7,29 @@
 import * as stepReplica from "./step_replica.ts";
 
 /** Schedules of handovers; how many meet a leader is chance. */
-const HANDOVER_SEEDS = 12;
+const TRANSFER_SEEDS = 12;
 
 describe("consensus", () => {
   it("elects one leader and commits while nothing fails", () => {
-    const result = new simulations.Simulation({ ...schedules.CALM, seed: 1 })
+    const result = new simulations.Simulation({
+      ...schedules.FAULT_FREE,
+      seed: 1,
+    })
       .run();
     chai.expect(result.leaders).to.equal(1);
     chai.expect(result.committed).to.be.greaterThan(50);
   });
 
-  it(`keeps every invariant over ${schedules.SCHEDULES} schedules of 3 and 5 replicas`, () => {
+  it(`keeps every invariant over ${schedules.SCHEDULE_COUNT} schedules of 3 and 5 replicas`, () => {
     let committed = 0;
-    for (let seed = 1; seed <= schedules.SCHEDULES; seed += 1) {
+    for (let seed = 1; seed <= schedules.SCHEDULE_COUNT; seed += 1) {
       const replicas = seed % 2 === 0 ? 3 : 5;
       committed +=
-        new simulations.Simulation({ ...schedules.ROUGH, replicas, seed }).run()
+        new simulations.Simulation({ ...schedules.FAULTY, replicas, seed })
+          .run()
           .committed;
     }
-    chai.expect(committed).to.be.greaterThan(schedules.SCHEDULES * 10);
+    chai.expect(committed).to.be.greaterThan(schedules.SCHEDULE_COUNT * 10);
   });
 
   it("does not vote for one election timeout after a restart", () => {
@@ -51,7 +55,7 @@
 
   describe("a replica that was restarted", () => {
     const IDENTITY = { incarnation: 0, isAdmitted: true };
-    const first = { kind: "noOperation", leader: "b" };
+    const termStart = { kind: "noOperation", leader: "b" };
     const saved = {
       term: 4,
       votedFor: undefined,
@@ -59,13 +63,13 @@
       log: {
         ...replicaLogs.EMPTY_LOG,
         entries: [
-          { index: 1, term: 4, command: first },
+          { index: 1, term: 4, command: termStart },
           { index: 2, term: 4, command: "x" },
         ],
       },
     };
 
-    function askFor(
+    function requestPreVote(
       from: string,
       state: replicaStates.ReplicaState,
       nowMs: number,
@@ -95,42 +99,46 @@
         saved,
         1_000,
       );
-      chai.expect(askFor("b", state, 1_010)).to.equal(true);
-      chai.expect(askFor("c", state, 1_010)).to.equal(false);
+      chai.expect(requestPreVote("b", state, 1_010)).to.equal(true);
+      chai.expect(requestPreVote("c", state, 1_010)).to.equal(false);
     });
 
     it("votes for none at once where a later term may have had a leader", () => {
-      const later = { ...saved, term: 5, votedFor: "b" };
+      const laterTerm = { ...saved, term: 5, votedFor: "b" };
       const state = stepReplica.createReplica(
         leaderFixtures.CONFIG,
-        later,
+        laterTerm,
         1_000,
       );
-      chai.expect(askFor("b", state, 1_010)).to.equal(false);
+      chai.expect(requestPreVote("b", state, 1_010)).to.equal(false);
     });
 
     it("hurries to lead where it led, for one election timeout", () => {
-      const led = stepReplica.createReplica(
+      const formerLeader = stepReplica.createReplica(
         { ...leaderFixtures.CONFIG, id: "b" },
         saved,
         1_000,
       );
-      chai.expect(led.electionAtMs).to.equal(1_025);
-      const { state } = stepReplica.stepReplica(led, { kind: "tick" }, 1_025);
+      chai.expect(formerLeader.electionAtMs).to.equal(1_025);
+      const { state } = stepReplica.stepReplica(
+        formerLeader,
+        { kind: "tick" },
+        1_025,
+      );
       chai.expect(state.role.kind).to.equal("preCandidate");
       chai.expect(state.electionAtMs).to.equal(1_050);
-      const { state: last } = stepReplica.stepReplica(
+      const { state: afterTimeout } = stepReplica.stepReplica(
         state,
         { kind: "tick" },
         1_100,
       );
-      chai.expect(last.electionAtMs).to.be.at.least(1_200);
-      const followed = stepReplica.createReplica(
+      chai.expect(afterTimeout.electionAtMs).to.be.at.least(1_200);
+      const formerFollower = stepReplica.createReplica(
         leaderFixtures.CONFIG,
         saved,
         1_000,
       );
-      chai.expect(followed.electionAtMs).to.be.at.least(1_100);
+      chai.expect(formerFollower.electionAtMs).to.be.at.least(1_100);
     });
   });
 
@@ -180,7 +188,7 @@
     const progress = {
       nextIndex: 2,
       matchIndex: 0,
-      answeredSentAtMs: 0,
+      lastAckedSentAtMs: 0,
       identity,
     };
     const leader: replicaStates.ReplicaState = {
@@ -188,9 +196,9 @@
       role: {
         kind: "leader",
         progress: new Map([["b", progress], ["c", progress]]),
-        heartbeatAtMs: 0,
-        firstIndex: 2,
-        sinceMs: 0,
+        nextHeartbeatAtMs: 0,
+        termStartIndex: 2,
+        leaderSinceMs: 0,
       },
     };
     const message = {
@@ -201,40 +209,42 @@
       sentAtMs: 0,
       identity,
     } as const;
-    const after = stepReplica.stepReplica(leader, {
+    const transition = stepReplica.stepReplica(leader, {
       kind: "message",
       from: "b",
       message,
     }, 1);
-    chai.expect(after.state.commitIndex).to.equal(0);
+    chai.expect(transition.state.commitIndex).to.equal(0);
   });
 
   it("hands leadership over without a pause and without two leaders", () => {
     let leaders = 0;
-    for (let seed = 1; seed <= HANDOVER_SEEDS; seed += 1) {
-      const schedule = { ...schedules.CALM, transferChance: 20, seed };
+    for (let seed = 1; seed <= TRANSFER_SEEDS; seed += 1) {
+      const schedule = { ...schedules.FAULT_FREE, transferChance: 20, seed };
       const result = new simulations.Simulation(schedule).run();
       leaders += result.leaders;
       chai.expect(result.committed, `seed ${seed}`).to.be.greaterThan(90);
     }
-    chai.expect(leaders).to.be.greaterThan(4 * HANDOVER_SEEDS);
+    chai.expect(leaders).to.be.greaterThan(4 * TRANSFER_SEEDS);
   });
 
   it("hands leadership to the named follower only", () => {
     const saved = { ...stepReplica.EMPTY_REPLICA, term: 4 };
     const leader = leaderFixtures.createLeader(saved);
-    const other = stepReplica.stepReplica(
+    const unknownTarget = stepReplica.stepReplica(
       leader,
       { kind: "transfer", to: "nobody" },
       1,
     );
-    chai.expect(other.state.role.kind).to.equal("leader");
-    const named = stepReplica.stepReplica(
+    chai.expect(unknownTarget.state.role.kind).to.equal("leader");
+    const knownTarget = stepReplica.stepReplica(
       leader,
       { kind: "transfer", to: "c" },
       1,
     );
-    chai.expect(named.effects.map((effect) => "to" in effect && effect.to)).to
+    chai.expect(
+      knownTarget.effects.map((effect) => "to" in effect && effect.to),
+    ).to
       .deep.equal(["c"]);
   });
 
@@ -242,9 +252,9 @@
     const saved = { ...stepReplica.EMPTY_REPLICA, term: 4 };
     const state = stepReplica.createReplica(leaderFixtures.CONFIG, saved, 0);
     const message = { kind: "transferRequest", term: 3 } as const;
-    const late = { kind: "message", from: "b", message } as const;
-    const current = { ...late, message: { ...message, term: 4 } };
-    chai.expect(stepReplica.stepReplica(state, late, 1).effects).to.deep.equal(
+    const stale = { kind: "message", from: "b", message } as const;
+    const current = { ...stale, message: { ...message, term: 4 } };
+    chai.expect(stepReplica.stepReplica(state, stale, 1).effects).to.deep.equal(
       [],
     );
     chai.expect(stepReplica.stepReplica(state, current, 1).state.role.kind).to
@@ -253,20 +263,20 @@
 
   it("loses nothing when disks come back empty, one after another", () => {
     let committed = 0;
-    for (let seed = 1; seed <= schedules.SCHEDULES; seed += 1) {
+    for (let seed = 1; seed <= schedules.SCHEDULE_COUNT; seed += 1) {
       const replicas = seed % 2 === 0 ? 3 : 5;
-      const schedule = { ...schedules.ROUGH, replicas, seed, wipeChance: 500 };
+      const schedule = { ...schedules.FAULTY, replicas, seed, wipeChance: 500 };
       committed += new simulations.Simulation(schedule).run().committed;
     }
-    chai.expect(committed).to.be.greaterThan(schedules.SCHEDULES * 10);
+    chai.expect(committed).to.be.greaterThan(schedules.SCHEDULE_COUNT * 10);
   });
 
   it("loses nothing when clocks are stepped back before disks come back empty", () => {
     let committed = 0;
-    for (let seed = 1; seed <= schedules.SCHEDULES; seed += 1) {
+    for (let seed = 1; seed <= schedules.SCHEDULE_COUNT; seed += 1) {
       const replicas = seed % 2 === 0 ? 3 : 5;
       const schedule = {
-        ...schedules.ROUGH,
+        ...schedules.FAULTY,
         replicas,
         seed,
         wipeChance: 500,
@@ -274,26 +284,26 @@
       };
       committed += new simulations.Simulation(schedule).run().committed;
     }
-    chai.expect(committed).to.be.greaterThan(schedules.SCHEDULES * 10);
+    chai.expect(committed).to.be.greaterThan(schedules.SCHEDULE_COUNT * 10);
   });
 
   it("keeps every invariant while voters are added, removed and wiped", () => {
     let sets = 0;
     let committed = 0;
-    for (let seed = 1; seed <= schedules.SCHEDULES; seed += 1) {
+    for (let seed = 1; seed <= schedules.SCHEDULE_COUNT; seed += 1) {
       const schedule = {
-        ...schedules.ROUGH,
+        ...schedules.FAULTY,
         replicas: 3 + seed % 2,
-        spares: 2,
-        memberChance: 30,
+        extraReplicas: 2,
+        membershipChance: 30,
         wipeChance: seed % 3 === 0 ? 500 : 0,
         seed,
       };
       const result = new simulations.Simulation(schedule).run();
-      sets += result.sets;
+      sets += result.committedSets;
       committed += result.committed;
     }
-    chai.expect(committed).to.be.greaterThan(schedules.SCHEDULES * 10);
-    chai.expect(sets).to.be.greaterThan(schedules.SCHEDULES * 3);
+    chai.expect(committed).to.be.greaterThan(schedules.SCHEDULE_COUNT * 10);
+    chai.expect(sets).to.be.greaterThan(schedules.SCHEDULE_COUNT * 3);
   });
 });
--- a/src/consensus/durable_writer_test.ts
+++ b/src/consensus/durable_writer_test.ts
@@ -15,7 +15,7 @@
     chai.expect(writer.getWritingMs()).to.equal(0);
     const written = csp.runProcess(() => writer.append([]), () => {});
     await new Promise((resolve) => setImmediate(resolve));
-    clock.extendBy(5_000);
+    clock.advance(5_000);
     chai.expect(writer.getWritingMs()).to.equal(5_000);
     finish();
     await written;
--- a/src/consensus/entry_size_test.ts
+++ b/src/consensus/entry_size_test.ts
@@ -15,14 +15,14 @@
   { name: "Chinese characters", text: "字".repeat(CHARACTERS) },
   { name: "line breaks, which are escaped", text: "\n".repeat(CHARACTERS) },
 ];
-const TOLERATED = 1.5;
+const MAX_UNDERESTIMATE_FACTOR = 1.5;
 
 describe("estimated size of an entry", () => {
   for (const { name, text } of TEXTS) {
     it(`is not far below the encoded one, ${name}`, () => {
       const entry = { index: 1, term: 1, command: { text } };
       const encoded = Buffer.byteLength(JSON.stringify(entry));
-      chai.expect(entrySizes.estimateBytes(entry) * TOLERATED)
+      chai.expect(entrySizes.estimateBytes(entry) * MAX_UNDERESTIMATE_FACTOR)
         .to.be.at.least(encoded);
     });
   }
--- a/src/consensus/fake_network_test.ts
+++ b/src/consensus/fake_network_test.ts
@@ -7,18 +7,18 @@
 }
 
 /** A message between two replicas. */
-export interface Letter {
+export interface Envelope {
   readonly from: string;
   readonly to: string;
   readonly message: messages.Message;
 }
 
-interface Flight extends Letter {
+interface InFlightMessage extends Envelope {
   readonly dueMs: number;
 }
 
-const SHORT_DELAY_MS = 8;
-const LONG_DELAY_MS = 200;
+const MAX_SHORT_DELAY_MS = 8;
+const MAX_LONG_DELAY_MS = 200;
 const LONG_DELAY_CHANCE = 100;
 const PER_MILLE = 1_000;
 
@@ -26,8 +26,8 @@
 export class FakeNetwork {
   readonly #options: NetworkOptions;
   readonly #draw: (max: number) => number;
-  #flights: readonly Flight[] = [];
-  #cut: ReadonlySet<string> = new Set();
+  #inFlight: readonly InFlightMessage[] = [];
+  #cutLinks: ReadonlySet<string> = new Set();
 
   /** @param draw Gives a whole number from 0 to its argument. */
   constructor(options: NetworkOptions, draw: (max: number) => number) {
@@ -36,36 +36,36 @@
   }
 
   /** Cuts the links between one replica and others; heals all if any are cut. */
-  changeCut(
+  changePartition(
     victim: string | undefined,
     peers: readonly (string | undefined)[],
   ): void {
-    const isCut = this.#cut.size > 0;
+    const isPartitioned = this.#cutLinks.size > 0;
     const links = peers.flatMap((
       peer,
     ) => [`${victim}>${peer}`, `${peer}>${victim}`]);
-    this.#cut = isCut ? new Set() : new Set(links);
+    this.#cutLinks = isPartitioned ? new Set() : new Set(links);
   }
 
-  send(letter: Letter, nowMs: number): void {
-    if (this.#cut.has(`${letter.from}>${letter.to}`)) return;
+  send(envelope: Envelope, nowMs: number): void {
+    if (this.#cutLinks.has(`${envelope.from}>${envelope.to}`)) return;
     if (this.#happens(this.#options.lossChance)) return;
     const copies = this.#happens(this.#options.repeatChance) ? 2 : 1;
     for (let copy = 0; copy < copies; copy += 1) {
       const maxMs = this.#happens(LONG_DELAY_CHANCE)
-        ? LONG_DELAY_MS
-        : SHORT_DELAY_MS;
-      this.#flights = [...this.#flights, {
-        ...letter,
+        ? MAX_LONG_DELAY_MS
+        : MAX_SHORT_DELAY_MS;
+      this.#inFlight = [...this.#inFlight, {
+        ...envelope,
         dueMs: nowMs + this.#draw(maxMs),
       }];
     }
   }
 
   /** Takes the messages that arrive by now. */
-  takeDue(nowMs: number): readonly Letter[] {
-    const due = this.#flights.filter((flight) => flight.dueMs <= nowMs);
-    this.#flights = this.#flights.filter((flight) => flight.dueMs > nowMs);
+  takeDue(nowMs: number): readonly Envelope[] {
+    const due = this.#inFlight.filter((message) => message.dueMs <= nowMs);
+    this.#inFlight = this.#inFlight.filter((message) => message.dueMs > nowMs);
     return due;
   }
 
--- a/src/consensus/handover_test.ts
+++ b/src/consensus/handover_test.ts
@@ -11,8 +11,8 @@
  * long as the successor is slow.
  */
 
-const LOOK_MS = 100;
-const SPAN_MS = 10_000;
+const INTERVAL_MS = 100;
+const DURATION_MS = 10_000;
 
 describe("a leader whose successor does not catch up", () => {
   it("holds back commands for a third of the time at most", () => {
@@ -25,12 +25,12 @@
       ...leader,
       log: replicaLogs.appendEntries(leader.log, [entry]),
     };
-    let held = 0;
-    for (let nowMs = 0; nowMs < SPAN_MS; nowMs += LOOK_MS) {
+    let pausedMs = 0;
+    for (let nowMs = 0; nowMs < DURATION_MS; nowMs += INTERVAL_MS) {
       state = stepReplica.stepReplica(state, { kind: "transfer" }, nowMs).state;
-      if (replicaStates.isHandingOver(state, nowMs)) held += LOOK_MS;
+      if (replicaStates.isHandingOver(state, nowMs)) pausedMs += INTERVAL_MS;
     }
-    chai.expect(held).to.be.greaterThan(0);
-    chai.expect(held).to.be.at.most(SPAN_MS / 3);
+    chai.expect(pausedMs).to.be.greaterThan(0);
+    chai.expect(pausedMs).to.be.at.most(DURATION_MS / 3);
   });
 });
--- a/src/consensus/make_data_folder.ts
+++ b/src/consensus/initialize_data_folder.ts
@@ -22,22 +22,22 @@
  * @returns Ok, or `wrongFolder` if the folder is in use.
  * @throws FailureError `corruptLog` or `wrongFolder`.
  */
-export async function makeDataFolder(
+export async function initializeDataFolder(
   options: DataFolderOptions,
 ): Promise<results.Result<undefined>> {
   const { folder, owner, wallMs, voters } = options;
   const { log, loaded } = await storage.DurableLog.open(folder, owner);
-  const isUsed = loaded.records.length > 0 || loaded.snapshot !== undefined;
-  if (!isUsed) {
+  const isInUse = loaded.records.length > 0 || loaded.snapshot !== undefined;
+  if (!isInUse) {
     const identity = { incarnation: wallMs, isAdmitted: true };
     await log.append(
       voters === undefined
         ? [{ kind: "identity", identity }]
-        : savedRecords.createFounding(voters, wallMs),
+        : savedRecords.createBootstrapRecords(voters, wallMs),
     );
   }
   await log.close();
-  if (!isUsed) return results.createOk(undefined);
+  if (!isInUse) return results.createOk(undefined);
   return results.createFailure(
     "wrongFolder",
     `Cannot make the data folder: ${folder} is in use`,
--- a/src/consensus/large_log_test.ts
+++ b/src/consensus/large_log_test.ts
@@ -3,7 +3,7 @@
 import * as path from "node:path";
 import * as chai from "chai";
 import * as clocks from "../clock/mod.ts";
-import * as makeDataFolder from "./make_data_folder.ts";
+import * as initializeDataFolder from "./initialize_data_folder.ts";
 import * as replicaDrivers from "./replica_driver.ts";
 
 /*
@@ -16,11 +16,11 @@
 const COMMANDS = 80;
 const COMMAND_BYTES = 1024 * 1024;
 /** Largest log with the snapshot beside it, in bytes. */
-const MOST_BYTES = 48 * 1024 * 1024;
-const TRY_MS = 10;
-const ANSWER_MS = 5_000;
+const MAX_FOLDER_BYTES = 48 * 1024 * 1024;
+const RETRY_INTERVAL_MS = 10;
+const PROPOSAL_TIMEOUT_MS = 5_000;
 
-function measureFolder(folder: string): number {
+function measureFolderBytes(folder: string): number {
   return fs.readdirSync(folder)
     .reduce((sum, name) => sum + fs.statSync(path.join(folder, name)).size, 0);
 }
@@ -31,7 +31,7 @@
   after(() => fs.rmSync(folder, { recursive: true, force: true }));
 
   it("is cut by its bytes, long before it holds as many entries", async () => {
-    await makeDataFolder.makeDataFolder({
+    await initializeDataFolder.initializeDataFolder({
       folder,
       owner: "a",
       wallMs: 1,
@@ -49,18 +49,21 @@
       },
       clock,
       dataFolder: folder,
-      machine: { apply: () => 0, save: () => [], restore: () => {} },
+      stateMachine: { apply: () => 0, save: () => [], restore: () => {} },
       snapshotEntries: 4_096,
       send: () => {},
       onFatal: () => {},
     });
     const text = "x".repeat(COMMAND_BYTES);
-    for (let done = 0; done < COMMANDS;) {
-      const result = await driver.propose({ done, text }, ANSWER_MS);
-      if (result.kind === "ok") done += 1;
-      else await clocks.sleep(clock, TRY_MS);
+    for (let committed = 0; committed < COMMANDS;) {
+      const result = await driver.propose(
+        { done: committed, text },
+        PROPOSAL_TIMEOUT_MS,
+      );
+      if (result.kind === "ok") committed += 1;
+      else await clocks.sleep(clock, RETRY_INTERVAL_MS);
     }
     await driver.stop();
-    chai.expect(measureFolder(folder)).to.be.lessThan(MOST_BYTES);
+    chai.expect(measureFolderBytes(folder)).to.be.lessThan(MAX_FOLDER_BYTES);
   });
 });
--- a/src/consensus/leader_fixture_test.ts
+++ b/src/consensus/leader_fixture_test.ts
@@ -21,7 +21,7 @@
   const progress = {
     nextIndex: lastIndex + 1,
     matchIndex: lastIndex,
-    answeredSentAtMs: 0,
+    lastAckedSentAtMs: 0,
     identity: { ...follower.identity, isAdmitted: true },
   };
   return {
@@ -29,9 +29,9 @@
     role: {
       kind: "leader",
       progress: new Map([["b", progress], ["c", progress]]),
-      heartbeatAtMs: 0,
-      firstIndex: lastIndex + 1,
-      sinceMs: 0,
+      nextHeartbeatAtMs: 0,
+      termStartIndex: lastIndex + 1,
+      leaderSinceMs: 0,
     },
   };
 }
