--- a/src/consensus/authority.ts
+++ b/src/consensus/leader_lease.ts
@@ -4,7 +4,7 @@
  * Share of the election timeout for which a leader trusts its quorum's
  * answers. The rest covers clocks whose rates differ, by up to a tenth.
  */
-const AUTHORITY_FRACTION = 0.8;
+const LEASE_FRACTION = 0.8;
 
 /**
  * Stands for a machine that was never suspended, where what is decided is safe
@@ -18,35 +18,36 @@
  *
  * @param state The replica.
  * @param nowMs Monotonic time, in ms.
- * @param wokeAtMs Monotonic time before which the machine may have been
+ * @param resumedAtMs Monotonic time before which the machine may have been
  * suspended, in ms. What it sent before may be older than it seems, and counts
  * no more: a leader that woke after 3 s led on beside the one elected meanwhile.
  * @returns Monotonic ms; 0 for a replica that does not lead, negative infinity
  * for one that was not answered since.
  */
-export function getAuthorityUntilMs(
+export function getLeaseExpiryMs(
   state: replicaStates.ReplicaState,
   nowMs: number,
-  wokeAtMs: number,
+  resumedAtMs: number,
 ): number {
   if (state.role.kind !== "leader") return 0;
-  const answers = replicaStates.listAdmitted(state)
-    .map(({ answeredSentAtMs }) =>
-      answeredSentAtMs >= wokeAtMs ? answeredSentAtMs : Number.NEGATIVE_INFINITY
+  const sendTimes = replicaStates.listAdmittedProgress(state)
+    .map(({ lastAckedSentAtMs: sentAtMs }) =>
+      sentAtMs >= resumedAtMs ? sentAtMs : Number.NEGATIVE_INFINITY
     );
   const own = replicaStates.isVoter(state) ? [nowMs] : [];
-  const newest = [...own, ...answers].sort((a, b) => b - a);
-  const quorumAtMs = newest[replicaStates.getQuorum(state) - 1] ?? 0;
-  return quorumAtMs + state.config.electionTimeoutMs * AUTHORITY_FRACTION;
+  const newestFirst = [...own, ...sendTimes].sort((a, b) => b - a);
+  const quorumSentAtMs = newestFirst[replicaStates.getQuorumSize(state) - 1] ??
+    0;
+  return quorumSentAtMs + state.config.electionTimeoutMs * LEASE_FRACTION;
 }
 
 /**
  * Share of the election timeout in which some answers of a quorum must come, however
  * old, so that a leader goes on to lead. It has no authority by them.
  */
-const ANSWERED_FRACTION = 1.8;
+const CONTACT_TIMEOUTS = 1.8;
 /** Age of what was answered, in election timeouts, from which it counts no more. */
-const OLD_TIMEOUTS = 6;
+const MAX_ECHO_AGE_TIMEOUTS = 6;
 
 /**
  * Tells whether a leader is answered, though late. One that gave up where answers
@@ -57,18 +58,23 @@
  * @param nowMs Monotonic time, in ms.
  * @returns Whether a quorum's answers go on to come.
  */
-export function isAnswered(
+export function hasQuorumContact(
   state: replicaStates.ReplicaState,
   nowMs: number,
 ): boolean {
   const { electionTimeoutMs } = state.config;
-  const answering = replicaStates.listAdmitted(state).filter(
-    ({ answeredAtMs = Number.NEGATIVE_INFINITY, answeredSentAtMs }) =>
-      nowMs - answeredAtMs < electionTimeoutMs * ANSWERED_FRACTION &&
-      nowMs - answeredSentAtMs < electionTimeoutMs * OLD_TIMEOUTS,
+  const inContact = replicaStates.listAdmittedProgress(state).filter(
+    (
+      {
+        lastReplyAtMs: replyAtMs = Number.NEGATIVE_INFINITY,
+        lastAckedSentAtMs: sentAtMs,
+      },
+    ) =>
+      nowMs - replyAtMs < electionTimeoutMs * CONTACT_TIMEOUTS &&
+      nowMs - sentAtMs < electionTimeoutMs * MAX_ECHO_AGE_TIMEOUTS,
   );
   const own = replicaStates.isVoter(state) ? 1 : 0;
-  return answering.length + own >= replicaStates.getQuorum(state);
+  return inContact.length + own >= replicaStates.getQuorumSize(state);
 }
 
 /**
@@ -77,16 +83,16 @@
  *
  * @param state The replica.
  * @param nowMs Monotonic time, in ms.
- * @param wokeAtMs Monotonic time before which the machine may have been
+ * @param resumedAtMs Monotonic time before which the machine may have been
  * suspended, in ms.
  * @returns Whether it may.
  */
 export function hasAuthority(
   state: replicaStates.ReplicaState,
   nowMs: number,
-  wokeAtMs: number,
+  resumedAtMs: number,
 ): boolean {
   if (state.role.kind !== "leader") return false;
-  if (state.commitIndex < state.role.firstIndex) return false;
-  return nowMs < getAuthorityUntilMs(state, nowMs, wokeAtMs);
+  if (state.commitIndex < state.role.termStartIndex) return false;
+  return nowMs < getLeaseExpiryMs(state, nowMs, resumedAtMs);
 }
--- a/src/consensus/leader_watch_test.ts
+++ b/src/consensus/leader_monitor_test.ts
@@ -11,16 +11,16 @@
       role: { kind: "preCandidate", votes: new Set(["a"]) },
     };
     const recorder = new fixtures.NoticeRecorder(candidate);
-    recorder.clock.extendBy(1_500);
-    recorder.answerVote(candidate, {
+    recorder.clock.advance(1_500);
+    recorder.receiveVoteReply(candidate, {
       isPreVote: true,
       isGranted: false,
       refusal: "notAdmitted",
     });
-    recorder.clock.extendBy(499);
+    recorder.clock.advance(499);
     recorder.observeLeader(candidate);
-    chai.expect(recorder.list("leaderless")).to.deep.equal([]);
-    recorder.clock.extendBy(1);
+    chai.expect(recorder.listByKind("leaderless")).to.deep.equal([]);
+    recorder.clock.advance(1);
     recorder.observeLeader(candidate, 70);
     recorder.observeLeader(candidate, 70);
     const expected: notices.ReplicaNotice = {
@@ -47,11 +47,11 @@
       ],
       writingMs: 70,
     };
-    chai.expect(recorder.list("leaderless")).to.deep.equal([expected]);
-    recorder.answerVote(candidate, { isPreVote: false, isGranted: true });
-    recorder.clock.extendBy(2_000);
+    chai.expect(recorder.listByKind("leaderless")).to.deep.equal([expected]);
+    recorder.receiveVoteReply(candidate, { isPreVote: false, isGranted: true });
+    recorder.clock.advance(2_000);
     recorder.observeLeader(candidate);
-    const [, second] = recorder.list("leaderless");
+    const [, second] = recorder.listByKind("leaderless");
     chai.expect(second?.asked[0]?.answer).to.deep.equal({
       kind: "granted",
       isPreVote: false,
@@ -62,49 +62,53 @@
   it("tells anew from the time at which a leader was known last", () => {
     const follower = fixtures.createFollower(fixtures.ADMITTED);
     const recorder = new fixtures.NoticeRecorder(follower);
-    recorder.clock.extendBy(1_900);
-    const heard = { ...follower, heardAtMs: recorder.clock.getMonotonicMs() };
-    recorder.observeLeader(heard);
-    recorder.clock.extendBy(1_900);
-    recorder.observeLeader(heard);
-    chai.expect(recorder.list("leaderless")).to.deep.equal([]);
-    recorder.clock.extendBy(100);
-    recorder.observeLeader(heard);
-    chai.expect(recorder.list("leaderless")).to.have.length(1);
+    recorder.clock.advance(1_900);
+    const withContact = {
+      ...follower,
+      leaderContactAtMs: recorder.clock.getMonotonicMs(),
+    };
+    recorder.observeLeader(withContact);
+    recorder.clock.advance(1_900);
+    recorder.observeLeader(withContact);
+    chai.expect(recorder.listByKind("leaderless")).to.deep.equal([]);
+    recorder.clock.advance(100);
+    recorder.observeLeader(withContact);
+    chai.expect(recorder.listByKind("leaderless")).to.have.length(1);
   });
 
   it("tells of a leader that gains no authority, but not of one that has it", () => {
     const leader = fixtures.createLeader();
     const recorder = new fixtures.NoticeRecorder(leader);
-    recorder.clock.extendBy(5_000);
+    recorder.clock.advance(5_000);
     recorder.observe(leader, true);
-    recorder.clock.extendBy(1_999);
+    recorder.clock.advance(1_999);
     recorder.observe(leader);
-    chai.expect(recorder.list("leaderless")).to.deep.equal([]);
-    recorder.clock.extendBy(1);
+    chai.expect(recorder.listByKind("leaderless")).to.deep.equal([]);
+    recorder.clock.advance(1);
     recorder.observe(leader);
-    chai.expect(recorder.list("leaderless").map(({ role }) => role)).to.deep
+    chai.expect(recorder.listByKind("leaderless").map(({ role }) => role)).to
+      .deep
       .equal([
         "leader",
       ]);
   });
 
   it("tells ever more seldom of a replica that votes nowhere", () => {
-    const spare: replicaStates.ReplicaState = {
-      ...fixtures.createFollower(fixtures.EMPTIED),
+    const nonVoter: replicaStates.ReplicaState = {
+      ...fixtures.createFollower(fixtures.UNADMITTED),
       config: { ...leaderFixtures.CONFIG, voters: [] },
     };
-    const recorder = new fixtures.NoticeRecorder(spare);
+    const recorder = new fixtures.NoticeRecorder(nonVoter);
     const minutes = 10;
     for (let second = 0; second < minutes * 60; second += 1) {
-      recorder.clock.extendBy(1_000);
-      recorder.observeLeader(spare);
+      recorder.clock.advance(1_000);
+      recorder.observeLeader(nonVoter);
     }
-    const told = recorder.list("leaderless").map(({ sinceMs }) =>
+    const noticeSeconds = recorder.listByKind("leaderless").map(({ sinceMs }) =>
       sinceMs / 1_000
     );
-    chai.expect(told.slice(0, 6)).to.deep.equal([2, 4, 8, 16, 32, 64]);
-    chai.expect(told.slice(6)).to.deep.equal(
+    chai.expect(noticeSeconds.slice(0, 6)).to.deep.equal([2, 4, 8, 16, 32, 64]);
+    chai.expect(noticeSeconds.slice(6)).to.deep.equal(
       [124, 184, 244, 304, 364, 424, 484, 544],
     );
   });
--- a/src/consensus/list_machine_test.ts
+++ b/src/consensus/list_state_machine_test.ts
@@ -2,7 +2,7 @@
  * Keeps the commands that tests propose, which are texts; each is a part of its
  * state.
  */
-export class ListMachine {
+export class ListStateMachine {
   values: readonly unknown[] = [];
 
   apply(command: unknown): number {
--- a/src/consensus/mod.ts
+++ b/src/consensus/mod.ts
@@ -9,9 +9,9 @@
  * ```
  * @module
  */
-export * from "./authority.ts";
-export * from "./machine.ts";
-export * from "./make_data_folder.ts";
+export * from "./leader_lease.ts";
+export * from "./state_machine.ts";
+export * from "./initialize_data_folder.ts";
 export * from "./message.ts";
 export * from "./replica_driver.ts";
 export * from "./replica_log.ts";
--- a/src/consensus/non_voter_test.ts
+++ b/src/consensus/non_voter_test.ts
@@ -11,7 +11,7 @@
 describe("a replica that does not vote", () => {
   it("names no leader any more, where it does not vote, once that one is silent", () => {
     const config = { ...leaderFixtures.CONFIG, id: "d" };
-    const heard = stepReplica.stepReplica(
+    const follower = stepReplica.stepReplica(
       stepReplica.createReplica(config, stepReplica.EMPTY_REPLICA, 0),
       {
         kind: "message",
@@ -29,9 +29,13 @@
       },
       10,
     ).state;
-    chai.expect(heard.role).to.deep.equal({ kind: "follower", leader: "a" });
-    const laterMs = heard.electionAtMs;
-    const { state } = stepReplica.stepReplica(heard, { kind: "tick" }, laterMs);
+    chai.expect(follower.role).to.deep.equal({ kind: "follower", leader: "a" });
+    const laterMs = follower.electionAtMs;
+    const { state } = stepReplica.stepReplica(
+      follower,
+      { kind: "tick" },
+      laterMs,
+    );
     chai.expect(state.role).to.deep.equal({ kind: "follower" });
   });
 });
--- a/src/consensus/replica_driver.ts
+++ b/src/consensus/replica_driver.ts
@@ -2,16 +2,16 @@
 import * as csp from "../csp/mod.ts";
 import type * as results from "../results/mod.ts";
 import type * as storage from "../storage/mod.ts";
-import * as appliedMachines from "./_applied_machine.ts";
-import * as noticeTellers from "./_notice_teller.ts";
+import * as appliedMachines from "./_log_applier.ts";
+import * as noticeTellers from "./_notice_reporter.ts";
 import * as driverEvents from "./_driver_event.ts";
 import * as durableWriters from "./_durable_writer.ts";
-import * as logCutters from "./_log_cutter.ts";
+import * as logCutters from "./_log_compactor.ts";
 import * as openReplicas from "./_open_replica.ts";
 import * as savedRecords from "./_saved_record.ts";
 import * as proposalTables from "./_proposals.ts";
 import * as tickTimers from "./_tick_timer.ts";
-import * as authorities from "./authority.ts";
+import * as leaderLeases from "./leader_lease.ts";
 import type * as messages from "./message.ts";
 import * as replicaLogs from "./replica_log.ts";
 import type * as replicaOptions from "./replica_options.ts";
@@ -22,7 +22,7 @@
 
 const INBOX_CAPACITY = 8_192;
 /** Between two looks whether a leader is known, in ms. */
-const WATCH_MS = 1_000;
+const LEADER_CHECK_MS = 1_000;
 
 /** Runs one replica: its disk, its messages and its timer. */
 export class ReplicaDriver {
@@ -32,13 +32,13 @@
   readonly #proposals = new proposalTables.ProposalTable();
   readonly #timer: tickTimers.TickTimer;
   #state: replicaStates.ReplicaState;
-  readonly #applied: appliedMachines.AppliedMachine;
+  readonly #applied: appliedMachines.LogApplier;
   #isStopped = false;
-  #ended: Promise<void> = Promise.resolve();
-  readonly #exchange: snapshotTransfers.SnapshotExchange;
-  readonly #cutter: logCutters.LogCutter;
-  readonly #teller: noticeTellers.NoticeTeller;
-  readonly #suspensions: clocks.SuspensionWatch;
+  #running: Promise<void> = Promise.resolve();
+  readonly #snapshots: snapshotTransfers.SnapshotExchange;
+  readonly #compactor: logCutters.LogCompactor;
+  readonly #notices: noticeTellers.NoticeReporter;
+  readonly #suspensions: clocks.SuspensionDetector;
 
   private constructor(
     options: replicaOptions.ReplicaDriverOptions,
@@ -46,29 +46,29 @@
     state: replicaStates.ReplicaState,
   ) {
     this.#options = options;
-    this.#suspensions = new clocks.SuspensionWatch(options.clock);
+    this.#suspensions = new clocks.SuspensionDetector(options.clock);
     this.#writer = new durableWriters.DurableWriter(log, options.clock);
     this.#state = state;
-    this.#cutter = new logCutters.LogCutter({
+    this.#compactor = new logCutters.LogCompactor({
       ...options,
       writer: this.#writer,
       snapshotIndex: state.log.snapshotIndex,
     });
-    this.#exchange = new snapshotTransfers.SnapshotExchange({
+    this.#snapshots = new snapshotTransfers.SnapshotExchange({
       clock: options.clock,
       send: options.send,
       createSnapshot: () => this.#applied.createSnapshot(this.#state.log),
       onNotice: options.onNotice,
     });
     this.#timer = new tickTimers.TickTimer(options.clock, () => {
-      this.#offer({ kind: "tick" });
+      this.#enqueue({ kind: "tick" });
     });
-    this.#applied = new appliedMachines.AppliedMachine(
-      options.machine,
+    this.#applied = new appliedMachines.LogApplier(
+      options.stateMachine,
       this.#proposals,
       state.log,
     );
-    this.#teller = new noticeTellers.NoticeTeller(options, state);
+    this.#notices = new noticeTellers.NoticeReporter(options, state);
   }
 
   /**
@@ -93,17 +93,17 @@
   hasAuthority(): boolean {
     const { role } = this.#state;
     if (role.kind !== "leader") return false;
-    if (this.getAppliedIndex() < role.firstIndex) return false;
+    if (this.getAppliedIndex() < role.termStartIndex) return false;
     const nowMs = this.#options.clock.getMonotonicMs();
-    const wokeAtMs = this.#suspensions.getWokeAtMs();
-    return authorities.hasAuthority(this.#state, nowMs, wokeAtMs);
+    const resumedAtMs = this.#suspensions.getResumedAtMs();
+    return leaderLeases.hasAuthority(this.#state, nowMs, resumedAtMs);
   }
 
   /** Monotonic ms until which this replica surely leads. */
-  getAuthorityUntilMs(): number {
+  getLeaseExpiryMs(): number {
     const nowMs = this.#options.clock.getMonotonicMs();
-    const wokeAtMs = this.#suspensions.getWokeAtMs();
-    return authorities.getAuthorityUntilMs(this.#state, nowMs, wokeAtMs);
+    const resumedAtMs = this.#suspensions.getResumedAtMs();
+    return leaderLeases.getLeaseExpiryMs(this.#state, nowMs, resumedAtMs);
   }
 
   /** The term fences orders of the leader. */
@@ -113,7 +113,7 @@
 
   /** Index of the last entry that the machine holds. */
   getAppliedIndex(): number {
-    return this.#applied.getIndex();
+    return this.#applied.getAppliedIndex();
   }
 
   /** Id of the leader, as far as this replica knows. */
@@ -129,7 +129,7 @@
   /** What explains that this replica leads, or that it does not. */
   getHealth(): replicaStatuses.ReplicaHealth {
     const writingMs = this.#writer.getWritingMs();
-    return this.#teller.describe(this.#state, this.hasAuthority(), writingMs);
+    return this.#notices.describe(this.#state, this.hasAuthority(), writingMs);
   }
 
   /** Ids of the voters, as this replica's log names them. */
@@ -139,19 +139,23 @@
 
   /** Names the replicas to feed beside the voters, should this replica lead. */
   setLearners(learners: readonly string[]): void {
-    this.#offer({ kind: "setLearners", learners });
+    this.#enqueue({ kind: "setLearners", learners });
   }
 
   /** Asks to add or remove one voter; see `listVoters` for what came of it. */
   changeVoters(voters: readonly string[]): void {
-    this.#offer({ kind: "changeVoters", voters });
+    this.#enqueue({ kind: "changeVoters", voters });
   }
 
   /** Gives a message from another replica; dropped when the inbox is full. */
   receive(from: string, message: messages.DriverMessage): void {
-    const whole = this.#exchange.take(from, message, this.#state.term);
-    if (whole === undefined) return;
-    this.#offer({ kind: "message", from, message: whole });
+    const complete = this.#snapshots.handleMessage(
+      from,
+      message,
+      this.#state.term,
+    );
+    if (complete === undefined) return;
+    this.#enqueue({ kind: "message", from, message: complete });
   }
 
   /**
@@ -178,8 +182,8 @@
    *
    * @param to Id of the only follower that may take it; any unless given.
    */
-  transfer(to?: string): void {
-    this.#offer({ kind: "transfer", to });
+  transferLeadership(to?: string): void {
+    this.#enqueue({ kind: "transfer", to });
   }
 
   /** Stops once the write under way has ended; what was synced stays. */
@@ -188,67 +192,69 @@
     this.#timer.stop();
     this.#inbox.close();
     this.#writer.stop();
-    await this.#ended;
-    await this.#cutter.settle();
+    await this.#running;
+    await this.#compactor.waitUntilIdle();
     await this.#writer.close();
   }
 
   /** Gives an event to the next round; dropped when the inbox is full. */
-  #offer(event: replicaStates.ReplicaEvent): void {
+  #enqueue(event: replicaStates.ReplicaEvent): void {
     this.#inbox.offer({ kind: "replica", event });
   }
 
   #start(): void {
-    this.#ended = csp.runProcess(() => this.#run(), this.#options.onFatal);
-    this.#setTick();
-    this.#watchLeader();
+    this.#running = csp.runProcess(() => this.#run(), this.#options.onFatal);
+    this.#scheduleTick();
+    this.#checkLeader();
   }
 
   /** Looks for a leader, also while a round waits for its write. */
-  #watchLeader(): void {
+  #checkLeader(): void {
     if (this.#isStopped) return;
     const writingMs = this.#writer.getWritingMs();
-    this.#teller.observeLeader(this.#state, this.hasAuthority(), writingMs);
-    this.#options.clock.startTimer(WATCH_MS, () => this.#watchLeader());
+    this.#notices.observeLeader(this.#state, this.hasAuthority(), writingMs);
+    this.#options.clock.startTimer(LEADER_CHECK_MS, () => this.#checkLeader());
   }
 
-  #setTick(): void {
+  #scheduleTick(): void {
     const { role, electionAtMs } = this.#state;
     if (this.#isStopped) return;
-    this.#timer.set(role.kind === "leader" ? role.heartbeatAtMs : electionAtMs);
+    this.#timer.set(
+      role.kind === "leader" ? role.nextHeartbeatAtMs : electionAtMs,
+    );
   }
 
   *#run(): csp.Step<void> {
     for (;;) {
       const first = yield* this.#inbox.take();
       if (first === csp.CLOSED) return;
-      const round = driverEvents.collectRound(this.#inbox, first);
-      const effects = this.#stepRound(round);
-      yield* this.#saveEffects(effects);
+      const batch = driverEvents.collectBatch(this.#inbox, first);
+      const effects = this.#processBatch(batch);
+      yield* this.#persistEffects(effects);
       if (this.#isStopped) return;
-      for (const effect of effects) this.#runEffect(effect);
-      this.#state = yield* this.#cutter.cut(
+      for (const effect of effects) this.#executeEffect(effect);
+      this.#state = yield* this.#compactor.compact(
         this.#state,
-        this.#exchange.findNeededIndex(this.#state),
+        this.#snapshots.findNeededIndex(this.#state),
       );
-      this.#cutter.startDraft(this.#applied, this.#state.log);
-      this.#teller.observe(this.#state, this.hasAuthority());
-      this.#setTick();
+      this.#compactor.startSnapshot(this.#applied, this.#state.log);
+      this.#notices.observe(this.#state, this.hasAuthority());
+      this.#scheduleTick();
     }
   }
 
-  #stepRound(
-    round: readonly driverEvents.DriverEvent[],
+  #processBatch(
+    batch: readonly driverEvents.DriverEvent[],
   ): readonly replicaStates.Effect[] {
-    const proposals = round.filter((event) => event.kind === "proposal");
-    if (this.#state.role.kind !== "leader") this.#exchange.drop();
-    const effects = round.flatMap((event) =>
+    const proposals = batch.filter((event) => event.kind === "proposal");
+    if (this.#state.role.kind !== "leader") this.#snapshots.pause();
+    const effects = batch.flatMap((event) =>
       event.kind === "replica" ? this.#step(event.event) : []
     );
-    return [...effects, ...this.#stepProposals(proposals)];
+    return [...effects, ...this.#processProposals(proposals)];
   }
 
-  #stepProposals(
+  #processProposals(
     proposals: readonly driverEvents.Proposal[],
   ): readonly replicaStates.Effect[] {
     if (proposals.length === 0) return [];
@@ -257,7 +263,7 @@
     if (
       role.kind !== "leader" || replicaStates.isHandingOver(this.#state, nowMs)
     ) {
-      proposalTables.refuseProposals(proposals, this.getLeader());
+      proposalTables.rejectProposals(proposals, this.getLeader());
       return [];
     }
     const firstIndex = replicaLogs.getLastIndex(this.#state.log) + 1;
@@ -269,24 +275,24 @@
   }
 
   #step(event: replicaStates.ReplicaEvent): readonly replicaStates.Effect[] {
-    this.#teller.noteEvent(this.#state, event);
+    this.#notices.recordEvent(this.#state, event);
     const nowMs = this.#options.clock.getMonotonicMs();
     const transition = stepReplica.stepReplica(this.#state, event, nowMs);
     this.#state = transition.state;
     return transition.effects;
   }
 
-  *#saveEffects(effects: readonly replicaStates.Effect[]): csp.Step<void> {
-    const restore = effects.findLastIndex((effect) =>
+  *#persistEffects(effects: readonly replicaStates.Effect[]): csp.Step<void> {
+    const restoreIndex = effects.findLastIndex((effect) =>
       effect.kind === "restore"
     );
-    const later = effects.slice(restore + 1);
-    const last = effects[restore];
-    if (last?.kind === "restore") {
-      const isAdmittedLater = later.some(({ kind }) => kind === "saveIdentity");
-      yield* this.#saveRestored(last.snapshot, isAdmittedLater);
+    const rest = effects.slice(restoreIndex + 1);
+    const restoreEffect = effects[restoreIndex];
+    if (restoreEffect?.kind === "restore") {
+      const isAdmittedLater = rest.some(({ kind }) => kind === "saveIdentity");
+      yield* this.#persistSnapshot(restoreEffect.snapshot, isAdmittedLater);
     }
-    const records = later.flatMap(savedRecords.toRecords);
+    const records = rest.flatMap(savedRecords.toRecords);
     if (records.length > 0) yield* this.#writer.append(records);
   }
 
@@ -295,7 +301,7 @@
    * what follows it, the disk must not say so before it holds that too: with power
    * lost in between, it would vote away what its former self vouched for.
    */
-  *#saveRestored(
+  *#persistSnapshot(
     snapshot: messages.Snapshot,
     isAdmittedLater: boolean,
   ): csp.Step<void> {
@@ -303,7 +309,7 @@
     const startMs = clock.getMonotonicMs();
     const { identity } = this.#state;
     const isAdmitted = identity.isAdmitted && !isAdmittedLater;
-    yield* this.#cutter.restore(snapshot, {
+    yield* this.#compactor.restore(snapshot, {
       ...this.#state,
       identity: { ...identity, isAdmitted },
     });
@@ -315,7 +321,7 @@
     });
   }
 
-  #runEffect(effect: replicaStates.Effect): void {
+  #executeEffect(effect: replicaStates.Effect): void {
     switch (effect.kind) {
       case "saveVote":
       case "saveIdentity":
@@ -326,10 +332,10 @@
       case "send":
         return this.#options.send(effect.to, effect.message);
       case "sendSnapshot":
-        return this.#exchange.send(effect.to, this.#state.term);
+        return this.#snapshots.send(effect.to, this.#state.term);
       case "commit":
         for (const entry of effect.entries) this.#applied.apply(entry);
-        this.#cutter.add(effect.entries);
+        this.#compactor.recordApplied(effect.entries);
     }
   }
 }
--- a/src/consensus/replica_driver_test.ts
+++ b/src/consensus/replica_driver_test.ts
@@ -3,20 +3,20 @@
 import * as path from "node:path";
 import * as chai from "chai";
 import * as clocks from "../clock/mod.ts";
-import * as listMachines from "./list_machine_test.ts";
-import * as makeDataFolder from "./make_data_folder.ts";
+import * as listStateMachines from "./list_state_machine_test.ts";
+import * as initializeDataFolder from "./initialize_data_folder.ts";
 import * as openReplicas from "./_open_replica.ts";
 import type * as notices from "./replica_notice.ts";
 import * as replicaDrivers from "./replica_driver.ts";
 
 describe("replica driver", () => {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), "hoistscale-driver-"));
-  let fatal: readonly unknown[] = [];
+  let fatalErrors: readonly unknown[] = [];
 
   after(() => fs.rmSync(folder, { recursive: true, force: true }));
 
   function openDriver(
-    machine: listMachines.ListMachine,
+    machine: listStateMachines.ListStateMachine,
     dataFolder = folder,
   ): Promise<replicaDrivers.ReplicaDriver> {
     return replicaDrivers.ReplicaDriver.open({
@@ -30,16 +30,16 @@
       },
       clock: new clocks.SystemClock(),
       dataFolder,
-      machine,
+      stateMachine: machine,
       snapshotEntries: 16,
       send: () => {},
       onFatal: (error) => {
-        fatal = [...fatal, error];
+        fatalErrors = [...fatalErrors, error];
       },
     });
   }
 
-  async function proposeUntilDone(
+  async function proposeWithRetry(
     driver: replicaDrivers.ReplicaDriver,
     command: string,
   ): Promise<void> {
@@ -51,8 +51,10 @@
   }
 
   it("does not lead from a folder that was not made for a first start", async () => {
-    const empty = fs.mkdtempSync(path.join(os.tmpdir(), "hoistscale-empty-"));
-    const machine = new listMachines.ListMachine();
+    const emptyFolder = fs.mkdtempSync(
+      path.join(os.tmpdir(), "hoistscale-empty-"),
+    );
+    const machine = new listStateMachines.ListStateMachine();
     const driver = await replicaDrivers.ReplicaDriver.open({
       config: {
         id: "a",
@@ -63,8 +65,8 @@
         seed: 1,
       },
       clock: new clocks.SystemClock(),
-      dataFolder: empty,
-      machine,
+      dataFolder: emptyFolder,
+      stateMachine: machine,
       snapshotEntries: 16,
       send: () => {},
       onFatal: () => {},
@@ -72,19 +74,21 @@
     await clocks.sleep(new clocks.SystemClock(), 100);
     chai.expect(driver.getStatus().role).to.equal("follower");
     await driver.stop();
-    fs.rmSync(empty, { recursive: true, force: true });
+    fs.rmSync(emptyFolder, { recursive: true, force: true });
   });
 
   it("tells at its opening what its disk held, with the bytes that were cut off", async () => {
-    const own = fs.mkdtempSync(path.join(os.tmpdir(), "hoistscale-opened-"));
-    await makeDataFolder.makeDataFolder({
-      folder: own,
+    const testFolder = fs.mkdtempSync(
+      path.join(os.tmpdir(), "hoistscale-opened-"),
+    );
+    await initializeDataFolder.initializeDataFolder({
+      folder: testFolder,
       owner: "a",
       wallMs: 5,
       voters: ["a", "b"],
     });
-    fs.appendFileSync(path.join(own, "log.0"), Buffer.from([1, 2, 3]));
-    const told: notices.ReplicaNotice[] = [];
+    fs.appendFileSync(path.join(testFolder, "log.0"), Buffer.from([1, 2, 3]));
+    const reported: notices.ReplicaNotice[] = [];
     const { log } = await openReplicas.openReplica({
       config: {
         id: "a",
@@ -95,15 +99,15 @@
         seed: 1,
       },
       clock: new clocks.FakeClock(),
-      dataFolder: own,
-      machine: new listMachines.ListMachine(),
+      dataFolder: testFolder,
+      stateMachine: new listStateMachines.ListStateMachine(),
       snapshotEntries: 16,
       send: () => {},
-      onNotice: (notice) => told.push(notice),
+      onNotice: (notice) => reported.push(notice),
       onFatal: () => {},
     });
     await log.close();
-    chai.expect(told).to.deep.equal([{
+    chai.expect(reported).to.deep.equal([{
       kind: "opened",
       id: "a",
       identity: { incarnation: 5, isAdmitted: true },
@@ -115,13 +119,15 @@
       lastTerm: 1,
       tornBytes: 3,
     }]);
-    fs.rmSync(own, { recursive: true, force: true });
+    fs.rmSync(testFolder, { recursive: true, force: true });
   });
 
   it("tells that it knows no leader, without waiting for a round", async () => {
-    const own = fs.mkdtempSync(path.join(os.tmpdir(), "hoistscale-alone-"));
+    const testFolder = fs.mkdtempSync(
+      path.join(os.tmpdir(), "hoistscale-alone-"),
+    );
     const clock = new clocks.FakeClock();
-    const told: string[] = [];
+    const reportedKinds: string[] = [];
     const driver = await replicaDrivers.ReplicaDriver.open({
       config: {
         id: "a",
@@ -132,15 +138,15 @@
         seed: 1,
       },
       clock,
-      dataFolder: own,
-      machine: new listMachines.ListMachine(),
+      dataFolder: testFolder,
+      stateMachine: new listStateMachines.ListStateMachine(),
       snapshotEntries: 16,
       send: () => {},
-      onNotice: (notice) => told.push(notice.kind),
+      onNotice: (notice) => reportedKinds.push(notice.kind),
       onFatal: () => {},
     });
-    clock.extendBy(6_000);
-    chai.expect(told).to.deep.equal(
+    clock.advance(6_000);
+    chai.expect(reportedKinds).to.deep.equal(
       ["opened", "leaderless", "leaderless", "leaderless"],
     );
     chai.expect(driver.getHealth()).to.deep.equal({
@@ -157,16 +163,20 @@
       followers: undefined,
     });
     await driver.stop();
-    fs.rmSync(own, { recursive: true, force: true });
+    fs.rmSync(testFolder, { recursive: true, force: true });
   });
 
   it("keeps every accepted command over stops under load, with snapshots in between", async () => {
-    await makeDataFolder.makeDataFolder({ folder, owner: "a", wallMs: 1 });
+    await initializeDataFolder.initializeDataFolder({
+      folder,
+      owner: "a",
+      wallMs: 1,
+    });
     const accepted: string[] = [];
     for (let round = 0; round < 8; round += 1) {
-      const machine = new listMachines.ListMachine();
+      const machine = new listStateMachines.ListStateMachine();
       const driver = await openDriver(machine);
-      await proposeUntilDone(driver, `first ${round}`);
+      await proposeWithRetry(driver, `first ${round}`);
       accepted.push(`first ${round}`);
       const burst = Array.from(
         { length: 30 },
@@ -181,29 +191,35 @@
       await driver.stop();
       await Promise.all(proposals);
     }
-    const machine = new listMachines.ListMachine();
+    const machine = new listStateMachines.ListStateMachine();
     const driver = await openDriver(machine);
-    await proposeUntilDone(driver, "last");
+    await proposeWithRetry(driver, "last");
     await driver.stop();
     chai.expect(machine.values).to.include.members(accepted);
-    chai.expect(fatal).to.deep.equal([]);
+    chai.expect(fatalErrors).to.deep.equal([]);
   });
 
   it("has no authority before its machine holds what was accepted before", async () => {
-    const own = fs.mkdtempSync(path.join(os.tmpdir(), "hoistscale-authority-"));
-    await makeDataFolder.makeDataFolder({ folder: own, owner: "a", wallMs: 1 });
+    const testFolder = fs.mkdtempSync(
+      path.join(os.tmpdir(), "hoistscale-authority-"),
+    );
+    await initializeDataFolder.initializeDataFolder({
+      folder: testFolder,
+      owner: "a",
+      wallMs: 1,
+    });
     let accepted = 0;
     for (let round = 0; round < 5; round += 1) {
-      const machine = new listMachines.ListMachine();
-      const driver = await openDriver(machine, own);
+      const machine = new listStateMachines.ListStateMachine();
+      const driver = await openDriver(machine, testFolder);
       while (!driver.hasAuthority()) {
         await new Promise((resolve) => setImmediate(resolve));
       }
       chai.expect(machine.values.length).to.equal(accepted);
-      await proposeUntilDone(driver, `round ${round}`);
+      await proposeWithRetry(driver, `round ${round}`);
       accepted += 1;
       await driver.stop();
     }
-    fs.rmSync(own, { recursive: true, force: true });
+    fs.rmSync(testFolder, { recursive: true, force: true });
   });
 });
--- a/src/consensus/replica_log.ts
+++ b/src/consensus/replica_log.ts
@@ -116,7 +116,7 @@
   const snapshotTerm = getTermAt(log, index);
   if (snapshotTerm === undefined) return log;
   const entries = log.entries.slice(index - log.snapshotIndex);
-  const covered = replicaSets.findReplicaSet(log, index)?.index ?? 0;
-  const sets = log.replicaSets.filter((set) => set.index >= covered);
+  const setIndex = replicaSets.findReplicaSet(log, index)?.index ?? 0;
+  const sets = log.replicaSets.filter((set) => set.index >= setIndex);
   return { snapshotIndex: index, snapshotTerm, entries, replicaSets: sets };
 }
--- a/src/consensus/replica_notice.ts
+++ b/src/consensus/replica_notice.ts
@@ -12,7 +12,7 @@
 }
 
 /** A follower that does not count in a quorum, as its leader sees it. */
-export type FeedingFollower =
+export type UnadmittedFollower =
   /** It has not answered since this leader began to feed it. */
   | {
     readonly kind: "unheard";
@@ -51,7 +51,7 @@
   };
 
 /** A voter and its last answer. */
-export interface AskedVoter {
+export interface PolledVoter {
   readonly id: string;
   readonly answer: VoteAnswer;
 }
@@ -119,7 +119,7 @@
     readonly kind: "feeding";
     readonly term: number;
     readonly lastIndex: number;
-    readonly followers: readonly FeedingFollower[];
+    readonly followers: readonly UnadmittedFollower[];
   }
   /** Told at intervals while a replica knows no leader that may act. */
   | {
@@ -133,7 +133,7 @@
     readonly lastTerm: number;
     readonly commitIndex: number;
     readonly set: replicaStatuses.VoterSet;
-    readonly asked: readonly AskedVoter[];
+    readonly asked: readonly PolledVoter[];
     /** How long the write under way has lasted, in ms; 0 for none. */
     readonly writingMs: number;
   }
@@ -160,4 +160,4 @@
   };
 
 /** Takes notices; it must not wait. */
-export type TakeNotice = (notice: ReplicaNotice) => void;
+export type NoticeHandler = (notice: ReplicaNotice) => void;
--- a/src/consensus/replica_set.ts
+++ b/src/consensus/replica_set.ts
@@ -50,7 +50,7 @@
  * @param after Voters after it.
  * @returns Whether the change is a safe single step.
  */
-export function isSingleStep(
+export function isSingleVoterChange(
   before: readonly string[],
   after: readonly string[],
 ): boolean {
--- a/src/consensus/replica_state.ts
+++ b/src/consensus/replica_state.ts
@@ -6,7 +6,7 @@
  * Entries by which a replica may lag and still be sent each new one at once; it
  * lacks what is under way, no more. One that lags more is fed first.
  */
-export const NEAR_ENTRIES = 96;
+export const MAX_CAUGHT_UP_LAG_ENTRIES = 96;
 
 /** What does not change while a replica runs. */
 export interface ReplicaConfig {
@@ -28,17 +28,17 @@
   readonly nextIndex: number;
   readonly matchIndex: number;
   /** Leader's clock when it sent the last message that was answered, in ms. */
-  readonly answeredSentAtMs: number;
+  readonly lastAckedSentAtMs: number;
   /** Leader's clock when its last answer came, in ms. */
-  readonly answeredAtMs?: number;
+  readonly lastReplyAtMs?: number;
   /** Leader's clock when it last went back in what it sends, in ms. */
   readonly rewoundAtMs?: number;
   /** Leader's clock when it first answered, or last confirmed more, in ms. */
-  readonly movedAtMs?: number;
+  readonly lastProgressAtMs?: number;
   /** Entries of the next message to it while it is fed. */
-  readonly feedEntries?: number;
+  readonly catchUpBatchEntries?: number;
   /** Entries that it lacked when it last confirmed more while it was fed. */
-  readonly feedLag?: number;
+  readonly catchUpLagEntries?: number;
   readonly identity: messages.ReplicaIdentity;
 }
 
@@ -50,10 +50,10 @@
   | {
     readonly kind: "leader";
     readonly progress: ReadonlyMap<string, Progress>;
-    readonly heartbeatAtMs: number;
+    readonly nextHeartbeatAtMs: number;
     /** Index of the first entry of its own term. */
-    readonly firstIndex: number;
-    readonly sinceMs: number;
+    readonly termStartIndex: number;
+    readonly leaderSinceMs: number;
     /** Until when nothing is proposed, so that a successor catches up, in ms. */
     readonly handoverUntilMs?: number;
   };
@@ -72,17 +72,17 @@
   /** When to ask to lead unless a leader is heard, in ms. */
   readonly electionAtMs: number;
   /** When a leader was last heard, in ms; a vote is refused soon after. */
-  readonly heardAtMs: number;
+  readonly leaderContactAtMs: number;
   /** How late the leader of a term is heard at the worst lately. */
-  readonly lateness: Lateness;
+  readonly heartbeatGap: HeartbeatGap;
   /** Election delays drawn so far. */
-  readonly draws: number;
+  readonly electionDelayCount: number;
   /** Leader of the term in which this replica was started, where its log tells. */
-  readonly former: FormerLeader | undefined;
+  readonly formerLeader: FormerLeader | undefined;
 }
 
 /** How late a leader is heard; it counts for its term only. */
-export interface Lateness {
+export interface HeartbeatGap {
   readonly term: number;
   /** Longest time between two of its messages, less what has passed since, in ms. */
   readonly gapMs: number;
@@ -93,7 +93,7 @@
   readonly id: string;
   readonly term: number;
   /** Until when the former leader itself hurries to lead again, in ms. */
-  readonly hurryUntilMs: number;
+  readonly earlyElectionUntilMs: number;
 }
 
 /** What a replica is told. */
@@ -169,7 +169,7 @@
  * @param state The replica.
  * @returns The size of a quorum.
  */
-export function getQuorum(state: ReplicaState): number {
+export function getQuorumSize(state: ReplicaState): number {
   return Math.floor(listVoters(state).length / 2) + 1;
 }
 
@@ -179,7 +179,7 @@
  * @param state The leader.
  * @returns Progress of the admitted followers that vote.
  */
-export function listAdmitted(state: ReplicaState): readonly Progress[] {
+export function listAdmittedProgress(state: ReplicaState): readonly Progress[] {
   if (state.role.kind !== "leader") return [];
   const voters = listVoters(state);
   return [...state.role.progress]
@@ -195,7 +195,7 @@
  * @param state The replica.
  * @returns Their ids.
  */
-export function listOthers(state: ReplicaState): readonly string[] {
+export function listOtherVoters(state: ReplicaState): readonly string[] {
   return listVoters(state).filter((voter) => voter !== state.config.id);
 }
 
@@ -235,7 +235,7 @@
   return {
     nextIndex,
     matchIndex: 0,
-    answeredSentAtMs: Number.NEGATIVE_INFINITY,
+    lastAckedSentAtMs: Number.NEGATIVE_INFINITY,
     identity: { incarnation: 0, isAdmitted: false },
   };
 }
--- a/src/consensus/replica_status.ts
+++ b/src/consensus/replica_status.ts
@@ -3,7 +3,7 @@
 import * as replicaStates from "./replica_state.ts";
 
 /** Silence of a follower up to which it counts as present, in ms. */
-const PRESENT_MS = 1_000;
+const PRESENCE_TIMEOUT_MS = 1_000;
 
 /** What others may know of a replica. */
 export interface ReplicaStatus {
@@ -124,14 +124,14 @@
       id,
       matchIndex: entry.matchIndex,
       isAdmitted: entry.identity.isAdmitted,
-      silentMs: Math.round(nowMs - entry.answeredSentAtMs),
+      silentMs: Math.round(nowMs - entry.lastAckedSentAtMs),
     })),
     voterSet: describeVoterSet(state),
   };
 }
 
 /** What a replica's state alone does not tell of its health. */
-export type HealthTimes =
+export type HealthTimings =
   & Pick<ReplicaHealth, "hasAuthority" | "leaderlessMs" | "writingMs">
   & Pick<FollowersHealth, "fedMs">;
 
@@ -139,17 +139,17 @@
  * Describes why a replica leads, or why it does not.
  *
  * @param state The replica.
- * @param times What was measured beside the state.
+ * @param timings What was measured beside the state.
  * @param nowMs Monotonic time, in ms.
  * @returns What explains it.
  */
 export function describeHealth(
   state: replicaStates.ReplicaState,
-  times: HealthTimes,
+  timings: HealthTimings,
   nowMs: number,
 ): ReplicaHealth {
   const { role, term, identity, log } = state;
-  const { hasAuthority, leaderlessMs, writingMs, fedMs } = times;
+  const { hasAuthority, leaderlessMs, writingMs, fedMs } = timings;
   const set = describeVoterSet(state);
   return {
     role: role.kind,
@@ -163,20 +163,20 @@
     leaderlessMs,
     writingMs,
     followers: role.kind !== "leader" ? undefined : {
-      presentVoters: countPresent(state, nowMs),
-      quorum: replicaStates.getQuorum(state),
+      presentVoters: countPresentVoters(state, nowMs),
+      quorum: replicaStates.getQuorumSize(state),
       fedMs,
     },
   };
 }
 
 /** Counts the voters that a leader may count on, itself among them. */
-function countPresent(
+function countPresentVoters(
   state: replicaStates.ReplicaState,
   nowMs: number,
 ): number {
-  const present = replicaStates.listAdmitted(state).filter((progress) =>
-    nowMs - progress.answeredSentAtMs < PRESENT_MS
+  const present = replicaStates.listAdmittedProgress(state).filter((progress) =>
+    nowMs - progress.lastAckedSentAtMs < PRESENCE_TIMEOUT_MS
   );
   return present.length + (replicaStates.isVoter(state) ? 1 : 0);
 }
--- a/src/consensus/simulated_node_test.ts
+++ b/src/consensus/simulated_node_test.ts
@@ -1,5 +1,5 @@
 import type * as fakeNetworks from "./fake_network_test.ts";
-import * as authorities from "./authority.ts";
+import * as leaderLeases from "./leader_lease.ts";
 import * as savedRecords from "./_saved_record.ts";
 import type * as messages from "./message.ts";
 import * as replicaSets from "./replica_set.ts";
@@ -13,7 +13,7 @@
   readonly rounds: number;
   /** Chances a round or a message, out of 1,000. */
   readonly crashChance: number;
-  readonly cutChance: number;
+  readonly partitionChance: number;
   readonly compactChance: number;
   readonly transferChance: number;
   /** Chance that a crashed replica comes back with an empty disk. */
@@ -21,9 +21,9 @@
   /** Chance that the clock was stepped back before a disk came back empty. */
   readonly clockStepChance: number;
   /** Replicas beside the founding ones, which begin with empty disks. */
-  readonly spares: number;
+  readonly extraReplicas: number;
   /** Chance that a leader tries to add or remove a voter. */
-  readonly memberChance: number;
+  readonly membershipChance: number;
   /** Chance that a replica's machine is suspended; leaders' more often. */
   readonly suspendChance: number;
   /** Whether leaders hold on to answers from before; a planted fault. */
@@ -35,7 +35,7 @@
   readonly committed: number;
   readonly leaders: number;
   /** Replica sets that were committed, the founding one among them. */
-  readonly sets: number;
+  readonly committedSets: number;
 }
 
 /** What a replica's disk holds. */
@@ -48,16 +48,16 @@
 export interface SimulatedNode {
   readonly config: replicaStates.ReplicaConfig;
   /** Ticks of its clock for each tick of true time. */
-  readonly rate: number;
+  readonly clockRate: number;
   disk: Disk;
   /** True time until which its machine is suspended, in ms. */
   suspendedUntilMs: number;
   /** How long it was suspended so far; its clock lacks as much, in ms. */
-  lostMs: number;
+  totalSuspendedMs: number;
   /** When it woke last, by its clock. */
-  wokeAtMs: number;
+  resumedAtMs: number;
   /** Highest committed index when its disk was emptied last. */
-  wipedAt: number;
+  wipedAtIndex: number;
   state: replicaStates.ReplicaState | undefined;
   appliedIndex: number;
   appliedTerm: number;
@@ -73,8 +73,8 @@
 /** How a replica begins. */
 export interface NodeOptions {
   readonly config: replicaStates.ReplicaConfig;
-  readonly rate: number;
-  readonly founders: readonly string[];
+  readonly clockRate: number;
+  readonly initialVoters: readonly string[];
 }
 
 /**
@@ -84,20 +84,21 @@
  * @returns A replica that has not started.
  */
 export function createNode(options: NodeOptions): SimulatedNode {
-  const { config, rate, founders } = options;
+  const { config, clockRate: clockRate, initialVoters: initialVoters } =
+    options;
   return {
     config,
-    rate,
-    disk: founders.includes(config.id)
+    clockRate: clockRate,
+    disk: initialVoters.includes(config.id)
       ? {
         snapshot: undefined,
-        records: savedRecords.createFounding(founders, 0),
+        records: savedRecords.createBootstrapRecords(initialVoters, 0),
       }
       : createEmptyDisk(0),
     suspendedUntilMs: 0,
-    lostMs: 0,
-    wokeAtMs: authorities.NEVER_SUSPENDED,
-    wipedAt: 0,
+    totalSuspendedMs: 0,
+    resumedAtMs: leaderLeases.NEVER_SUSPENDED,
+    wipedAtIndex: 0,
     state: undefined,
     appliedIndex: 0,
     appliedTerm: 0,
@@ -114,20 +115,21 @@
 }
 
 /** Time by the clock of a replica, which stands while it is suspended. */
-export function getOwnMs(node: SimulatedNode, nowMs: number): number {
-  return (nowMs - node.lostMs) * node.rate;
+export function getLocalMs(node: SimulatedNode, nowMs: number): number {
+  return (nowMs - node.totalSuspendedMs) * node.clockRate;
 }
 
 /** Suspends the machine of a replica; it hears and does nothing meanwhile. */
 export function suspend(
   node: SimulatedNode,
   nowMs: number,
-  forMs: number,
+  durationMs: number,
 ): void {
   if (node.suspendedUntilMs > nowMs) return;
-  node.suspendedUntilMs = nowMs + forMs;
-  node.lostMs += forMs;
-  node.wokeAtMs = nowMs * node.rate - (node.lostMs - forMs) * node.rate;
+  node.suspendedUntilMs = nowMs + durationMs;
+  node.totalSuspendedMs += durationMs;
+  node.resumedAtMs = nowMs * node.clockRate -
+    (node.totalSuspendedMs - durationMs) * node.clockRate;
 }
 
 export function isSuspended(node: SimulatedNode, nowMs: number): boolean {
@@ -141,11 +143,11 @@
   ignoresSuspension: boolean,
 ): boolean {
   if (node.state === undefined) return false;
-  const ownMs = isSuspended(node, nowMs)
-    ? node.wokeAtMs
-    : getOwnMs(node, nowMs);
-  const wokeAtMs = ignoresSuspension
-    ? authorities.NEVER_SUSPENDED
-    : node.wokeAtMs;
-  return authorities.hasAuthority(node.state, ownMs, wokeAtMs);
+  const localMs = isSuspended(node, nowMs)
+    ? node.resumedAtMs
+    : getLocalMs(node, nowMs);
+  const resumedAtMs = ignoresSuspension
+    ? leaderLeases.NEVER_SUSPENDED
+    : node.resumedAtMs;
+  return leaderLeases.hasAuthority(node.state, localMs, resumedAtMs);
 }
--- a/src/consensus/simulation_test.ts
+++ b/src/consensus/simulation_test.ts
@@ -12,10 +12,10 @@
 const ROUND_MS = 10;
 /** Leaders are disturbed more often than others, by this factor. */
 const LEADER_FACTOR = 4;
-const RATE_SPREAD = 50;
-const TIMEOUT_MS = 150;
+const MAX_DRIFT = 50;
+const ELECTION_TIMEOUT_MS = 150;
 const PER_MILLE = 1_000;
-const MAX_SUSPENDED_MS = 6 * TIMEOUT_MS;
+const MAX_SUSPENSION_MS = 6 * ELECTION_TIMEOUT_MS;
 const MIN_VOTERS = 3;
 
 /**
@@ -26,12 +26,12 @@
   readonly #options: simulatedNodes.ScheduleOptions;
   readonly #random: ReturnType<typeof generator.xoroshiro128plus>;
   readonly #nodes: readonly simulatedNodes.SimulatedNode[];
-  readonly #committed = new Map<number, string>();
+  readonly #committedValues = new Map<number, string>();
   readonly #leaderOfTerm = new Map<number, string>();
   readonly #network: fakeNetworks.FakeNetwork;
   #nowMs = 0;
-  #proposed = 0;
-  #sets = 0;
+  #proposals = 0;
+  #committedSetCount = 0;
 
   constructor(options: simulatedNodes.ScheduleOptions) {
     this.#options = options;
@@ -41,11 +41,11 @@
       (max) => this.#draw(max),
     );
     const ids = Array.from(
-      { length: options.replicas + options.spares },
+      { length: options.replicas + options.extraReplicas },
       (_, index) => `r${index}`,
     );
-    const founders = ids.slice(0, options.replicas);
-    this.#nodes = ids.map((id, index) => this.#createNode(id, index, founders));
+    const voters = ids.slice(0, options.replicas);
+    this.#nodes = ids.map((id, index) => this.#createNode(id, index, voters));
     for (const node of this.#nodes) this.#restart(node);
   }
 
@@ -57,35 +57,35 @@
   run(): simulatedNodes.ScheduleResult {
     for (let round = 0; round < this.#options.rounds; round += 1) {
       this.#nowMs += ROUND_MS;
-      this.#disturb();
-      this.#deliver();
+      this.#applyFaults();
+      this.#deliverMessages();
       for (const node of this.#nodes) this.#tick(node);
       this.#checkAuthority();
     }
     return {
-      committed: this.#committed.size,
+      committed: this.#committedValues.size,
       leaders: this.#leaderOfTerm.size,
-      sets: this.#sets,
+      committedSets: this.#committedSetCount,
     };
   }
 
   #createNode(
     id: string,
     index: number,
-    founders: readonly string[],
+    initialVoters: readonly string[],
   ): simulatedNodes.SimulatedNode {
-    const rate = 1 + (this.#draw(2 * RATE_SPREAD) - RATE_SPREAD) / PER_MILLE;
+    const clockRate = 1 + (this.#draw(2 * MAX_DRIFT) - MAX_DRIFT) / PER_MILLE;
     return simulatedNodes.createNode({
       config: {
         id,
         voters: [],
-        electionTimeoutMs: TIMEOUT_MS,
-        heartbeatMs: TIMEOUT_MS / 5,
+        electionTimeoutMs: ELECTION_TIMEOUT_MS,
+        heartbeatMs: ELECTION_TIMEOUT_MS / 5,
         maxBatchEntries: 4,
         seed: this.#options.seed * 31 + index,
       },
-      rate,
-      founders,
+      clockRate: clockRate,
+      initialVoters: initialVoters,
     });
   }
 
@@ -97,7 +97,7 @@
     return this.#draw(PER_MILLE - 1) < chance;
   }
 
-  #disturb(): void {
+  #applyFaults(): void {
     for (const node of this.#nodes) {
       const factor = node.state?.role.kind === "leader" ? LEADER_FACTOR : 1;
       if (this.#happens(this.#options.crashChance * factor)) {
@@ -109,23 +109,23 @@
       if (this.#happens(this.#options.compactChance)) this.#compact(node);
       this.#suspend(node, this.#options.suspendChance * factor);
     }
-    if (this.#happens(this.#options.cutChance)) this.#changeCut();
+    if (this.#happens(this.#options.partitionChance)) this.#changePartition();
   }
 
   #suspend(node: simulatedNodes.SimulatedNode, chance: number): void {
     if (chance === 0 || !this.#happens(chance)) return;
-    simulatedNodes.suspend(node, this.#nowMs, this.#draw(MAX_SUSPENDED_MS));
+    simulatedNodes.suspend(node, this.#nowMs, this.#draw(MAX_SUSPENSION_MS));
   }
 
   /** Cuts one replica off, or one link, or heals all. */
-  #changeCut(): void {
+  #changePartition(): void {
     const leader = this.#nodes.find((node) =>
       node.state?.role.kind === "leader"
     );
     const victim = this.#happens(500) ? leader : this.#pickNode();
     const others = this.#nodes.filter((node) => node !== victim);
     const peers = this.#happens(500) ? others : [this.#pickNode()];
-    this.#network.changeCut(
+    this.#network.changePartition(
       victim?.config.id,
       peers.map((peer) => peer?.config.id),
     );
@@ -137,10 +137,10 @@
 
   /** Empties a disk; one at a time, until its replica has caught up. */
   #wipe(node: simulatedNodes.SimulatedNode): void {
-    const highest = Math.max(0, ...this.#committed.keys());
+    const lastCommittedIndex = Math.max(0, ...this.#committedValues.keys());
     const others = this.#nodes.filter((other) => other !== node);
-    if (others.some((other) => other.wipedAt > other.appliedIndex)) return;
-    node.wipedAt = highest;
+    if (others.some((other) => other.wipedAtIndex > other.appliedIndex)) return;
+    node.wipedAtIndex = lastCommittedIndex;
     const { clockStepChance } = this.#options;
     const isStepped = clockStepChance > 0 && this.#happens(clockStepChance);
     node.disk = simulatedNodes.createEmptyDisk(
@@ -151,8 +151,8 @@
   #restart(node: simulatedNodes.SimulatedNode): void {
     const { snapshot, records } = node.disk;
     const saved = savedRecords.rebuildReplica(snapshot, records);
-    const ownMs = simulatedNodes.getOwnMs(node, this.#nowMs);
-    node.state = stepReplica.createReplica(node.config, saved, ownMs);
+    const localMs = simulatedNodes.getLocalMs(node, this.#nowMs);
+    node.state = stepReplica.createReplica(node.config, saved, localMs);
     node.applied = (snapshot?.state ?? []) as readonly string[];
     node.appliedIndex = snapshot?.index ?? 0;
     node.appliedTerm = snapshot?.term ?? 0;
@@ -164,13 +164,13 @@
       this.#step(node, { kind: "transfer" });
     }
     if (node.state?.role.kind !== "leader") return;
-    const { memberChance } = this.#options;
-    if (memberChance > 0 && this.#happens(memberChance)) {
+    const { membershipChance: membershipChance } = this.#options;
+    if (membershipChance > 0 && this.#happens(membershipChance)) {
       this.#changeVoters(node);
     }
     if (!this.#happens(300)) return;
-    this.#proposed += 1;
-    this.#step(node, { kind: "propose", commands: [`c${this.#proposed}`] });
+    this.#proposals += 1;
+    this.#step(node, { kind: "propose", commands: [`c${this.#proposals}`] });
   }
 
   /** Feeds every replica, and asks for one voter more or less. */
@@ -182,14 +182,14 @@
     if (node.state === undefined) return;
     const voters = replicaStates.listVoters(node.state);
     const id = this.#pickNode()?.config.id ?? "";
-    const changed = voters.includes(id)
+    const nextVoters = voters.includes(id)
       ? voters.filter((voter) => voter !== id)
       : [...voters, id];
-    if (changed.length < MIN_VOTERS) return;
-    this.#step(node, { kind: "changeVoters", voters: changed });
+    if (nextVoters.length < MIN_VOTERS) return;
+    this.#step(node, { kind: "changeVoters", voters: nextVoters });
   }
 
-  #deliver(): void {
+  #deliverMessages(): void {
     for (const { from, to, message } of this.#network.takeDue(this.#nowMs)) {
       const node = this.#nodes.find((candidate) => candidate.config.id === to);
       if (node !== undefined) {
@@ -207,16 +207,16 @@
     const transition = stepReplica.stepReplica(
       node.state,
       event,
-      simulatedNodes.getOwnMs(node, this.#nowMs),
+      simulatedNodes.getLocalMs(node, this.#nowMs),
     );
     node.state = transition.state;
-    if (!this.#save(node, transition.effects)) return;
-    for (const effect of transition.effects) this.#runEffect(node, effect);
+    if (!this.#persistEffects(node, transition.effects)) return;
+    for (const effect of transition.effects) this.#executeEffect(node, effect);
     this.#checkLeader(node);
   }
 
   /** Saves all or a part, crashing in between; false after a crash. */
-  #save(
+  #persistEffects(
     node: simulatedNodes.SimulatedNode,
     effects: readonly replicaStates.Effect[],
   ): boolean {
@@ -224,7 +224,7 @@
     if (restore !== undefined && node.state !== undefined) {
       node.disk = {
         snapshot: restore.snapshot,
-        records: savedRecords.createHead(node.state),
+        records: savedRecords.createHeadRecords(node.state),
       };
     }
     const records = effects.flatMap(savedRecords.toRecords);
@@ -238,7 +238,7 @@
     return false;
   }
 
-  #runEffect(
+  #executeEffect(
     node: simulatedNodes.SimulatedNode,
     effect: replicaStates.Effect,
   ): void {
@@ -259,7 +259,7 @@
           kind: "snapshotRequest",
           term: node.state?.term ?? 0,
           snapshot: this.#createSnapshot(node),
-          sentAtMs: simulatedNodes.getOwnMs(node, this.#nowMs),
+          sentAtMs: simulatedNodes.getLocalMs(node, this.#nowMs),
         });
       case "commit":
         for (const entry of effect.entries) this.#apply(node, entry);
@@ -282,17 +282,17 @@
   #apply(node: simulatedNodes.SimulatedNode, entry: replicaLogs.Entry): void {
     if (entry.index <= node.appliedIndex) return;
     const isNext = entry.index === node.appliedIndex + 1;
-    this.#check(isNext, `entry ${entry.index} follows ${node.appliedIndex}`);
+    this.#assert(isNext, `entry ${entry.index} follows ${node.appliedIndex}`);
     const value = `${entry.term}:${JSON.stringify(entry.command)}`;
-    const known = this.#committed.get(entry.index);
-    this.#check(
+    const known = this.#committedValues.get(entry.index);
+    this.#assert(
       known === undefined || known === value,
       `entry ${entry.index} was ${known} and is ${value}`,
     );
     if (known === undefined && replicaSets.parseReplicaSet(entry)) {
-      this.#sets += 1;
+      this.#committedSetCount += 1;
     }
-    this.#committed.set(entry.index, value);
+    this.#committedValues.set(entry.index, value);
     node.applied = [...node.applied, value];
     node.appliedIndex = entry.index;
     node.appliedTerm = entry.term;
@@ -305,7 +305,7 @@
     ) return;
     node.disk = {
       snapshot: this.#createSnapshot(node),
-      records: savedRecords.createRest(node.state, node.appliedIndex),
+      records: savedRecords.createRecordsAfter(node.state, node.appliedIndex),
     };
     node.state = {
       ...node.state,
@@ -317,7 +317,7 @@
     if (state?.role.kind !== "leader") return;
     const other = this.#leaderOfTerm.get(state.term) ?? id;
     const violation = `term ${state.term} has the leaders ${other} and ${id}`;
-    this.#check(other === id, violation);
+    this.#assert(other === id, violation);
     this.#leaderOfTerm.set(state.term, id);
   }
 
@@ -327,11 +327,11 @@
       this.#nodes.filter((node) =>
         simulatedNodes.hasAuthority(node, this.#nowMs, ignoresSuspension)
       ).length;
-    this.#check(holders <= 1, `${holders} replicas have authority at once`);
+    this.#assert(holders <= 1, `${holders} replicas have authority at once`);
   }
 
-  #check(isHeld: boolean, violation: string): void {
-    if (!isHeld) {
+  #assert(isSatisfied: boolean, violation: string): void {
+    if (!isSatisfied) {
       throw new Error(
         `seed ${this.#options.seed}, ${this.#nowMs} ms: ${violation}`,
       );
--- a/src/consensus/slow_leader_test.ts
+++ b/src/consensus/slow_leader_test.ts
@@ -12,16 +12,16 @@
  * each reign ("snapshotSent" in seven terms) and held nothing after 20 s.
  */
 
-const TIMEOUT_MS = 450;
+const ELECTION_TIMEOUT_MS = 450;
 const HEARTBEAT_MS = 90;
 /** Time between what arrives of a slow leader, in ms. */
-const SLOW_MS = 800;
+const SLOW_INTERVAL_MS = 800;
 const TICK_MS = 10;
-const ARRIVALS = 12;
+const HEARTBEATS = 12;
 
 const CONFIG = {
   ...leaderFixtures.CONFIG,
-  electionTimeoutMs: TIMEOUT_MS,
+  electionTimeoutMs: ELECTION_TIMEOUT_MS,
   heartbeatMs: HEARTBEAT_MS,
 };
 
@@ -39,15 +39,17 @@
 }
 
 /** Times at which a follower asks for votes, in ms, with its last state. */
-function followSlowly(gapMs: number, arrivals: number) {
+function simulateFollower(intervalMs: number, heartbeats: number) {
   let state = stepReplica.createReplica(
     CONFIG,
     { ...stepReplica.EMPTY_REPLICA, term: 1 },
     0,
   );
-  const askedAtMs: number[] = [];
-  for (let nowMs = TICK_MS; nowMs <= gapMs * arrivals; nowMs += TICK_MS) {
-    const event: replicaStates.ReplicaEvent = nowMs % gapMs === 0
+  const voteRequestTimesMs: number[] = [];
+  for (
+    let nowMs = TICK_MS; nowMs <= intervalMs * heartbeats; nowMs += TICK_MS
+  ) {
+    const event: replicaStates.ReplicaEvent = nowMs % intervalMs === 0
       ? { kind: "message", from: "b", message: createHeartbeat(nowMs) }
       : { kind: "tick" };
     const { state: next, effects } = stepReplica.stepReplica(
@@ -56,25 +58,33 @@
       nowMs,
     );
     state = next;
-    const hasAsked = effects.some((effect) =>
+    const hasRequestedVotes = effects.some((effect) =>
       effect.kind === "send" && effect.message.kind === "voteRequest"
     );
-    if (hasAsked) askedAtMs.push(nowMs);
+    if (hasRequestedVotes) voteRequestTimesMs.push(nowMs);
   }
-  return { state, askedAtMs };
+  return { state, voteRequestTimesMs: voteRequestTimesMs };
 }
 
 describe("a leader on boxes that are slow", () => {
   it("is left alone by followers that hear it late again and again", () => {
-    const { askedAtMs } = followSlowly(SLOW_MS, ARRIVALS);
-    const settled = askedAtMs.filter((atMs) => atMs > 2 * SLOW_MS);
-    chai.expect(settled).to.deep.equal([]);
+    const { voteRequestTimesMs: voteRequestTimesMs } = simulateFollower(
+      SLOW_INTERVAL_MS,
+      HEARTBEATS,
+    );
+    const adaptedTimesMs = voteRequestTimesMs.filter((atMs) =>
+      atMs > 2 * SLOW_INTERVAL_MS
+    );
+    chai.expect(adaptedTimesMs).to.deep.equal([]);
   });
 
   it("is followed by an election as soon as before where it was heard in time", () => {
-    const { state } = followSlowly(HEARTBEAT_MS, 30);
-    const waitMs = state.electionAtMs - HEARTBEAT_MS * 30;
-    chai.expect(waitMs).to.be.within(TIMEOUT_MS, 2 * TIMEOUT_MS);
+    const { state } = simulateFollower(HEARTBEAT_MS, 30);
+    const electionDelayMs = state.electionAtMs - HEARTBEAT_MS * 30;
+    chai.expect(electionDelayMs).to.be.within(
+      ELECTION_TIMEOUT_MS,
+      2 * ELECTION_TIMEOUT_MS,
+    );
   });
 
   it("goes on to lead while its quorum answers, though late", () => {
@@ -82,7 +92,7 @@
       ...stepReplica.EMPTY_REPLICA,
       term: 1,
     });
-    const answer: messages.AppendReply = {
+    const reply: messages.AppendReply = {
       kind: "appendReply",
       term: 1,
       isMatch: true,
@@ -92,13 +102,13 @@
     };
     const { state } = stepReplica.stepReplica(
       { ...leader, config: CONFIG },
-      { kind: "message", from: "b", message: answer },
+      { kind: "message", from: "b", message: reply },
       1_400,
     );
     const after = stepReplica.stepReplica(state, { kind: "tick" }, 1_500);
     chai.expect(after.state.role.kind).to.equal("leader");
     // Without any answer it gives up as soon as before.
-    const silent = stepReplica.stepReplica(state, { kind: "tick" }, 2_250);
-    chai.expect(silent.state.role.kind).to.equal("follower");
+    const timedOut = stepReplica.stepReplica(state, { kind: "tick" }, 2_250);
+    chai.expect(timedOut.state.role.kind).to.equal("follower");
   });
 });
--- a/src/consensus/snapshot_admission_test.ts
+++ b/src/consensus/snapshot_admission_test.ts
@@ -4,7 +4,7 @@
 import * as chai from "chai";
 import * as clocks from "../clock/mod.ts";
 import * as storage from "../storage/mod.ts";
-import * as listMachines from "./list_machine_test.ts";
+import * as listStateMachines from "./list_state_machine_test.ts";
 import * as savedRecords from "./_saved_record.ts";
 import * as replicaDrivers from "./replica_driver.ts";
 import * as replicaLogs from "./replica_log.ts";
@@ -43,7 +43,7 @@
       },
       clock: new clocks.FakeClock(),
       dataFolder: folder,
-      machine: new listMachines.ListMachine(),
+      stateMachine: new listStateMachines.ListStateMachine(),
       snapshotEntries: 16,
       send: () => {},
       onFatal: () => {},
@@ -74,9 +74,9 @@
       isEstablished: true,
       sentAtMs: 0,
     });
-    const written = path.join(folder, "snapshot.1");
+    const snapshotPath = path.join(folder, "snapshot.1");
     while (
-      !fs.existsSync(written) || fs.existsSync(path.join(folder, "log.0"))
+      !fs.existsSync(snapshotPath) || fs.existsSync(path.join(folder, "log.0"))
     ) {
       await new Promise((resolve) => setImmediate(resolve));
     }
@@ -87,8 +87,8 @@
       loaded.records as readonly savedRecords.SavedRecord[],
     );
     const lastIndex = replicaLogs.getLastIndex(saved.log);
-    const held = `counts: ${saved.identity.isAdmitted}, holds ${lastIndex}`;
-    const isSound = !saved.identity.isAdmitted || lastIndex >= COMMIT_INDEX;
-    chai.expect(isSound, held).to.equal(true);
+    const outcome = `counts: ${saved.identity.isAdmitted}, holds ${lastIndex}`;
+    const isSafe = !saved.identity.isAdmitted || lastIndex >= COMMIT_INDEX;
+    chai.expect(isSafe, outcome).to.equal(true);
   });
 });
--- a/src/consensus/snapshot_reigns_test.ts
+++ b/src/consensus/snapshot_leadership_test.ts
@@ -15,11 +15,11 @@
 
 const PARTS = 23;
 /** Parts that arrive in one reign. */
-const PARTS_A_REIGN = 15;
-const REIGNS = 10;
-const TERM = 9;
+const PARTS_PER_LEADERSHIP = 15;
+const MAX_LEADERSHIPS = 10;
+const FIRST_TERM = 9;
 const HEARTBEAT_MS = 90;
-const LOOKS = 30;
+const MAX_ROUNDS = 30;
 
 /** A leader whose state has not changed since it led last. */
 function createSender(
@@ -47,24 +47,30 @@
       createSender(clock, index, (message) => sent.push(message))
     );
     const receiver = new transfers.SnapshotReceiver();
-    let whole: messages.SnapshotRequest | undefined;
-    for (let reign = 0; reign < REIGNS && whole === undefined; reign += 1) {
-      const sender = senders[reign % senders.length];
-      let left = PARTS_A_REIGN;
-      for (let look = 0; look < LOOKS && left > 0; look += 1) {
-        sender?.send("b", TERM + reign);
+    let complete: messages.SnapshotRequest | undefined;
+    for (
+      let leadership = 0;
+      leadership < MAX_LEADERSHIPS && complete === undefined;
+      leadership += 1
+    ) {
+      const sender = senders[leadership % senders.length];
+      let remainingParts = PARTS_PER_LEADERSHIP;
+      for (
+        let round = 0; round < MAX_ROUNDS && remainingParts > 0; round += 1
+      ) {
+        sender?.send("b", FIRST_TERM + leadership);
         for (const message of sent.splice(0)) {
-          if (message.kind !== "snapshotPart" || left === 0) continue;
-          left -= 1;
-          const taken = receiver.take(message);
-          whole ??= taken.whole;
-          sender?.takeReply("b", taken.reply, TERM + reign);
+          if (message.kind !== "snapshotPart" || remainingParts === 0) continue;
+          remainingParts -= 1;
+          const result = receiver.addPart(message);
+          complete ??= result.whole;
+          sender?.handleReply("b", result.reply, FIRST_TERM + leadership);
         }
-        clock.extendBy(HEARTBEAT_MS);
+        clock.advance(HEARTBEAT_MS);
       }
-      sender?.drop();
+      sender?.pause();
       sent.length = 0;
     }
-    chai.expect(whole?.snapshot.state.length).to.equal(PARTS);
+    chai.expect(complete?.snapshot.state.length).to.equal(PARTS);
   });
 });
--- a/src/consensus/snapshot_turn_test.ts
+++ b/src/consensus/snapshot_order_test.ts
@@ -14,14 +14,14 @@
  * sync, 200 commands a second).
  */
 
-const CUT_INDEX = 1_000;
+const SNAPSHOT_INDEX = 1_000;
 const NOW_MS = 10_000;
 
-const EMPTY: replicaStates.Progress = {
+const UNADMITTED: replicaStates.Progress = {
   nextIndex: 1,
   matchIndex: 0,
-  answeredSentAtMs: NOW_MS,
-  movedAtMs: NOW_MS,
+  lastAckedSentAtMs: NOW_MS,
+  lastProgressAtMs: NOW_MS,
   identity: { incarnation: 1, isAdmitted: false },
 };
 
@@ -32,20 +32,20 @@
       votedFor: "a",
       identity: { incarnation: 0, isAdmitted: true },
       log: replicaLogs.createLog({
-        index: CUT_INDEX,
+        index: SNAPSHOT_INDEX,
         term: 1,
         state: [],
         voters: ["a", "b", "c"],
       }),
     });
     if (leader.role.kind !== "leader") throw new Error("a does not lead");
-    const whole = leader.role.progress.get("c");
-    if (whole === undefined) throw new Error("c is not followed");
+    const caughtUp = leader.role.progress.get("c");
+    if (caughtUp === undefined) throw new Error("c is not followed");
     const progress = new Map([
-      ["c", { ...whole, answeredSentAtMs: NOW_MS }] as const,
-      ["b", EMPTY] as const,
-      ["d", EMPTY] as const,
-      ["e", EMPTY] as const,
+      ["c", { ...caughtUp, lastAckedSentAtMs: NOW_MS }] as const,
+      ["b", UNADMITTED] as const,
+      ["d", UNADMITTED] as const,
+      ["e", UNADMITTED] as const,
     ]);
     const state = {
       ...leader,
--- a/src/consensus/snapshot_restart_test.ts
+++ b/src/consensus/snapshot_restart_test.ts
@@ -25,7 +25,7 @@
 };
 
 /** Sends a snapshot to a replica whose process is started again once. */
-function sendOverRestart(restartAtPart: number) {
+function sendWithRestart(restartAtPart: number) {
   const clock = new clocks.FakeClock();
   const sent: messages.DriverMessage[] = [];
   const sender = new transfers.SnapshotSender({
@@ -35,33 +35,35 @@
   });
   let receiver = new transfers.SnapshotReceiver();
   let hasRestarted = false;
-  let parts = 0;
-  let whole: messages.SnapshotRequest | undefined;
-  for (let round = 0; round < ROUNDS && whole === undefined; round += 1) {
+  let sentParts = 0;
+  let complete: messages.SnapshotRequest | undefined;
+  for (let round = 0; round < ROUNDS && complete === undefined; round += 1) {
     sender.send("b", TERM);
     for (const message of sent.splice(0)) {
       if (message.kind !== "snapshotPart") continue;
-      parts += 1;
+      sentParts += 1;
       if (!hasRestarted && message.part >= restartAtPart) {
         hasRestarted = true;
         receiver = new transfers.SnapshotReceiver();
       }
-      const taken = receiver.take(message);
-      whole ??= taken.whole;
-      sender.takeReply("b", taken.reply, TERM);
+      const result = receiver.addPart(message);
+      complete ??= result.whole;
+      sender.handleReply("b", result.reply, TERM);
     }
-    clock.extendBy(HEARTBEAT_MS);
+    clock.advance(HEARTBEAT_MS);
   }
-  return { whole, parts };
+  return { complete: complete, sentParts: sentParts };
 }
 
 describe("a snapshot to a replica that is started again meanwhile", () => {
   it("arrives whole, at whichever part the replica was started again", () => {
     for (const restartAtPart of [1, 12, PARTS - 1]) {
-      const { whole, parts } = sendOverRestart(restartAtPart);
+      const { complete: complete, sentParts: sentParts } = sendWithRestart(
+        restartAtPart,
+      );
       chai.expect(
-        whole?.snapshot,
-        `started again at part ${restartAtPart}, ${parts} parts sent`,
+        complete?.snapshot,
+        `started again at part ${restartAtPart}, ${sentParts} parts sent`,
       ).to.deep.equal(SNAPSHOT);
     }
   });
--- a/src/consensus/snapshot_window_test.ts
+++ b/src/consensus/snapshot_window_test.ts
@@ -24,20 +24,20 @@
       createSnapshot: () => ({ index: 9, term: 2, state, voters: ["a"] }),
     });
     const receiver = new transfers.SnapshotReceiver();
-    let whole: messages.SnapshotRequest | undefined;
+    let complete: messages.SnapshotRequest | undefined;
     sender.send("b", 3);
     for (let trip = 0; trip < ROUND_TRIPS; trip += 1) {
-      clock.extendBy(ROUND_TRIP_MS);
+      clock.advance(ROUND_TRIP_MS);
       const arrived = sent;
       sent = [];
       const replies = arrived.flatMap((message) => {
         if (message.kind !== "snapshotPart") return [];
-        const taken = receiver.take(message);
-        whole ??= taken.whole;
-        return [taken.reply];
+        const result = receiver.addPart(message);
+        complete ??= result.whole;
+        return [result.reply];
       });
-      for (const reply of replies) sender.takeReply("b", reply, 3);
+      for (const reply of replies) sender.handleReply("b", reply, 3);
     }
-    chai.expect(whole?.snapshot.state.length).to.equal(PARTS);
+    chai.expect(complete?.snapshot.state.length).to.equal(PARTS);
   });
 });
--- a/src/consensus/stalled_feeding_test.ts
+++ b/src/consensus/stalled_catch_up_test.ts
@@ -1,5 +1,5 @@
 import * as chai from "chai";
-import * as feedings from "./_feeding.ts";
+import * as appendWindows from "./_append_window.ts";
 import * as leaderFixtures from "./leader_fixture_test.ts";
 import * as replicaLogs from "./replica_log.ts";
 import type * as replicaStates from "./replica_state.ts";
@@ -13,21 +13,21 @@
  */
 
 const ENTRIES = 2_000;
-const EMPTIED = { incarnation: 1, isAdmitted: false };
+const UNADMITTED = { incarnation: 1, isAdmitted: false };
 const NOW_MS = 10_000;
-const STARTED_MS = 5_000;
+const LAST_PROGRESS_MS = 5_000;
 
 /** An emptied replica that answers, and was first heard or moved at a time. */
-function createEmptied(
+function createUnadmitted(
   matchIndex: number,
-  movedAtMs: number,
+  lastProgressAtMs: number,
 ): replicaStates.Progress {
   return {
     nextIndex: matchIndex + 1,
     matchIndex,
-    answeredSentAtMs: NOW_MS,
-    movedAtMs,
-    identity: EMPTIED,
+    lastAckedSentAtMs: NOW_MS,
+    lastProgressAtMs: lastProgressAtMs,
+    identity: UNADMITTED,
   };
 }
 
@@ -47,18 +47,18 @@
       ),
     });
     if (leader.role.kind !== "leader") throw new Error("a does not lead");
-    const spare = createEmptied(0, STARTED_MS);
+    const learner = createUnadmitted(0, LAST_PROGRESS_MS);
     const progress = new Map([
       ...leader.role.progress,
-      ["b", createEmptied(100, STARTED_MS)] as const,
-      ["d", spare] as const,
+      ["b", createUnadmitted(100, LAST_PROGRESS_MS)] as const,
+      ["d", learner] as const,
     ]);
     const state = {
       ...leader,
       learners: ["d"],
       role: { ...leader.role, progress },
     };
-    const count = feedings.countSendable(state, "d", spare, NOW_MS);
+    const count = appendWindows.countSendable(state, "d", learner, NOW_MS);
     chai.expect(count).to.be.greaterThan(0);
   });
 });
--- a/src/consensus/machine.ts
+++ b/src/consensus/state_machine.ts
@@ -1,5 +1,5 @@
 /** What the log is applied to. */
-export interface Machine {
+export interface StateMachine {
   /** Applies a committed command and gives its answer. */
   apply(command: unknown): unknown;
   /**
--- a/src/consensus/step_replica.ts
+++ b/src/consensus/step_replica.ts
@@ -1,11 +1,11 @@
-import * as authorities from "./authority.ts";
+import * as leaderLeases from "./leader_lease.ts";
 import * as formerLeaders from "./_former_leader.ts";
 import * as elections from "./_election.ts";
-import * as follows from "./_follow.ts";
+import * as followers from "./_follow.ts";
 import * as handovers from "./_handover.ts";
 import * as memberships from "./_membership.ts";
 import * as replications from "./_replication.ts";
-import * as latenesses from "./_lateness.ts";
+import * as heartbeatGaps from "./_heartbeat_gap.ts";
 import type * as messages from "./message.ts";
 import * as replicaLogs from "./replica_log.ts";
 import * as replicaStates from "./replica_state.ts";
@@ -42,7 +42,7 @@
   nowMs: number,
 ): replicaStates.ReplicaState {
   const leader = formerLeaders.findLeader(saved.log, saved.term);
-  const hurryUntilMs = nowMs + config.electionTimeoutMs;
+  const earlyElectionUntilMs = nowMs + config.electionTimeoutMs;
   const state: replicaStates.ReplicaState = {
     config,
     term: saved.term,
@@ -53,14 +53,18 @@
     log: saved.log,
     commitIndex: saved.log.snapshotIndex,
     electionAtMs: 0,
-    heardAtMs: nowMs,
-    lateness: { term: 0, gapMs: 0 },
-    draws: 0,
-    former: leader === undefined
+    leaderContactAtMs: nowMs,
+    heartbeatGap: { term: 0, gapMs: 0 },
+    electionDelayCount: 0,
+    formerLeader: leader === undefined
       ? undefined
-      : { id: leader, term: saved.term, hurryUntilMs },
+      : {
+        id: leader,
+        term: saved.term,
+        earlyElectionUntilMs: earlyElectionUntilMs,
+      },
   };
-  return elections.resetElection(state, nowMs);
+  return elections.resetElectionTimer(state, nowMs);
 }
 
 /**
@@ -79,7 +83,7 @@
 ): replicaStates.Transition {
   switch (event.kind) {
     case "tick":
-      return stepTick(state, nowMs);
+      return handleTick(state, nowMs);
     case "transfer":
       return handovers.transferLeadership(state, nowMs, event.to);
     case "propose":
@@ -89,32 +93,33 @@
     case "changeVoters":
       return memberships.changeVoters(state, event.voters, nowMs);
     case "message":
-      return stepMessage(state, event.from, event.message, nowMs);
+      return handleMessage(state, event.from, event.message, nowMs);
   }
 }
 
-function stepTick(
+function handleTick(
   state: replicaStates.ReplicaState,
   nowMs: number,
 ): replicaStates.Transition {
   if (state.role.kind !== "leader") {
     if (nowMs < state.electionAtMs) return { state, effects: [] };
-    if (!replicaStates.isVoter(state)) return leaveLeader(state, nowMs);
+    if (!replicaStates.isVoter(state)) return resetToFollower(state, nowMs);
     return elections.startPreVote(state, nowMs);
   }
   const graceMs = state.config.electionTimeoutMs;
-  const isNew = nowMs < state.role.sinceMs + graceMs;
-  const { getAuthorityUntilMs, NEVER_SUSPENDED } = authorities;
-  const untilMs = getAuthorityUntilMs(state, nowMs, NEVER_SUSPENDED);
-  const isLost = nowMs >= untilMs + graceMs &&
-    !authorities.isAnswered(state, nowMs);
-  if (!isNew && isLost) return leaveLeader(state, nowMs);
-  if (nowMs < state.role.heartbeatAtMs) return { state, effects: [] };
+  const isInGracePeriod = nowMs < state.role.leaderSinceMs + graceMs;
+  const { getLeaseExpiryMs: getAuthorityUntilMs, NEVER_SUSPENDED } =
+    leaderLeases;
+  const leaseExpiryMs = getAuthorityUntilMs(state, nowMs, NEVER_SUSPENDED);
+  const hasLostQuorum = nowMs >= leaseExpiryMs + graceMs &&
+    !leaderLeases.hasQuorumContact(state, nowMs);
+  if (!isInGracePeriod && hasLostQuorum) return resetToFollower(state, nowMs);
+  if (nowMs < state.role.nextHeartbeatAtMs) return { state, effects: [] };
   return replications.sendAppends(state, nowMs);
 }
 
 /** Follows nobody: a leader named after it fell silent steers callers to it. */
-function leaveLeader(
+function resetToFollower(
   state: replicaStates.ReplicaState,
   nowMs: number,
 ): replicaStates.Transition {
@@ -122,10 +127,10 @@
     ...state,
     role: { kind: "follower" },
   };
-  return { state: elections.resetElection(follower, nowMs), effects: [] };
+  return { state: elections.resetElectionTimer(follower, nowMs), effects: [] };
 }
 
-function stepMessage(
+function handleMessage(
   state: replicaStates.ReplicaState,
   from: string,
   message: messages.Message,
@@ -139,43 +144,43 @@
     case "transferRequest":
       return elections.handleTransferRequest(state, message, nowMs);
     case "renewRequest":
-      return renewIdentity(state, message);
+      return handleRenewRequest(state, message);
     case "appendRequest":
     case "snapshotRequest":
-      return followLeader(state, from, message, nowMs);
+      return handleLeaderMessage(state, from, message, nowMs);
     case "appendReply":
       if (message.term > state.term) {
         return elections.enterTerm(state, message.term);
       }
-      return handleAnswer(state, from, message, nowMs);
+      return handleAppendReply(state, from, message, nowMs);
   }
 }
 
 /** Notes an answer; a leader that waits for a successor hands over with it. */
-function handleAnswer(
+function handleAppendReply(
   state: replicaStates.ReplicaState,
   from: string,
   message: messages.AppendReply,
   nowMs: number,
 ): replicaStates.Transition {
-  const noted = replications.handleAppendReply(state, from, message, nowMs);
-  if (!replicaStates.isHandingOver(noted.state, nowMs)) return noted;
-  const handed = handovers.transferLeadership(noted.state, nowMs);
+  const updated = replications.handleAppendReply(state, from, message, nowMs);
+  if (!replicaStates.isHandingOver(updated.state, nowMs)) return updated;
+  const transferred = handovers.transferLeadership(updated.state, nowMs);
   return {
-    state: handed.state,
-    effects: [...noted.effects, ...handed.effects],
+    state: transferred.state,
+    effects: [...updated.effects, ...transferred.effects],
   };
 }
 
 /** Takes an incarnation above the former self's, unless it counts already. */
-function renewIdentity(
+function handleRenewRequest(
   state: replicaStates.ReplicaState,
   request: messages.RenewRequest,
 ): replicaStates.Transition {
   const { incarnation, isAdmitted } = state.identity;
-  const isDue = request.term === state.term && !isAdmitted &&
+  const mustRenew = request.term === state.term && !isAdmitted &&
     incarnation < request.incarnation;
-  if (!isDue) return { state, effects: [] };
+  if (!mustRenew) return { state, effects: [] };
   const identity = { incarnation: request.incarnation + 1, isAdmitted };
   return {
     state: { ...state, identity },
@@ -183,32 +188,32 @@
   };
 }
 
-function followLeader(
+function handleLeaderMessage(
   state: replicaStates.ReplicaState,
   from: string,
   message: messages.AppendRequest | messages.SnapshotRequest,
   nowMs: number,
 ): replicaStates.Transition {
-  if (message.term < state.term) return refuseLeader(state, from, message);
+  if (message.term < state.term) return rejectStaleLeader(state, from, message);
   const entered = elections.enterTerm(state, message.term, from);
-  const heard = elections.resetElection(
+  const updated = elections.resetElectionTimer(
     {
       ...entered.state,
-      heardAtMs: nowMs,
-      lateness: latenesses.noteLateness(state, message.term, nowMs),
+      leaderContactAtMs: nowMs,
+      heartbeatGap: heartbeatGaps.recordHeartbeat(state, message.term, nowMs),
     },
     nowMs,
   );
   const accepted = message.kind === "appendRequest"
-    ? follows.acceptAppend(heard, from, message)
-    : follows.acceptSnapshot(heard, from, message);
+    ? followers.acceptAppend(updated, from, message)
+    : followers.acceptSnapshot(updated, from, message);
   return {
     state: accepted.state,
     effects: [...entered.effects, ...accepted.effects],
   };
 }
 
-function refuseLeader(
+function rejectStaleLeader(
   state: replicaStates.ReplicaState,
   to: string,
   message: messages.AppendRequest | messages.SnapshotRequest,
--- a/src/control/box_table.ts
+++ b/src/control/box_table.ts
@@ -13,12 +13,12 @@
 export interface BoxTable {
   readonly records: ReadonlyMap<string, BoxRecord>;
   /** When this leader began to lead, in ms. */
-  readonly leadSinceMs: number;
+  readonly leaderSinceMs: number;
   readonly leaseMs: number;
 }
 
 /** Time for which a box without a lease is still listed, in leases. */
-const LISTED_LEASES = 30;
+const RETENTION_LEASES = 30;
 
 /**
  * Notes what a box confirmed.
@@ -33,8 +33,8 @@
   view: protocols.BoxView,
   revision: number,
 ): BoxTable {
-  const old = table.records.get(view.id);
-  const leaseUntilMs = old?.leaseUntilMs ?? 0;
+  const previous = table.records.get(view.id);
+  const leaseUntilMs = previous?.leaseUntilMs ?? 0;
   const record = { view, revision, leaseUntilMs };
   return { ...table, records: new Map([...table.records, [view.id, record]]) };
 }
@@ -52,9 +52,9 @@
   id: string,
   nowMs: number,
 ): BoxTable {
-  const old = table.records.get(id);
-  if (old === undefined) return table;
-  const record = { ...old, leaseUntilMs: nowMs + table.leaseMs };
+  const previous = table.records.get(id);
+  if (previous === undefined) return table;
+  const record = { ...previous, leaseUntilMs: nowMs + table.leaseMs };
   return { ...table, records: new Map([...table.records, [id, record]]) };
 }
 
@@ -73,7 +73,7 @@
   revision: number,
   nowMs: number,
 ): boolean {
-  if (nowMs < table.leadSinceMs + table.leaseMs) return false;
+  if (nowMs < table.leaderSinceMs + table.leaseMs) return false;
   return [...table.records.values()].every((record) =>
     record.revision >= revision || record.leaseUntilMs < nowMs
   );
@@ -86,13 +86,13 @@
  * @param nowMs Monotonic time, in ms.
  * @returns The table.
  */
-export function dropSilent(table: BoxTable, nowMs: number): BoxTable {
-  const keepMs = table.leaseMs * LISTED_LEASES;
-  const kept = [...table.records].filter(([, record]) =>
-    record.leaseUntilMs + keepMs > nowMs
+export function removeExpiredBoxes(table: BoxTable, nowMs: number): BoxTable {
+  const retentionMs = table.leaseMs * RETENTION_LEASES;
+  const retained = [...table.records].filter(([, record]) =>
+    record.leaseUntilMs + retentionMs > nowMs
   );
-  if (kept.length === table.records.size) return table;
-  return { ...table, records: new Map(kept) };
+  if (retained.length === table.records.size) return table;
+  return { ...table, records: new Map(retained) };
 }
 
 /**
@@ -102,7 +102,7 @@
  * @param nowMs Monotonic time, in ms.
  * @returns Boxes with a lease, draining ones marked.
  */
-export function listLive(
+export function listLeasedBoxes(
   table: BoxTable,
   nowMs: number,
 ): readonly protocols.BoxView[] {
--- a/src/control/box_table_test.ts
+++ b/src/control/box_table_test.ts
@@ -18,7 +18,7 @@
 function createTable(): boxTables.BoxTable {
   const empty: boxTables.BoxTable = {
     records: new Map(),
-    leadSinceMs: 0,
+    leaderSinceMs: 0,
     leaseMs: LEASE_MS,
   };
   const synced = ["a", "b"].reduce(
@@ -33,11 +33,11 @@
 
 describe("in force", () => {
   it("needs every box with a lease to have confirmed the revision", () => {
-    const one = boxTables.recordSync(createTable(), createView("a"), 2);
-    chai.expect(boxTables.isInForce(one, 2, 200)).to.equal(false);
+    const updated = boxTables.recordSync(createTable(), createView("a"), 2);
+    chai.expect(boxTables.isInForce(updated, 2, 200)).to.equal(false);
     chai.expect(
       boxTables.isInForce(
-        boxTables.recordSync(one, createView("b"), 2),
+        boxTables.recordSync(updated, createView("b"), 2),
         2,
         200,
       ),
@@ -53,7 +53,7 @@
   it("waits out the leases that an earlier leader gave", () => {
     const fresh: boxTables.BoxTable = {
       records: new Map(),
-      leadSinceMs: 1_000,
+      leaderSinceMs: 1_000,
       leaseMs: LEASE_MS,
     };
     chai.expect(boxTables.isInForce(fresh, 1, 1_099)).to.equal(false);
--- a/src/control/control_client.ts
+++ b/src/control/control_client.ts
@@ -8,13 +8,13 @@
 import * as controlViews from "./control_view.ts";
 import * as protocols from "./protocol.ts";
 
-const RETRY_MS = 50;
-const CALL_SLACK_MS = 300;
+const RETRY_DELAY_MS = 50;
+const SYNC_REPLY_MARGIN_MS = 300;
 /** Longest wait for one replica, which may be frozen, in ms. */
-const TRY_MS = 1_000;
-const FIRST_CALL_MS = 1_500;
+const ATTEMPT_TIMEOUT_MS = 1_000;
+const MAX_SYNC_TIMEOUT_MS = 1_500;
 /** Share of a lease that a box uses; the rest covers clock rates. */
-const LEASE_FRACTION = 0.9;
+const USABLE_LEASE_FRACTION = 0.9;
 
 /** What a control client needs. */
 export interface ControlClientOptions {
@@ -27,20 +27,20 @@
 export class ControlClient {
   readonly #options: ControlClientOptions;
   readonly #replicas: ReadonlyMap<string, rpc.RpcClient>;
-  readonly #changed = new csp.Signal();
+  readonly #viewChanged = new csp.Signal();
   #view = controlViews.EMPTY_VIEW;
   #leaseUntilMs = 0;
   /** When the sync was sent that gave the lease, in monotonic ms. */
-  #leasedAtMs = Number.NEGATIVE_INFINITY;
-  readonly #suspensions: clocks.SuspensionWatch;
+  #leaseRequestedAtMs = Number.NEGATIVE_INFINITY;
+  readonly #suspensions: clocks.SuspensionDetector;
   #leader: string | undefined;
-  #turn = 0;
+  #failedAttempts = 0;
   #isDraining = false;
   #isStopped = false;
 
   constructor(options: ControlClientOptions) {
     this.#options = options;
-    this.#suspensions = new clocks.SuspensionWatch(options.clock);
+    this.#suspensions = new clocks.SuspensionDetector(options.clock);
     this.#replicas = new Map(
       options.settings.replicas.map((replica) =>
         [replica.id, new rpc.RpcClient(replica)] as const
@@ -50,7 +50,7 @@
 
   /** Starts to sync; runs until stopped. */
   start(): void {
-    void csp.runProcess(() => this.#run(), (error) => {
+    void csp.runProcess(() => this.#runSyncLoop(), (error) => {
       const message = (error as Error).message;
       this.#options.log.write("error", "sync.ended", { message });
     });
@@ -70,13 +70,15 @@
    * was suspended is none: it may have ended for all others meanwhile.
    */
   hasLease(): boolean {
-    if (this.#leasedAtMs < this.#suspensions.getWokeAtMs()) return false;
+    if (this.#leaseRequestedAtMs < this.#suspensions.getResumedAtMs()) {
+      return false;
+    }
     return this.#options.clock.getMonotonicMs() < this.#leaseUntilMs;
   }
 
   /** Wakes when the view changed, or after the time. */
   waitForChange(timeoutMs: number): Promise<void> {
-    return this.#changed.wait(this.#options.clock, timeoutMs);
+    return this.#viewChanged.wait(this.#options.clock, timeoutMs);
   }
 
   /** Tells the leader, from the next sync on, that this box is being stopped. */
@@ -146,21 +148,21 @@
     for (;;) {
       const leftMs = endMs - clock.getMonotonicMs();
       if (leftMs <= 0) return createCallFailure(method, mayHaveRun);
-      const tried = await this.#callOnce<T>(
+      const reply = await this.#callReplica<T>(
         method,
         params,
-        Math.min(TRY_MS, leftMs),
+        Math.min(ATTEMPT_TIMEOUT_MS, leftMs),
       );
-      if (tried.kind === "ok" && tried.value.kind !== "notLeader") return tried;
-      if (tried.kind === "failure") mayHaveRun = true;
+      if (reply.kind === "ok" && reply.value.kind !== "notLeader") return reply;
+      if (reply.kind === "failure") mayHaveRun = true;
       await clocks.sleep(
         clock,
-        Math.min(RETRY_MS, Math.max(0, endMs - clock.getMonotonicMs())),
+        Math.min(RETRY_DELAY_MS, Math.max(0, endMs - clock.getMonotonicMs())),
       );
     }
   }
 
-  async #callOnce<T extends { readonly kind: string }>(
+  async #callReplica<T extends { readonly kind: string }>(
     method: string,
     params: object,
     timeoutMs: number,
@@ -176,30 +178,30 @@
         throw new Error(`the replica ${id} is not in the settings`);
       }
       if (reply.kind === "notLeader") {
-        this.#noteLeader(id, (reply as protocols.NotLeader).leader);
+        this.#recordLeader(id, (reply as protocols.NotLeader).leader);
       } else this.#leader = id;
       return results.createOk(reply as T);
     } catch (error) {
-      this.#noteLeader(id, undefined);
+      this.#recordLeader(id, undefined);
       return { kind: "failure", failure: results.toFailure(error) };
     }
   }
 
   #pickReplica(): string {
     const ids = [...this.#replicas.keys()];
-    return this.#leader ?? ids[this.#turn % ids.length] ?? "";
+    return this.#leader ?? ids[this.#failedAttempts % ids.length] ?? "";
   }
 
-  #noteLeader(asked: string, told: string | undefined): void {
-    this.#turn += 1;
-    this.#leader = told === asked ? undefined : told;
+  #recordLeader(replicaId: string, reported: string | undefined): void {
+    this.#failedAttempts += 1;
+    this.#leader = reported === replicaId ? undefined : reported;
   }
 
-  *#run(): csp.Step<void> {
+  *#runSyncLoop(): csp.Step<void> {
     while (!this.#isStopped) {
       const isSynced = yield* csp.waitFor(this.#sync());
       if (!isSynced) {
-        yield* csp.waitFor(clocks.sleep(this.#options.clock, RETRY_MS));
+        yield* csp.waitFor(clocks.sleep(this.#options.clock, RETRY_DELAY_MS));
       }
     }
   }
@@ -212,8 +214,11 @@
       revision: this.#view.revision,
       membershipVersion: this.#view.membership.version,
     };
-    const timeoutMs = Math.min(FIRST_CALL_MS, lease.syncWaitMs + CALL_SLACK_MS);
-    const reply = await this.#callOnce<protocols.SyncReply>(
+    const timeoutMs = Math.min(
+      MAX_SYNC_TIMEOUT_MS,
+      lease.syncWaitMs + SYNC_REPLY_MARGIN_MS,
+    );
+    const reply = await this.#callReplica<protocols.SyncReply>(
       protocols.METHODS.sync,
       request,
       timeoutMs,
@@ -221,25 +226,25 @@
     if (reply.kind === "failure" || reply.value.kind === "notLeader") {
       return false;
     }
-    this.#takeReply(reply.value, sentMs);
+    this.#applySyncReply(reply.value, sentMs);
     return true;
   }
 
-  #takeReply(
+  #applySyncReply(
     reply: Extract<protocols.SyncReply, { readonly kind: "synced" }>,
     sentMs: number,
   ): void {
-    const before = this.#view;
-    const changed = controlViews.applyChange(before, reply.config);
+    const previous = this.#view;
+    const changed = controlViews.applyChange(previous, reply.config);
     this.#view = reply.membership === undefined
       ? changed
       : { ...changed, membership: reply.membership };
     this.#leaseUntilMs = Math.max(
       this.#leaseUntilMs,
-      sentMs + reply.leaseMs * LEASE_FRACTION,
+      sentMs + reply.leaseMs * USABLE_LEASE_FRACTION,
     );
-    this.#leasedAtMs = Math.max(this.#leasedAtMs, sentMs);
-    if (this.#view !== before) this.#changed.notify();
+    this.#leaseRequestedAtMs = Math.max(this.#leaseRequestedAtMs, sentMs);
+    if (this.#view !== previous) this.#viewChanged.notify();
   }
 }
 
--- a/src/control/control_service.ts
+++ b/src/control/control_service.ts
@@ -9,12 +9,12 @@
 import type * as settings from "../settings/mod.ts";
 import * as leaderSessions from "./leader_session.ts";
 import * as protocols from "./protocol.ts";
-import * as stateMachines from "./state_machine.ts";
+import * as stateMachines from "./control_state_machine.ts";
 
-const MAX_AUDIT_REPLY = 1_000;
-const REFRESH_MS = 100;
-const RESIGN_MS = 1_000;
-const RESIGN_TRY_MS = 20;
+const MAX_AUDIT_RECORDS = 1_000;
+const REFRESH_INTERVAL_MS = 100;
+const RESIGN_TIMEOUT_MS = 1_000;
+const RESIGN_RETRY_DELAY_MS = 20;
 
 /** What a control service needs. */
 export interface ControlServiceOptions {
@@ -29,7 +29,7 @@
 /** A replica of the state, and the leader's services while it leads. */
 export class ControlService {
   readonly #options: ControlServiceOptions;
-  readonly #machine: stateMachines.StateMachine;
+  readonly #stateMachine: stateMachines.ControlStateMachine;
   readonly #changed = new csp.Signal();
   readonly #peers: ReadonlyMap<string, rpc.RpcClient>;
   #driver: consensus.ReplicaDriver | undefined;
@@ -38,7 +38,7 @@
 
   constructor(options: ControlServiceOptions) {
     this.#options = options;
-    this.#machine = new stateMachines.StateMachine(() =>
+    this.#stateMachine = new stateMachines.ControlStateMachine(() =>
       this.#changed.notify()
     );
     const { replicas, box } = options.settings;
@@ -63,25 +63,25 @@
       },
       clock,
       dataFolder: control.dataFolder,
-      machine: this.#machine,
+      stateMachine: this.#stateMachine,
       snapshotEntries: control.snapshotEntries,
       send: (to, message) => this.#sendMessage(to, message),
       onFatal,
     });
-    this.#addMethods();
-    this.#startRefresh();
+    this.#registerMethods();
+    this.#scheduleRefresh();
   }
 
   /** Hands leadership over before a planned stop, within a bounded time. */
   async resign(): Promise<void> {
     const { clock } = this.#options;
-    const endMs = clock.getMonotonicMs() + RESIGN_MS;
+    const endMs = clock.getMonotonicMs() + RESIGN_TIMEOUT_MS;
     while (
       this.#driver?.getStatus().role === "leader" &&
       clock.getMonotonicMs() < endMs
     ) {
-      this.#driver.transfer();
-      await clocks.sleep(clock, RESIGN_TRY_MS);
+      this.#driver.transferLeadership();
+      await clocks.sleep(clock, RESIGN_RETRY_DELAY_MS);
     }
   }
 
@@ -92,7 +92,7 @@
   }
 
   getState(): replicated.ReplicatedState {
-    return this.#machine.getState();
+    return this.#stateMachine.getState();
   }
 
   /** The session of this leader, or undefined without authority. */
@@ -107,7 +107,7 @@
 
   /** Monotonic ms until which this replica surely leads. */
   getAuthorityUntilMs(): number {
-    return this.#driver?.getAuthorityUntilMs() ?? 0;
+    return this.#driver?.getLeaseExpiryMs() ?? 0;
   }
 
   /** Proposes a command of the leader itself. */
@@ -135,15 +135,15 @@
     );
   }
 
-  #startRefresh(): void {
+  #scheduleRefresh(): void {
     if (this.#isStopped) return;
-    this.#options.clock.startTimer(REFRESH_MS, () => {
+    this.#options.clock.startTimer(REFRESH_INTERVAL_MS, () => {
       this.getSession()?.refresh();
-      this.#startRefresh();
+      this.#scheduleRefresh();
     });
   }
 
-  #addMethods(): void {
+  #registerMethods(): void {
     const { server } = this.#options;
     server.add(
       protocols.METHODS.consensus,
@@ -153,21 +153,21 @@
     );
     server.add(
       protocols.METHODS.sync,
-      (request: protocols.SyncRequest) => this.#answerSync(request),
+      (request: protocols.SyncRequest) => this.#handleSync(request),
     );
     server.add(
       protocols.METHODS.propose,
-      (request: protocols.ProposeRequest) => this.#answerPropose(request),
+      (request: protocols.ProposeRequest) => this.#handlePropose(request),
     );
     server.add(
       protocols.METHODS.awaitInForce,
-      (request: protocols.InForceRequest) => this.#answerInForce(request),
+      (request: protocols.InForceRequest) => this.#handleAwaitInForce(request),
     );
     server.add(
       protocols.METHODS.readAudit,
-      (request: protocols.AuditRequest) => this.#answerAudit(request),
+      (request: protocols.AuditRequest) => this.#handleReadAudit(request),
     );
-    server.add(protocols.METHODS.readStatus, () => this.#answerStatus());
+    server.add(protocols.METHODS.readStatus, () => this.#handleReadStatus());
   }
 
   #sendMessage(to: string, message: consensus.DriverMessage): void {
@@ -175,20 +175,20 @@
       from: this.#options.settings.box.id,
       message,
     };
-    this.#peers.get(to)?.tell(protocols.METHODS.consensus, envelope);
+    this.#peers.get(to)?.notify(protocols.METHODS.consensus, envelope);
   }
 
   #createNotLeader(): protocols.NotLeader {
     return { kind: "notLeader", leader: this.#driver?.getLeader() };
   }
 
-  async #answerSync(
+  async #handleSync(
     request: protocols.SyncRequest,
   ): Promise<protocols.SyncReply> {
     const session = this.getSession();
     if (session === undefined) return this.#createNotLeader();
     session.recordSync(request.box, request.revision);
-    if (!this.#hasNews(session, request)) {
+    if (!this.#hasChanges(session, request)) {
       const { clock, settings: { lease } } = this.#options;
       await this.#changed.wait(clock, lease.syncWaitMs);
     }
@@ -197,11 +197,11 @@
     return this.#createSyncReply(session, request);
   }
 
-  #hasNews(
+  #hasChanges(
     session: leaderSessions.LeaderSession,
     request: protocols.SyncRequest,
   ): boolean {
-    if (this.#machine.getState().revision > request.revision) return true;
+    if (this.#stateMachine.getState().revision > request.revision) return true;
     const membership = session.getMembership();
     return membership !== undefined &&
       membership.version !== request.membershipVersion;
@@ -212,20 +212,20 @@
     request: protocols.SyncRequest,
   ): protocols.SyncReply {
     const membership = session.getMembership();
-    const isKnown = membership?.version === request.membershipVersion;
+    const isCurrent = membership?.version === request.membershipVersion;
     return {
       kind: "synced",
       term: session.term,
       leaseMs: this.#options.settings.lease.leaseMs,
       config: stateMachines.collectChange(
-        this.#machine.getState(),
+        this.#stateMachine.getState(),
         request.revision,
       ),
-      membership: isKnown ? undefined : membership,
+      membership: isCurrent ? undefined : membership,
     };
   }
 
-  async #answerPropose(
+  async #handlePropose(
     request: protocols.ProposeRequest,
   ): Promise<protocols.ProposeReply> {
     const result = await this.propose(request.command, request.timeoutMs);
@@ -238,7 +238,7 @@
     };
   }
 
-  async #answerInForce(
+  async #handleAwaitInForce(
     request: protocols.InForceRequest,
   ): Promise<protocols.InForceReply> {
     const session = this.getSession();
@@ -251,21 +251,21 @@
     return { kind: "waited", isInForce };
   }
 
-  #answerAudit(request: protocols.AuditRequest): protocols.AuditReply {
+  #handleReadAudit(request: protocols.AuditRequest): protocols.AuditReply {
     if (this.getSession() === undefined) return this.#createNotLeader();
-    const records = this.#machine.getState().audit
+    const records = this.#stateMachine.getState().audit
       .filter((record) => audit.matchRecord(record, request.filter))
-      .takeLast(Math.min(request.limit, MAX_AUDIT_REPLY));
+      .takeLast(Math.min(request.limit, MAX_AUDIT_RECORDS));
     return { kind: "audit", records: [...records] };
   }
 
-  #answerStatus(): protocols.StatusReply {
+  #handleReadStatus(): protocols.StatusReply {
     const session = this.getSession();
     const driver = this.#driver;
     if (session === undefined || driver === undefined) {
       return this.#createNotLeader();
     }
-    const state = this.#machine.getState();
+    const state = this.#stateMachine.getState();
     return {
       kind: "status",
       leader: this.#options.settings.box.id,
--- a/src/control/state_machine.ts
+++ b/src/control/control_state_machine.ts
@@ -3,7 +3,7 @@
 import type * as protocols from "./protocol.ts";
 
 /** The replicated state under the consensus log. */
-export class StateMachine implements consensus.Machine {
+export class ControlStateMachine implements consensus.StateMachine {
   readonly #onChange: () => void;
   #state = replicated.EMPTY_STATE;
 
@@ -17,13 +17,13 @@
   }
 
   apply(command: unknown): replicated.CommandAnswer {
-    const before = this.#state.revision;
+    const previousRevision = this.#state.revision;
     const applied = replicated.applyCommand(
       this.#state,
       command as replicated.Command,
     );
     this.#state = applied.state;
-    if (this.#state.revision !== before) this.#onChange();
+    if (this.#state.revision !== previousRevision) this.#onChange();
     return applied.answer;
   }
 
--- a/src/control/control_view.ts
+++ b/src/control/control_view.ts
@@ -24,11 +24,11 @@
   membership: { version: "", boxes: [], servers: [] },
 };
 
-function mapTokens(
-  all: ReadonlyMap<string, accounts.ClientAccount>,
+function mapAccountsByToken(
+  accountsById: ReadonlyMap<string, accounts.ClientAccount>,
 ): ReadonlyMap<string, accounts.ClientAccount> {
   return new Map(
-    [...all.values()].flatMap((account) =>
+    [...accountsById.values()].flatMap((account) =>
       account.tokenSha256s.map((hash) => [hash, account] as const)
     ),
   );
@@ -46,15 +46,15 @@
   change: protocols.ConfigChange,
 ): ControlView {
   if (change.revision <= view.revision) return view;
-  const changed = new Map([
+  const accountsById = new Map([
     ...view.accounts,
     ...change.accounts.map((item) => [item.id, item] as const),
   ]);
   return {
     ...view,
     revision: change.revision,
-    accounts: changed,
-    accountsByToken: mapTokens(changed),
+    accounts: accountsById,
+    accountsByToken: mapAccountsByToken(accountsById),
     templates: new Map([
       ...view.templates,
       ...change.templates.map((item) =>
--- a/src/control/leader_duties.ts
+++ b/src/control/leader_duties.ts
@@ -11,10 +11,10 @@
 import type * as controlServices from "./control_service.ts";
 
 const PROPOSE_TIMEOUT_MS = 2_000;
-const ORDER_RETRY_MS = 300;
-const FORGET_PERIOD_MS = 60_000;
+const ORDER_RETRY_DELAY_MS = 300;
+const CLEANUP_INTERVAL_MS = 60_000;
 /** Time left of its authority that a leader needs to send an order, in ms. */
-const ORDER_MARGIN_MS = 50;
+const MIN_AUTHORITY_MS = 50;
 
 /** What the duties need. */
 export interface LeaderDutiesOptions {
@@ -27,14 +27,14 @@
 }
 
 /** Entries of a box list whose faults are noted at most. */
-const MAX_UNREAD = 16;
+const MAX_LOGGED_FAULTS = 16;
 
 /** What the leader remembers of orders to one engine. */
-interface OrderMemory {
-  readonly isUnderWay: boolean;
+interface OrderState {
+  readonly isPending: boolean;
   readonly notBeforeMs: number;
   /** Start of the engine that the order went to. */
-  readonly born: number | undefined;
+  readonly engineStart: number | undefined;
 }
 
 /**
@@ -46,11 +46,11 @@
   readonly #boxList: boxList.BoxListClient;
   readonly #weightStore: weightStore.WeightStoreClient;
   /** The last order to each engine, by its id. */
-  #orders: ReadonlyMap<string, OrderMemory> = new Map();
+  #orders: ReadonlyMap<string, OrderState> = new Map();
   /** Start that each engine told last. */
-  readonly #born = new Map<string, number | undefined>();
+  readonly #engineStarts = new Map<string, number | undefined>();
   /** Faults of entries in the box list as it was last read. */
-  #unread: ReadonlySet<string> = new Set();
+  #loggedFaults: ReadonlySet<string> = new Set();
   #isStopped = false;
 
   constructor(options: LeaderDutiesOptions) {
@@ -66,22 +66,34 @@
     const { settings: { boxList: list, weightStore: store } } = this.#options;
     this.#startDuty("boxList", list.pollMs, () => this.#readBoxList());
     this.#startDuty("weightStore", store.pollMs, () => this.#readWeightStore());
-    this.#startDuty("weightRollout", store.pollMs, () => this.#rollWeights());
-    this.#startDuty("forgetOld", FORGET_PERIOD_MS, () => this.#forgetOld());
+    this.#startDuty(
+      "weightRollout",
+      store.pollMs,
+      () => this.#rollOutWeights(),
+    );
+    this.#startDuty(
+      "forgetOld",
+      CLEANUP_INTERVAL_MS,
+      () => this.#removeExpired(),
+    );
   }
 
   stop(): void {
     this.#isStopped = true;
   }
 
-  #startDuty(name: string, periodMs: number, act: () => Promise<void>): void {
+  #startDuty(
+    name: string,
+    intervalMs: number,
+    runOnce: () => Promise<void>,
+  ): void {
     const { clock, log, service } = this.#options;
-    const isStopped = this.#getStopped.bind(this);
+    const isStopped = this.#hasStopped.bind(this);
     void csp.runProcess(
       function* () {
         while (!isStopped()) {
-          if (service.getSession() !== undefined) yield* csp.waitFor(act());
-          yield* csp.waitFor(clocks.sleep(clock, periodMs));
+          if (service.getSession() !== undefined) yield* csp.waitFor(runOnce());
+          yield* csp.waitFor(clocks.sleep(clock, intervalMs));
         }
       },
       (error) =>
@@ -89,7 +101,7 @@
     );
   }
 
-  #getStopped(): boolean {
+  #hasStopped(): boolean {
     return this.#isStopped;
   }
 
@@ -101,22 +113,22 @@
       });
       return;
     }
-    this.#noteUnread(read.value.unread);
+    this.#reportFaults(read.value.invalidEntries);
     this.#options.service.getSession()?.setServers(read.value.servers);
   }
 
   /** Logs each fault once for as long as the list bears it. */
-  #noteUnread(unread: readonly boxList.UnreadEntry[]): void {
+  #reportFaults(unread: readonly boxList.InvalidEntry[]): void {
     const { log, metrics: sink } = this.#options;
     const faults = new Set<string>();
-    for (const { id, field } of unread.slice(0, MAX_UNREAD)) {
+    for (const { id, field } of unread.slice(0, MAX_LOGGED_FAULTS)) {
       const fault = `${id} ${field}`;
       faults.add(fault);
-      if (this.#unread.has(fault)) continue;
+      if (this.#loggedFaults.has(fault)) continue;
       sink.count("box_list.unread");
       log.write("warn", "box_list.entry_unread", { server: id, field });
     }
-    this.#unread = faults;
+    this.#loggedFaults = faults;
   }
 
   async #readWeightStore(): Promise<void> {
@@ -137,13 +149,13 @@
     }
   }
 
-  async #forgetOld(): Promise<void> {
+  async #removeExpired(): Promise<void> {
     const { clock, control, service } = this.#options;
     const beforeMs = clock.getWallMs() - control.claimRetentionMs;
     await service.propose({ kind: "forgetOld", beforeMs }, PROPOSE_TIMEOUT_MS);
   }
 
-  async #rollWeights(): Promise<void> {
+  async #rollOutWeights(): Promise<void> {
     const { clock, service, settings: { engines: limits } } = this.#options;
     const servers = (service.getSession()?.getServers() ?? [])
       .filter((server) =>
@@ -152,7 +164,7 @@
     const targets = [...service.getState().models.values()];
     if (servers.length === 0) return;
     const views = await Promise.all(
-      servers.map((server) => this.#readView(server)),
+      servers.map((server) => this.#readEngineView(server)),
     );
     const orders = weightRollouts.planOrders(
       views.filter((view) => view !== undefined),
@@ -166,28 +178,28 @@
       const server = servers.find((candidate) =>
         candidate.id === order.engineId
       );
-      if (server !== undefined) void this.#giveOrder(server, order);
+      if (server !== undefined) void this.#sendOrder(server, order);
     }
   }
 
-  async #readView(
+  async #readEngineView(
     server: backends.BackendServer,
   ): Promise<weightRollouts.EngineView | undefined> {
     const report = await engines.readReport(server);
     if (report.kind === "failure") return undefined;
-    const memory = this.#findMemory(server.id, report.value.born);
+    const order = this.#findOrder(server.id, report.value.born);
     return {
       id: server.id,
       models: new Map(Object.entries(report.value.models)),
-      isBusy: memory?.isUnderWay === true || report.value.isSwapping,
+      isBusy: order?.isPending === true || report.value.isSwapping,
       role: report.value.role,
       wantedRole: this.#options.service.getState().roles.get(server.id)?.role ??
         "mixed",
-      notBeforeMs: memory?.notBeforeMs ?? 0,
+      notBeforeMs: order?.notBeforeMs ?? 0,
     };
   }
 
-  async #giveOrder(
+  async #sendOrder(
     server: backends.BackendServer,
     order: weightRollouts.PlannedOrder,
   ): Promise<void> {
@@ -200,9 +212,13 @@
     } = this.#options;
     const session = service.getSession();
     const leftMs = service.getAuthorityUntilMs() - clock.getMonotonicMs();
-    if (session === undefined || leftMs < ORDER_MARGIN_MS) return;
-    const born = this.#born.get(server.id);
-    this.#noteOrder(server.id, { isUnderWay: true, notBeforeMs: 0, born });
+    if (session === undefined || leftMs < MIN_AUTHORITY_MS) return;
+    const engineStart = this.#engineStarts.get(server.id);
+    this.#recordOrder(server.id, {
+      isPending: true,
+      notBeforeMs: 0,
+      engineStart: engineStart,
+    });
     sink.count("order.sent");
     const done = await engines.sendOrder(server, {
       action: order.action,
@@ -210,9 +226,15 @@
       deadlineMs: limits.orderTimeoutMs,
     });
     const isDone = done.kind === "ok";
-    const notBeforeMs = isDone ? 0 : clock.getMonotonicMs() + ORDER_RETRY_MS;
-    if (this.#born.get(server.id) === born) {
-      this.#noteOrder(server.id, { isUnderWay: false, notBeforeMs, born });
+    const notBeforeMs = isDone
+      ? 0
+      : clock.getMonotonicMs() + ORDER_RETRY_DELAY_MS;
+    if (this.#engineStarts.get(server.id) === engineStart) {
+      this.#recordOrder(server.id, {
+        isPending: false,
+        notBeforeMs,
+        engineStart: engineStart,
+      });
     }
     log.write(isDone ? "info" : "warn", "order.ended", {
       engine: server.id,
@@ -223,13 +245,16 @@
   }
 
   /** An order to a former start of an engine counts for nothing. */
-  #findMemory(id: string, born: number | undefined): OrderMemory | undefined {
-    this.#born.set(id, born);
-    const memory = this.#orders.get(id);
-    return memory?.born === born ? memory : undefined;
+  #findOrder(
+    id: string,
+    engineStart: number | undefined,
+  ): OrderState | undefined {
+    this.#engineStarts.set(id, engineStart);
+    const order = this.#orders.get(id);
+    return order?.engineStart === engineStart ? order : undefined;
   }
 
-  #noteOrder(id: string, memory: OrderMemory): void {
-    this.#orders = new Map([...this.#orders, [id, memory] as const]);
+  #recordOrder(id: string, order: OrderState): void {
+    this.#orders = new Map([...this.#orders, [id, order] as const]);
   }
 }
--- a/src/control/leader_session.ts
+++ b/src/control/leader_session.ts
@@ -18,20 +18,24 @@
 export class LeaderSession {
   readonly term: number;
   readonly #clock: clocks.Clock;
-  readonly #synced = new csp.Signal();
-  readonly #membershipChanged: () => void;
+  readonly #syncRecorded = new csp.Signal();
+  readonly #onMembershipChange: () => void;
   #table: boxTables.BoxTable;
   #servers: readonly backends.BackendServer[] | undefined;
   #membership: protocols.Membership | undefined;
-  #membershipCount = 0;
+  #membershipChanges = 0;
 
-  /** @param onMembership Told when boxes or servers changed. */
-  constructor(options: LeaderSessionOptions, onMembership: () => void) {
+  /** @param onMembershipChange Told when boxes or servers changed. */
+  constructor(options: LeaderSessionOptions, onMembershipChange: () => void) {
     this.term = options.term;
     this.#clock = options.clock;
-    this.#membershipChanged = onMembership;
+    this.#onMembershipChange = onMembershipChange;
     const leadSinceMs = options.clock.getMonotonicMs();
-    this.#table = { records: new Map(), leadSinceMs, leaseMs: options.leaseMs };
+    this.#table = {
+      records: new Map(),
+      leaderSinceMs: leadSinceMs,
+      leaseMs: options.leaseMs,
+    };
   }
 
   /** Boxes and servers; undefined until every live box can have synced. */
@@ -47,7 +51,7 @@
   /** Notes what a box confirmed. */
   recordSync(view: protocols.BoxView, revision: number): void {
     this.#table = boxTables.recordSync(this.#table, view, revision);
-    this.#synced.notify();
+    this.#syncRecorded.notify();
   }
 
   /** Notes that a lease is given to a box now. */
@@ -65,17 +69,20 @@
   /** Brings the membership up to date with leases and the box list. */
   refresh(): void {
     const nowMs = this.#clock.getMonotonicMs();
-    this.#table = boxTables.dropSilent(this.#table, nowMs);
-    const isSettled = nowMs >= this.#table.leadSinceMs + this.#table.leaseMs;
-    if (!isSettled || this.#servers === undefined) return;
-    const boxes = boxTables.listLive(this.#table, nowMs);
+    this.#table = boxTables.removeExpiredBoxes(this.#table, nowMs);
+    const hasFullTable =
+      nowMs >= this.#table.leaderSinceMs + this.#table.leaseMs;
+    if (!hasFullTable || this.#servers === undefined) return;
+    const boxes = boxTables.listLeasedBoxes(this.#table, nowMs);
     const servers = this.#servers;
-    const old = this.#membership;
-    if (old !== undefined && isSame(old, { boxes, servers })) return;
-    this.#membershipCount += 1;
-    const version = `${this.term}.${this.#membershipCount}`;
+    const previous = this.#membership;
+    if (
+      previous !== undefined && isSameMembership(previous, { boxes, servers })
+    ) return;
+    this.#membershipChanges += 1;
+    const version = `${this.term}.${this.#membershipChanges}`;
     this.#membership = { version, boxes, servers };
-    this.#membershipChanged();
+    this.#onMembershipChange();
   }
 
   /** Waits until a revision is in force on every box. */
@@ -85,9 +92,9 @@
       const nowMs = this.#clock.getMonotonicMs();
       if (boxTables.isInForce(this.#table, revision, nowMs)) return true;
       if (nowMs >= endMs) return false;
-      await this.#synced.wait(
+      await this.#syncRecorded.wait(
         this.#clock,
-        Math.min(IN_FORCE_CHECK_MS, endMs - nowMs),
+        Math.min(IN_FORCE_CHECK_INTERVAL_MS, endMs - nowMs),
       );
     }
   }
@@ -104,9 +111,9 @@
 }
 
 /** Leases run out without a message, so the wait looks again after this. */
-const IN_FORCE_CHECK_MS = 50;
+const IN_FORCE_CHECK_INTERVAL_MS = 50;
 
-function isSame(
+function isSameMembership(
   a: Pick<protocols.Membership, "boxes" | "servers">,
   b: Pick<protocols.Membership, "boxes" | "servers">,
 ): boolean {
--- a/src/control/suspended_box_test.ts
+++ b/src/control/suspended_box_test.ts
@@ -8,25 +8,25 @@
 
 const PORT = 18_490;
 /** Runs that can have an address of their own at once. */
-const RUNS = 200;
-const ADDRESS = `127.${1 + process.pid % RUNS}.31.1`;
+const MAX_PARALLEL_RUNS = 200;
+const ADDRESS = `127.${1 + process.pid % MAX_PARALLEL_RUNS}.31.1`;
 const LEASE_MS = 60_000;
-const CHECK_MS = 5;
+const POLL_INTERVAL_MS = 5;
 
 /** The machine's clock, whose machine can be said to have been suspended. */
 class SuspendedClock extends clocks.SystemClock {
-  lostMs = 0;
+  suspendedMs = 0;
 
   override getWallMs(): number {
-    return super.getWallMs() + this.lostMs;
+    return super.getWallMs() + this.suspendedMs;
   }
 }
 
 describe("a box whose machine is suspended", () => {
   const clock = new SuspendedClock();
   const server = new rpc.RpcServer();
-  let syncs = 0;
-  let answers = true;
+  let syncCount = 0;
+  let isLeader = true;
   const client = new controlClients.ControlClient({
     clock,
     log: new logs.Log("box", "error", () => {}),
@@ -40,9 +40,9 @@
 
   before(async () => {
     server.add(protocols.METHODS.sync, async () => {
-      syncs += 1;
-      await clocks.sleep(clock, CHECK_MS);
-      return answers
+      syncCount += 1;
+      await clocks.sleep(clock, POLL_INTERVAL_MS);
+      return isLeader
         ? {
           kind: "synced",
           term: 1,
@@ -61,19 +61,19 @@
     server.close();
   });
 
-  async function waitFor(holds: () => boolean): Promise<void> {
-    while (!holds()) await clocks.sleep(clock, CHECK_MS);
+  async function waitFor(condition: () => boolean): Promise<void> {
+    while (!condition()) await clocks.sleep(clock, POLL_INTERVAL_MS);
   }
 
   it("has no lease from before, and takes callers once it has synced again", async () => {
     await waitFor(() => client.hasLease());
-    answers = false;
-    const before = syncs;
-    await waitFor(() => syncs > before + 1);
+    isLeader = false;
+    const syncsBefore = syncCount;
+    await waitFor(() => syncCount > syncsBefore + 1);
     chai.expect(client.hasLease()).to.equal(true);
-    clock.lostMs += LEASE_MS;
+    clock.suspendedMs += LEASE_MS;
     chai.expect(client.hasLease()).to.equal(false);
-    answers = true;
+    isLeader = true;
     await waitFor(() => client.hasLease());
   });
 });
--- a/src/crash_guard/crash_guard.ts
+++ b/src/crash_guard/crash_guard.ts
@@ -33,11 +33,11 @@
 export interface CrashGuardOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
-  readonly metrics: Pick<metrics.FleetMetrics, "countCrash">;
+  readonly metrics: Pick<metrics.FleetMetrics, "countCrashEvent">;
   readonly table: crashRecords.CrashTable;
   readonly servers: Pick<registry.ServerRegistry, "markUnavailable">;
   /** Checks whether a process listens on an address and port. */
-  readonly findPortState: typeof httpClient.findPortState;
+  readonly findPortState: typeof httpClient.probePort;
   /** Sends a record to the other boxes. */
   readonly publish: (record: crashRecords.CrashRecord) => void;
   /** Asks the store boxes' leader for a grant; undefined if none replies. */
@@ -104,7 +104,7 @@
     this.#options.servers.markUnavailable(server);
     const record = table.get(work.digest);
     if (!isNew || record === undefined) return;
-    metrics.countCrash("noted");
+    metrics.countCrashEvent("noted");
     log.write("warn", "crash.noted", {
       ...createLogFields(work),
       server: server.id,
@@ -122,7 +122,7 @@
     ) return;
     const cleared = { ...record, cleared: record.ended };
     table.merge(cleared, clock.getWallMs());
-    metrics.countCrash("cleared");
+    metrics.countCrashEvent("cleared");
     log.write("info", "crash.cleared", {
       ...createLogFields(work),
       ended: crashRecords.countConsecutiveCrashes(record),
@@ -141,7 +141,7 @@
     if (!table.merge(record, clock.getWallMs())) return false;
     this.#markUnavailable(record, before);
     const after = table.get(record.digest);
-    metrics.countCrash("learned");
+    metrics.countCrashEvent("learned");
     log.write("info", "crash.learned", {
       work: record.digest,
       ended: crashRecords.countConsecutiveCrashes(after),
@@ -183,7 +183,7 @@
       return { kind: "unanswered" };
     }
     if (reply.kind === "barred") this.mergeRemoteRecord(reply.record);
-    metrics.countCrash(reply.kind);
+    metrics.countCrashEvent(reply.kind);
     return reply;
   }
 
@@ -195,7 +195,7 @@
 
   /** Counts and logs work that is held back instead of being run. */
   recordHeldBack(work: WorkDescription, ended: number, returnMs: number): void {
-    this.#options.metrics.countCrash("heldBack");
+    this.#options.metrics.countCrashEvent("heldBack");
     this.#options.log.write("info", "crash.heldBack", {
       ...createLogFields(work),
       ended,
--- a/src/crash_guard/crash_replicator.ts
+++ b/src/crash_guard/crash_replicator.ts
@@ -17,7 +17,7 @@
     replicaGroups.ReplicaGroup,
     "hasAuthority" | "propose"
   >;
-  readonly machine: submissions.SubmissionMachine;
+  readonly machine: submissions.SubmissionStateMachine;
   readonly guard: Pick<crashGuards.CrashGuard, "mergeRemoteRecord">;
   readonly grants: Pick<grantServices.GrantService, "updateTerm">;
   readonly table: crashRecords.CrashTable;
--- a/src/crash_guard/create_grant_client.ts
+++ b/src/crash_guard/create_grant_client.ts
@@ -3,9 +3,12 @@
 import * as protocol from "./protocol.ts";
 
 /** Timeouts of asking for a grant; short, as the client waits meanwhile. */
-const ASK_CALL_TIMES: replicaGroups.CallTimes = { totalMs: 200, tryMs: 100 };
+const ASK_CALL_TIMES: replicaGroups.CallTimeouts = { totalMs: 200, tryMs: 100 };
 /** Timeouts of reporting the end of a run. */
-const END_CALL_TIMES: replicaGroups.CallTimes = { totalMs: 2_000, tryMs: 500 };
+const END_CALL_TIMES: replicaGroups.CallTimeouts = {
+  totalMs: 2_000,
+  tryMs: 500,
+};
 
 /**
  * Creates the calls about grants to the store boxes' leader.
--- a/src/crash_guard/grant_service.ts
+++ b/src/crash_guard/grant_service.ts
@@ -18,7 +18,7 @@
 export interface GrantServiceOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
-  readonly server: rpc.MethodTable;
+  readonly server: rpc.MethodRegistry;
   readonly table: crashRecords.CrashTable;
   readonly group: Pick<
     replicaGroups.ReplicaGroup,
--- a/src/crash_guard/grant_service_test.ts
+++ b/src/crash_guard/grant_service_test.ts
@@ -54,7 +54,7 @@
       },
     });
     service.updateTerm();
-    clock.extendBy(10_000);
+    clock.advance(10_000);
   });
 
   function askGrant(
@@ -111,7 +111,7 @@
   it("expires the grant of a box that reports no end", () => {
     chai.expect(getReplyKind("r1", ["i-1", "i-2"])).to.equal("granted");
     chai.expect(getReplyKind("r2", ["i-1", "i-2"])).to.equal("busy");
-    clock.extendBy(10_001);
+    clock.advance(10_001);
     chai.expect(getReplyKind("r2", ["i-1", "i-2"])).to.equal("granted");
   });
 
@@ -120,7 +120,7 @@
     term = 2;
     service.updateTerm();
     chai.expect(getReplyKind("r2", ["i-1", "i-2"])).to.equal("busy");
-    clock.extendBy(2_501);
+    clock.advance(2_501);
     chai.expect(getReplyKind("r2", ["i-1", "i-2"])).to.equal("granted");
   });
 
--- a/src/csp/_js_csp.ts
+++ b/src/csp/_js_csp.ts
@@ -1,7 +1,7 @@
-import * as loaded from "js-csp";
+import * as jsCspModule from "js-csp";
 
 /**
  * js-csp, which loaders give as the default export or as the module itself.
  */
-export const jsCsp: loaded.Csp = loaded.default ??
-  (loaded as unknown as loaded.Csp);
+export const jsCsp: jsCspModule.Csp = jsCspModule.default ??
+  (jsCspModule as unknown as jsCspModule.Csp);
--- a/src/csp/cancellation.ts
+++ b/src/csp/cancellation.ts
@@ -16,12 +16,12 @@
   }
 
   /** Adds a listener; it is not told if the work is cancelled already. */
-  add(listener: () => void): void {
+  addListener(listener: () => void): void {
     if (!this.#isCancelled) this.#listeners.add(listener);
   }
 
   /** Removes a listener whose work has ended. */
-  remove(listener: () => void): void {
+  removeListener(listener: () => void): void {
     this.#listeners.delete(listener);
   }
 }
--- a/src/csp/signal.ts
+++ b/src/csp/signal.ts
@@ -2,13 +2,13 @@
 
 /** Wakes all who wait, each time something changed. */
 export class Signal {
-  #waiting: readonly (() => void)[] = [];
+  #waiters: readonly (() => void)[] = [];
 
   /** Wakes all who wait now. */
   notify(): void {
-    const waiting = this.#waiting;
-    this.#waiting = [];
-    for (const wake of waiting) wake();
+    const waiters = this.#waiters;
+    this.#waiters = [];
+    for (const wake of waiters) wake();
   }
 
   /**
@@ -20,18 +20,18 @@
   wait(clock: clocks.Clock, timeoutMs: number): Promise<void> {
     return new Promise((resolve) => {
       const cancel = clock.startTimer(timeoutMs, () => {
-        this.#drop(wake);
+        this.#removeWaiter(wake);
         resolve();
       });
       function wake(): void {
         cancel();
         resolve();
       }
-      this.#waiting = [...this.#waiting, wake];
+      this.#waiters = [...this.#waiters, wake];
     });
   }
 
-  #drop(wake: () => void): void {
-    this.#waiting = this.#waiting.filter((other) => other !== wake);
+  #removeWaiter(wake: () => void): void {
+    this.#waiters = this.#waiters.filter((other) => other !== wake);
   }
 }
--- a/src/csp/wait_for.ts
+++ b/src/csp/wait_for.ts
@@ -1,7 +1,7 @@
 import * as jsCsps from "./_js_csp.ts";
 import type * as channels from "./channel.ts";
 
-interface Settled<T> {
+interface SettledPromise<T> {
   readonly value?: T;
   readonly error?: unknown;
   readonly isError: boolean;
@@ -21,7 +21,7 @@
     (error: unknown) =>
       jsCsps.jsCsp.putAsync(channel, { error, isError: true }),
   );
-  const settled = (yield jsCsps.jsCsp.take(channel)) as Settled<T>;
+  const settled = (yield jsCsps.jsCsp.take(channel)) as SettledPromise<T>;
   if (settled.isError) throw settled.error;
   return settled.value as T;
 }
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -10,7 +10,7 @@
 import type * as settings from "../settings/mod.ts";
 import * as trainers from "../trainer/mod.ts";
 
-const DRAIN_CHECK_MS = 50;
+const DRAIN_CHECK_INTERVAL_MS = 50;
 
 /** How a daemon ended. */
 export type DaemonEnd =
@@ -18,7 +18,7 @@
   | { readonly kind: "failed"; readonly error: unknown };
 
 /** The parts of a box that hold state. */
-interface ControlParts {
+interface ControlComponents {
   readonly service: control.ControlService;
   readonly duties: control.LeaderDuties;
 }
@@ -31,47 +31,53 @@
   readonly #metrics: metrics.Metrics;
   readonly #rpcServer = new rpc.RpcServer();
   readonly #client: control.ControlClient;
-  readonly #table: routing.ServerTable;
-  readonly #trainers: trainers.TrainerService;
-  readonly #callers: callers.CallerListener;
-  readonly #operators: operators.OperatorListener;
-  readonly #control: ControlParts | undefined;
+  readonly #serverTable: routing.ServerTable;
+  readonly #trainerService: trainers.TrainerService;
+  readonly #callerListener: callers.CallerListener;
+  readonly #operatorListener: operators.OperatorListener;
+  readonly #control: ControlComponents | undefined;
   readonly #onEnd: (end: DaemonEnd) => void;
   #isStopping = false;
 
   /** @param onEnd Told once, when the daemon has ended. */
   constructor(
-    checked: settings.Settings,
+    boxSettings: settings.Settings,
     onEnd: (end: DaemonEnd) => void,
   ) {
-    this.#settings = checked;
+    this.#settings = boxSettings;
     this.#onEnd = onEnd;
-    this.#log = new logs.Log(checked.box.id, checked.log.level);
-    this.#metrics = new metrics.Metrics(checked.metrics);
+    this.#log = new logs.Log(boxSettings.box.id, boxSettings.log.level);
+    this.#metrics = new metrics.Metrics(boxSettings.metrics);
     const shared = {
-      settings: checked,
+      settings: boxSettings,
       clock: this.#clock,
       log: this.#log,
       metrics: this.#metrics,
     };
     this.#client = new control.ControlClient(shared);
-    this.#table = this.#createTable();
-    const parts = { ...shared, client: this.#client, table: this.#table };
-    this.#trainers = new trainers.TrainerService({
-      ...parts,
+    this.#serverTable = this.#createServerTable();
+    const components = {
+      ...shared,
+      client: this.#client,
+      table: this.#serverTable,
+    };
+    this.#trainerService = new trainers.TrainerService({
+      ...components,
       scorer: new scorers.ScorerClient({
-        ...checked.scorer,
+        ...boxSettings.scorer,
         clock: this.#clock,
       }),
-      connectTimeoutMs: checked.limits.connectTimeoutMs,
+      connectTimeoutMs: boxSettings.limits.connectTimeoutMs,
     }, this.#rpcServer);
-    const budget = new callers.RetryBudget(checked.limits.retryBudgetRatio);
-    this.#callers = new callers.CallerListener(
-      { ...parts, budget },
-      this.#trainers,
+    const retryBudget = new callers.RetryBudget(
+      boxSettings.limits.retryBudgetRatio,
+    );
+    this.#callerListener = new callers.CallerListener(
+      { ...components, budget: retryBudget },
+      this.#trainerService,
     );
-    this.#operators = new operators.OperatorListener({
-      ...parts,
+    this.#operatorListener = new operators.OperatorListener({
+      ...components,
       service: new operators.OperatorService(this.#client, this.#clock),
       onDrain: () => this.drain(),
     });
@@ -85,9 +91,9 @@
     await this.#rpcServer.listen(box.address, listen.peerPort);
     this.#control?.duties.start();
     this.#client.start();
-    this.#table.start();
-    await this.#callers.start();
-    await this.#operators.start();
+    this.#serverTable.start();
+    await this.#callerListener.start();
+    await this.#operatorListener.start();
     this.#log.write("info", "daemon.started", {
       address: box.address,
       hasState: this.#control !== undefined,
@@ -103,10 +109,10 @@
     if (this.#isStopping) return;
     this.#isStopping = true;
     this.#log.write("info", "drain.began", {
-      inFlight: this.#callers.getInFlight(),
+      inFlight: this.#callerListener.getInFlight(),
     });
     this.#client.setDraining();
-    this.#callers.setDraining();
+    this.#callerListener.setDraining();
     this.#runDrain().catch((error: unknown) =>
       this.#end({ kind: "failed", error })
     );
@@ -115,11 +121,11 @@
   /** Stops at once, cutting what is under way. */
   async stop(): Promise<void> {
     this.#isStopping = true;
-    await this.#stopParts(true);
+    await this.#stopComponents(true);
     this.#end({ kind: "stopped" });
   }
 
-  #createTable(): routing.ServerTable {
+  #createServerTable(): routing.ServerTable {
     const { box, engines } = this.#settings;
     return new routing.ServerTable({
       clock: this.#clock,
@@ -129,7 +135,7 @@
     });
   }
 
-  #createControl(): ControlParts | undefined {
+  #createControl(): ControlComponents | undefined {
     const { control: controlSettings } = this.#settings;
     if (controlSettings === undefined) return undefined;
     const options = {
@@ -150,35 +156,35 @@
 
   async #runDrain(): Promise<void> {
     const { lease, addresses } = this.#settings;
-    await this.#awaitLeft();
+    await this.#awaitDrainingListed();
     await clocks.sleep(this.#clock, lease.leaseMs + addresses.keepMs);
-    this.#trainers.stop();
-    while (this.#callers.getInFlight() > 0) {
-      await clocks.sleep(this.#clock, DRAIN_CHECK_MS);
+    this.#trainerService.stop();
+    while (this.#callerListener.getInFlight() > 0) {
+      await clocks.sleep(this.#clock, DRAIN_CHECK_INTERVAL_MS);
     }
     await this.#control?.service.resign();
     this.#log.write("info", "drain.ended");
-    await this.#stopParts(false);
+    await this.#stopComponents(false);
     this.#end({ kind: "stopped" });
   }
 
   /** Waits until the leader lists this box as draining, or no more at all. */
-  async #awaitLeft(): Promise<void> {
+  async #awaitDrainingListed(): Promise<void> {
     const { id } = this.#settings.box;
     while (this.#client.hasLease()) {
       const own = this.#client.getView().membership.boxes.find((box) =>
         box.id === id
       );
       if (own === undefined || own.isDraining) return;
-      await this.#client.waitForChange(DRAIN_CHECK_MS);
+      await this.#client.waitForChange(DRAIN_CHECK_INTERVAL_MS);
     }
   }
 
-  async #stopParts(force: boolean): Promise<void> {
-    this.#callers.close(force);
-    this.#trainers.stop();
-    this.#operators.close();
-    this.#table.stop();
+  async #stopComponents(force: boolean): Promise<void> {
+    this.#callerListener.close(force);
+    this.#trainerService.stop();
+    this.#operatorListener.close();
+    this.#serverTable.stop();
     this.#client.stop();
     this.#control?.duties.stop();
     await this.#control?.service.stop();
--- a/src/daemon/one_box_test.ts
+++ b/src/daemon/one_box_test.ts
@@ -9,14 +9,14 @@
 import * as daemons from "./daemon.ts";
 
 /** Tokens of the account `cascade` and of the root operator. */
-export const TOKEN = "token-of-cascade";
-export const ROOT = "token-of-root";
+export const ACCOUNT_TOKEN = "token-of-cascade";
+export const ROOT_TOKEN = "token-of-root";
 
 /** Bound on a whole test file's start, in ms. */
 export const TEST_TIMEOUT_MS = 30_000;
 
 /** How the stand-in backend server treats a call. */
-export type Manner = "answer" | "truncate" | "reset" | "swap" | "silent";
+export type ResponseMode = "answer" | "truncate" | "reset" | "swap" | "silent";
 
 /** An answer with a numbered error. */
 export interface Answer {
@@ -39,15 +39,15 @@
 }
 
 const PORT = 8390;
-const START_MS = 15_000;
+const START_TIMEOUT_MS = 15_000;
 
 /** One real daemon with a backend server that can lie, for tests. */
 export class OneBox {
   readonly address: string;
   /** A listed backend server where nothing listens. */
   readonly deadUrl: string;
-  manner: Manner = "answer";
-  runs: readonly string[] = [];
+  responseMode: ResponseMode = "answer";
+  receivedUrls: readonly string[] = [];
   readonly #network: string;
   readonly #folder = fs.mkdtempSync(path.join(os.tmpdir(), "hoistscale-box-"));
   #servers: readonly http.Server[] = [];
@@ -71,30 +71,30 @@
         (request, response) => this.#serveBackend(request, response),
       ),
     ];
-    await consensus.makeDataFolder({
+    await consensus.initializeDataFolder({
       folder: this.#folder,
       owner: "box-1",
       wallMs: 1,
     });
     this.#daemon = new daemons.Daemon(this.#createSettings(), () => {});
     await this.#daemon.start();
-    const endMs = Date.now() + START_MS;
+    const endMs = Date.now() + START_TIMEOUT_MS;
     for (;;) {
       const change = {
         baseRevision: 0,
         requestId: "create",
-        tokens: [TOKEN],
+        tokens: [ACCOUNT_TOKEN],
         waitMs: 5_000,
       };
       await this.send("PUT", "/v1/accounts/cascade", {
         json: change,
         port: 8081,
-        token: ROOT,
+        token: ROOT_TOKEN,
       });
-      const tried = await this.send("GET", "/services/app/stock");
-      if (tried.status === 200) return;
+      const lookup = await this.send("GET", "/services/app/stock");
+      if (lookup.status === 200) return;
       if (Date.now() > endMs) {
-        throw new Error(`Cannot start the box: ${JSON.stringify(tried)}`);
+        throw new Error(`Cannot start the box: ${JSON.stringify(lookup)}`);
       }
     }
   }
@@ -113,7 +113,8 @@
     target: string,
     options: SendOptions = {},
   ): Promise<Answer> {
-    const { token = TOKEN, port = 8080, headers = {}, ...rest } = options;
+    const { token = ACCOUNT_TOKEN, port = 8080, headers = {}, ...rest } =
+      options;
     const answer = await httpClient.sendJson({
       ...rest,
       baseUrl: `http://${this.address}:${port}`,
@@ -150,17 +151,17 @@
       response.end(JSON.stringify({ active: 0, queued: 0, slots: 4 }));
       return;
     }
-    this.runs = [...this.runs, request.url ?? ""];
+    this.receivedUrls = [...this.receivedUrls, request.url ?? ""];
     request.resume();
-    this.#answerInManner(request, response);
+    this.#respond(request, response);
   }
 
-  #answerInManner(
+  #respond(
     request: http.IncomingMessage,
     response: http.ServerResponse,
   ): void {
     const body = JSON.stringify({ url: request.url });
-    switch (this.manner) {
+    switch (this.responseMode) {
       case "silent":
         return;
       case "reset":
@@ -194,7 +195,7 @@
         electionTimeoutMs: 400,
         heartbeatMs: 80,
       },
-      administration: { rootTokenSha256: accounts.hashToken(ROOT) },
+      administration: { rootTokenSha256: accounts.hashToken(ROOT_TOKEN) },
       boxList: { url, pollMs: 50 },
       weightStore: { url },
       scorer: { url },
--- a/src/dialect/dialect.ts
+++ b/src/dialect/dialect.ts
@@ -23,7 +23,7 @@
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string | Buffer;
   /** Whether the end of the connection ends it, as nobody knows its length. */
-  readonly endsWithConnection?: boolean;
+  readonly isCloseDelimited?: boolean;
 }
 
 /** A call of a server, an operator or a trainer to the control address. */
@@ -83,7 +83,7 @@
 }
 
 /** What this box sets on a request that it sends to a server. */
-export interface ForwardMarks {
+export interface ForwardMetadata {
   readonly requestId: string;
   /** Whose request it is. */
   readonly sender: accounts.Sender;
@@ -127,13 +127,13 @@
   /** Rises with each leader; engines may refuse a lower one. */
   readonly fence: number;
   /** Whether runs end before the load, instead of going on under it. */
-  readonly letsRunsEnd: boolean;
+  readonly waitsForRuns: boolean;
   /** Orders that the engine has taken so far, where known. */
-  readonly expectedOrders: number | undefined;
+  readonly expectedOrderCount: number | undefined;
 }
 
 /** Marks of a call that one box at a time may make. */
-export interface DutyMarks {
+export interface FencedRequest {
   /** Name of the box that calls. */
   readonly holder: string;
   /** Rises with each change of the holder. */
@@ -141,14 +141,14 @@
 }
 
 /** A report of one window of usage to the infrastructure. */
-export interface UsageReport extends DutyMarks {
+export interface UsageReport extends FencedRequest {
   readonly window: number;
   /** Requests that began to run in it, by client account. */
   readonly counts: Readonly<Record<string, number>>;
 }
 
 /** Asks the infrastructure for engines of a kind in a failure domain. */
-export interface CapacityOrder extends DutyMarks {
+export interface CapacityOrder extends FencedRequest {
   readonly service: string;
   readonly domain: string;
   readonly engines: "lasting" | "spot";
@@ -199,15 +199,15 @@
   /** Headers of a caller's request as a server gets them. */
   createForwardHeaders(
     headers: HeaderMap,
-    marks: ForwardMarks,
+    metadata: ForwardMetadata,
   ): Readonly<Record<string, string>>;
-  createVersionOrder(order: VersionOrder, server: string): RawRequestWithBody;
-  createReportRequest(server: string): RawRequestWithBody;
-  createCapacityOrder(order: CapacityOrder): RawRequestWithBody;
-  createUsageReport(report: UsageReport): RawRequestWithBody;
+  createVersionOrder(order: VersionOrder, server: string): OutboundRequest;
+  createReportRequest(server: string): OutboundRequest;
+  createCapacityOrder(order: CapacityOrder): OutboundRequest;
+  createUsageReport(report: UsageReport): OutboundRequest;
   formatAddresses(
     addresses: readonly string[],
-    keepMs: number,
+    ttlMs: number,
   ): RawAnswer;
   formatDone(): RawAnswer;
   formatResults(page: submissions.ResultPage): RawAnswer;
@@ -225,7 +225,7 @@
 }
 
 /** A request ready to be sent. */
-export interface RawRequestWithBody extends RawRequest {
+export interface OutboundRequest extends RawRequest {
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string | undefined;
 }
--- a/src/dispatch/describe_steps.ts
+++ b/src/dispatch/describe_steps.ts
@@ -40,7 +40,7 @@
   tasks: readonly itemTasks.ItemTask[],
   servers: readonly registry.RegisteredServer[],
   context: DescribeStepsContext,
-): stepSchedule.StepSituation<itemTasks.ItemTask> {
+): stepSchedule.ScheduleInput<itemTasks.ItemTask> {
   const { nowMs, engines } = context;
   const medianIntervalMs = engines.getMedianIdleIntervalMs();
   const capacity = servers.reduce(
@@ -62,7 +62,7 @@
   const steps = [...tasksByStep.values()].flatMap((items) =>
     describeStep(items, loadedIntervalMs, context)
   );
-  return { nowMs, places: capacity, steps };
+  return { nowMs, capacity: capacity, steps };
 }
 
 function describeStep(
--- a/src/dispatch/dispatch_test.ts
+++ b/src/dispatch/dispatch_test.ts
@@ -152,13 +152,13 @@
     const task = taskFixtures.createTask("a", { minimumVersion: 2 });
     task.restore(texts, false);
     chai.expect(task.progress.getLastId()).to.equal(4);
-    chai.expect(task.progress.getKeptLastId()).to.equal(undefined);
+    chai.expect(task.progress.getStoredLastId()).to.equal(undefined);
     const whole = taskFixtures.createTask("a", { minimumVersion: 1 });
     whole.restore(texts, false);
     chai.expect(whole.phase).to.equal("scoring");
     const none = taskFixtures.createTask("a", { minimumVersion: 3 });
     none.restore(texts, false);
-    chai.expect(none.progress.countEvents()).to.equal(0);
+    chai.expect(none.progress.countLocalEvents()).to.equal(0);
   });
 
   describe("placement round", () => {
@@ -269,7 +269,7 @@
       for (let event = 0; event < 200; event += 1) {
         table.recordInterval(createEngine("a"), 120);
       }
-      clock.extendBy(100);
+      clock.advance(100);
       createMover().moveToFasterEngines(tasks);
       chai.expect(countMoved(tasks.slice(0, 1))).to.equal(1);
       chai.expect(countMoved(tasks.slice(1))).to.equal(0);
--- a/src/dispatch/dispatcher.ts
+++ b/src/dispatch/dispatcher.ts
@@ -43,7 +43,7 @@
   readonly servers: registry.ServerRegistry;
   readonly configuration: trafficConfig.ConfigurationHolder;
   readonly group: replicaGroups.ReplicaGroup;
-  readonly machine: submissions.SubmissionMachine;
+  readonly machine: submissions.SubmissionStateMachine;
   readonly engines: engineTables.EngineTable;
   readonly forwarder: forwarding.Forwarder;
   readonly crashGuard: itemCrashTrackers.ItemCrashTrackerOptions["crashGuard"];
@@ -181,14 +181,14 @@
   ): Promise<void> {
     const { engines, servers, dialect, clock, metrics } = this.#options;
     const { submission, item, progress, cancellation } = task;
-    const eventsBefore = progress.countMade();
+    const eventsBefore = progress.countGeneratedEvents();
     const runCancellation = new csp.Cancellation();
     task.startRun({
       engine: engine.lifetime,
       cancellation: runCancellation,
       startedAtMs: clock.getMonotonicMs(),
     });
-    cancellation.add(() => runCancellation.cancel());
+    cancellation.addListener(() => runCancellation.cancel());
     const stopWatching = servers.watch(
       engine.lifetime,
       () => {
@@ -209,7 +209,7 @@
       minimumVersion: submission.minimumVersion,
       isSingleVersion: submission.terms.isSingleVersion,
       progress,
-      stallMs: engines.getLoadingModel(engine.lifetime) === undefined
+      stallTimeoutMs: engines.getLoadingModel(engine.lifetime) === undefined
         ? STALL_TIMEOUT_MS
         : LOADING_STALL_TIMEOUT_MS,
       cancellation: runCancellation,
@@ -255,7 +255,7 @@
       item: task.item.id,
       server: engine.id,
       born: engine.born,
-      events: task.progress.countMade(),
+      events: task.progress.countGeneratedEvents(),
     });
     cancellation.cancel();
   }
@@ -268,7 +268,7 @@
   #handleRunEnd(
     task: itemTasks.ItemTask,
     engine: registry.RegisteredServer,
-    end: itemRuns.RunEnd,
+    end: itemRuns.RunOutcome,
   ): void {
     if (end.kind !== "finished") this.#reportRunEnd(task, engine, end);
     switch (end.kind) {
@@ -285,7 +285,7 @@
         if (task.recordImpossible()) return this.#itemFinisher.giveUp(task);
         break;
       case "notRun":
-        if (end.isOther) this.#options.servers.markUnavailable(engine);
+        if (end.isWrongServer) this.#options.servers.markUnavailable(engine);
         this.#options.engines.avoid(engine.lifetime);
         break;
       case "broken":
@@ -302,7 +302,7 @@
   #reportRunEnd(
     task: itemTasks.ItemTask,
     engine: registry.RegisteredServer,
-    end: itemRuns.RunEnd,
+    end: itemRuns.RunOutcome,
   ): void {
     this.#options.log.write("info", "item.runEnded", {
       item: task.item.id,
@@ -312,7 +312,7 @@
       reason: "reason" in end ? end.reason : undefined,
       closed: end.kind === "broken" ? end.isClosed : undefined,
       work: end.kind === "broken" ? task.getWorkDigest() : undefined,
-      events: task.progress.countEvents(),
+      events: task.progress.countLocalEvents(),
     });
   }
 }
@@ -325,11 +325,11 @@
 }
 
 /** Tells whether a run ended without a final response from its engine. */
-function isInterrupted(end: itemRuns.RunEnd): boolean {
+function isInterrupted(end: itemRuns.RunOutcome): boolean {
   return end.kind === "broken" || end.kind === "notRun";
 }
 
 /** Tells whether the end of a run counts as a success of its engine. */
-function isEngineSuccess(end: itemRuns.RunEnd): boolean {
+function isEngineSuccess(end: itemRuns.RunOutcome): boolean {
   return end.kind === "finished" || end.kind === "impossible";
 }
--- a/src/dispatch/dispatcher_test.ts
+++ b/src/dispatch/dispatcher_test.ts
@@ -21,7 +21,7 @@
   versionField: "version",
   createForwardHeaders: (
     headers: dialects.HeaderMap,
-    marks: dialects.ForwardMarks,
+    marks: dialects.ForwardMetadata,
   ) => ({ ...headers, id: marks.requestId }),
   parseAnswerHead: (headers: dialects.HeaderMap) => ({
     requestId: headers["id"],
@@ -62,11 +62,11 @@
 
 /** A single-replica group whose role and quorum are set by the test. */
 class FakeGroup {
-  readonly #machine: submissions.SubmissionMachine;
+  readonly #machine: submissions.SubmissionStateMachine;
   isLeader = true;
   hasQuorum = true;
 
-  constructor(machine: submissions.SubmissionMachine) {
+  constructor(machine: submissions.SubmissionStateMachine) {
     this.#machine = machine;
   }
 
@@ -85,7 +85,7 @@
 
 describe("dispatcher", () => {
   let clock = new clocks.FakeClock();
-  let machine = new submissions.SubmissionMachine(() => {});
+  let machine = new submissions.SubmissionStateMachine(() => {});
   let group = new FakeGroup(machine);
   let dispatcher: dispatchers.Dispatcher;
   let servers = new registry.ServerRegistry(clock, 60_000);
@@ -111,7 +111,7 @@
   beforeEach(async () => {
     runs = [];
     clock = new clocks.FakeClock();
-    machine = new submissions.SubmissionMachine(() => {});
+    machine = new submissions.SubmissionStateMachine(() => {});
     machine.apply({ kind: "acceptSubmission", submission: SUBMISSION });
     group = new FakeGroup(machine);
     engines = new engineTables.EngineTable(clock);
@@ -150,14 +150,14 @@
   async function awaitListed(): Promise<void> {
     for (let turn = 0; turn < MAX_POLLS; turn += 1) {
       if (machine.get("s-1")?.results.length !== 0) return;
-      clock.extendBy(1);
+      clock.advance(1);
       await new Promise((resolve) => setTimeout(resolve, 1));
     }
   }
 
   it("continues runs while the quorum is briefly unavailable", async () => {
     group.hasQuorum = false;
-    clock.extendBy(500);
+    clock.advance(500);
     group.hasQuorum = true;
     runs[0]?.end("id: 2\ndata: b\n\n");
     await awaitListed();
@@ -192,7 +192,7 @@
     if (run === undefined) throw new Error("No run has started");
     const closed = awaitClosed(run);
     group.isLeader = false;
-    clock.extendBy(50);
+    clock.advance(50);
     await closed;
   });
 
@@ -201,8 +201,8 @@
     if (run === undefined) throw new Error("No run has started");
     const closed = awaitClosed(run);
     group.hasQuorum = false;
-    clock.extendBy(100);
-    clock.extendBy(2_100);
+    clock.advance(100);
+    clock.advance(2_100);
     await closed;
   });
 });
--- a/src/dispatch/item_crash_tracker.ts
+++ b/src/dispatch/item_crash_tracker.ts
@@ -18,7 +18,7 @@
 
 /** The end of a run, with the progress before it. */
 export interface EndedRun {
-  readonly end: itemRuns.RunEnd;
+  readonly end: itemRuns.RunOutcome;
   /** Number of the item's events before the run. */
   readonly eventsBefore: number;
 }
@@ -62,7 +62,10 @@
   ): Promise<void> {
     const { crashGuard } = this.#options;
     if (end.kind === "notRun") return;
-    if (end.kind === "broken" && task.progress.countMade() === eventsBefore) {
+    if (
+      end.kind === "broken" &&
+      task.progress.countGeneratedEvents() === eventsBefore
+    ) {
       if (end.isClosed) {
         await crashGuard.recordConnectionLoss(
           engine,
@@ -83,7 +86,7 @@
     engine: registry.RegisteredServer,
     eventsBefore: number,
   ): void {
-    if (task.progress.countMade() > eventsBefore) return;
+    if (task.progress.countGeneratedEvents() > eventsBefore) return;
     this.#options.crashGuard.recordCrash(engine, task.getWorkDescription());
   }
 }
--- a/src/dispatch/item_crash_tracker_test.ts
+++ b/src/dispatch/item_crash_tracker_test.ts
@@ -7,7 +7,7 @@
 import * as itemCrashTrackers from "./item_crash_tracker.ts";
 import * as taskFixtures from "./task_fixture_test.ts";
 
-const BROKEN: itemRuns.RunEnd = {
+const BROKEN: itemRuns.RunOutcome = {
   kind: "broken",
   reason: "socket hang up",
   isClosed: true,
@@ -34,8 +34,8 @@
 
   function endRun(
     engine: string,
-    end: itemRuns.RunEnd,
-    eventsBefore = task.progress.countMade(),
+    end: itemRuns.RunOutcome,
+    eventsBefore = task.progress.countGeneratedEvents(),
   ): Promise<void> {
     const server = serverFixtures.createServer(engine);
     return tracker.recordRunEnd(task, server, {
@@ -60,7 +60,7 @@
 
   it("allows runs as long as they generate events", async () => {
     for (const engine of ["i-1", "i-2", "i-3", "i-4"]) {
-      const eventsBefore = task.progress.countMade();
+      const eventsBefore = task.progress.countGeneratedEvents();
       const id = eventsBefore + 1;
       task.progress.add({ id, data: "x", version: 1 });
       await endRun(engine, BROKEN, eventsBefore);
--- a/src/dispatch/item_finisher.ts
+++ b/src/dispatch/item_finisher.ts
@@ -77,7 +77,7 @@
       versions: progress.listVersions(),
       score,
     };
-    const delta = { ...full, text: progress.getUnkeptText() };
+    const delta = { ...full, text: progress.getUnstoredText() };
     this.#recordResult(task, delta, full);
   }
 
@@ -106,7 +106,7 @@
     const { submission } = task;
     const keptLastId = delta === full
       ? undefined
-      : task.progress.getKeptLastId();
+      : task.progress.getStoredLastId();
     task.times.enter("done", clock.getMonotonicMs());
     const ageMs = clock.getWallMs() - submission.acceptedAtMs;
     metrics.recordItem(ageMs);
@@ -130,7 +130,7 @@
       groups: task.step.countCompleteGroups(),
       lastItem: item.id,
       hint: item.lengthHint,
-      events: progress.countMade(),
+      events: progress.countGeneratedEvents(),
       runs: task.countRuns(),
       ...times.getDurations(),
     });
--- a/src/dispatch/item_task.ts
+++ b/src/dispatch/item_task.ts
@@ -159,7 +159,7 @@
    * @param isSameSubmission Whether they were stored for this submission.
    */
   restore(
-    texts: readonly submissions.KeptText[],
+    texts: readonly submissions.StoredText[],
     isSameSubmission: boolean,
   ): void {
     const { minimumVersion, terms } = this.submission;
@@ -170,7 +170,7 @@
     if (usable === undefined) return;
     this.progress.restore(usable);
     if (usable.lastId === undefined) this.times.setInitialPhase("scoring");
-    else if (isSameSubmission) this.progress.setKept(usable.lastId);
+    else if (isSameSubmission) this.progress.markStored(usable.lastId);
   }
 
   /** Returns when all results of the submission are due, in wall time in ms. */
--- a/src/dispatch/length_estimator.ts
+++ b/src/dispatch/length_estimator.ts
@@ -33,7 +33,7 @@
   /** Updates the model's averages with an item whose text is complete. */
   recordLength(task: itemTasks.ItemTask): void {
     const model = task.getModel() ?? "";
-    const events = task.progress.countMade();
+    const events = task.progress.countGeneratedEvents();
     if (events === 0) return;
     const previous = this.#get(model);
     const hint = task.item.lengthHint;
@@ -53,7 +53,10 @@
     const expected = hint === undefined || hint <= 0
       ? meanEvents
       : hint * Math.exp(logEventsPerToken);
-    return estimateRemainingEvents(expected, task.progress.countMade());
+    return estimateRemainingEvents(
+      expected,
+      task.progress.countGeneratedEvents(),
+    );
   }
 
   #get(model: string): LengthStatistics {
--- a/src/dispatch/result_writer.ts
+++ b/src/dispatch/result_writer.ts
@@ -33,11 +33,11 @@
   #pending: readonly PendingResult[] = [];
   /** Number of discards; a batch in flight during one is not retried. */
   #discardCount = 0;
-  readonly #flushTimer: clocks.GatheredCall;
+  readonly #flushTimer: clocks.CoalescedCall;
 
   constructor(options: ResultWriterOptions) {
     this.#options = options;
-    this.#flushTimer = new clocks.GatheredCall({
+    this.#flushTimer = new clocks.CoalescedCall({
       clock: options.clock,
       delayMs: BATCH_DELAY_MS,
       action: () => void this.#flush(),
--- a/src/dispatch/run_mover.ts
+++ b/src/dispatch/run_mover.ts
@@ -76,7 +76,7 @@
         server: task.run?.engine,
         to: targetEngine.id,
         gainMs: Math.round(gainMs),
-        events: task.progress.countMade(),
+        events: task.progress.countGeneratedEvents(),
       });
       task.targetEngine = targetEngine.lifetime;
       task.run?.cancellation.cancel();
--- a/src/dispatch/shortage_reporter.ts
+++ b/src/dispatch/shortage_reporter.ts
@@ -39,11 +39,11 @@
   ): void {
     const { metrics } = this.#options;
     for (const trainer of this.#trainersByService.get(service) ?? []) {
-      if (plan.standings.has(trainer)) continue;
+      if (plan.groupCounts.has(trainer)) continue;
       metrics.setPlannedGroups(trainer, NO_GROUPS);
     }
-    this.#trainersByService.set(service, new Set(plan.standings.keys()));
-    for (const [trainer, groups] of plan.standings) {
+    this.#trainersByService.set(service, new Set(plan.groupCounts.keys()));
+    for (const [trainer, groups] of plan.groupCounts) {
       metrics.setPlannedGroups(trainer, groups);
       if (groups.late > 0) {
         this.#reportShortage(service, trainer, groups, capacity);
@@ -54,7 +54,7 @@
   #reportShortage(
     service: string,
     trainer: string,
-    groups: Readonly<Record<stepSchedule.GroupStanding, number>>,
+    groups: Readonly<Record<stepSchedule.GroupStatus, number>>,
     capacity: number,
   ): void {
     const { clock, log } = this.#options;
--- a/src/dispatch/task_table.ts
+++ b/src/dispatch/task_table.ts
@@ -5,11 +5,14 @@
 
 /** Tasks for the items of open submissions. */
 export class TaskTable {
-  readonly #machine: submissions.SubmissionMachine;
+  readonly #machine: submissions.SubmissionStateMachine;
   readonly #clock: clocks.Clock;
   readonly #tasks = new Map<string, Map<string, itemTasks.ItemTask>>();
 
-  constructor(machine: submissions.SubmissionMachine, clock: clocks.Clock) {
+  constructor(
+    machine: submissions.SubmissionStateMachine,
+    clock: clocks.Clock,
+  ) {
     this.#machine = machine;
     this.#clock = clock;
   }
@@ -47,7 +50,7 @@
   #addRecord(
     record: submissions.SubmissionRecord,
   ): readonly itemTasks.ItemTask[] {
-    const { submission, listed } = record;
+    const { submission, resultIds: listed } = record;
     const carriedItems = this.#listCarriedItems(submission);
     const step = new stepProgress.StepProgress(
       submission,
@@ -82,7 +85,7 @@
   ): itemTasks.ItemTask {
     const nowMs = this.#clock.getMonotonicMs();
     const task = new itemTasks.ItemTask(record.submission, item, step, nowMs);
-    const keptText = record.kept.get(item.id);
+    const keptText = record.storedTexts.get(item.id);
     if (keptText !== undefined) task.restore([keptText], true);
     else task.restore(this.#machine.findTexts(item.id), false);
     return task;
--- a/src/dispatch/text_replicator.ts
+++ b/src/dispatch/text_replicator.ts
@@ -26,7 +26,7 @@
     if (this.#isBusy) return;
     const parts = tasks.filter((task) =>
       task.phase === "running" &&
-      task.progress.countUnkept() >= MIN_UNREPLICATED_EVENTS
+      task.progress.countUnstoredEvents() >= MIN_UNREPLICATED_EVENTS
     ).flatMap(createPart);
     if (parts.length === 0) return;
     this.#isBusy = true;
@@ -52,28 +52,28 @@
   readonly progress: itemRuns.TextProgress;
   /** Reset count of the text; differs if the text was reset meanwhile. */
   readonly resetCount: number;
-  readonly text: submissions.TextToKeep;
+  readonly text: submissions.TextToStore;
 }
 
 function markKept({ progress, resetCount, text }: TextPart): void {
-  if (progress.countBeginnings() === resetCount) progress.setKept(text.lastId);
+  if (progress.countResets() === resetCount) progress.markStored(text.lastId);
 }
 
 function forgetKept({ progress }: TextPart): void {
-  progress.forgetKept();
+  progress.clearStored();
 }
 
 function createPart(task: itemTasks.ItemTask): readonly TextPart[] {
   const { progress, submission, item } = task;
   const lastId = progress.getLastId();
   if (lastId === undefined) return [];
-  const text: submissions.TextToKeep = {
+  const text: submissions.TextToStore = {
     submission: submission.id,
     item: item.id,
-    afterId: progress.getKeptLastId(),
-    text: progress.getUnkeptText(),
+    afterId: progress.getStoredLastId(),
+    text: progress.getUnstoredText(),
     lastId,
     versions: progress.listVersions(),
   };
-  return [{ progress, resetCount: progress.countBeginnings(), text }];
+  return [{ progress, resetCount: progress.countResets(), text }];
 }
--- a/src/dispatch/waiting_order.ts
+++ b/src/dispatch/waiting_order.ts
@@ -95,7 +95,7 @@
       input,
       stepSchedule.DEFAULT_POLICY,
     );
-    this.#shortageReporter.reportPlan(service, plan, input.places);
+    this.#shortageReporter.reportPlan(service, plan, input.capacity);
     const ordered = new Set(plan.items.map(({ work }) => work));
     const expiresAtMs = this.#options.clock.getMonotonicMs() +
       tasks.length * PLAN_LIFETIME_PER_ITEM_MS;
@@ -119,14 +119,14 @@
     minAvailableMs: number,
   ): number {
     const input = this.#describe(service, tasks, () => false);
-    return stepSchedule.countNeededPlaces(input, minAvailableMs);
+    return stepSchedule.computeRequiredSlots(input, minAvailableMs);
   }
 
   #describe(
     service: string,
     tasks: readonly itemTasks.ItemTask[],
     canStart: (task: itemTasks.ItemTask) => boolean,
-  ): stepSchedule.StepSituation<itemTasks.ItemTask> {
+  ): stepSchedule.ScheduleInput<itemTasks.ItemTask> {
     const { clock, engines, lengths, servers } = this.#options;
     return describeSteps.describeSteps(tasks, servers.listReady(service), {
       nowMs: clock.getWallMs(),
--- a/src/dispatch/waiting_order_test.ts
+++ b/src/dispatch/waiting_order_test.ts
@@ -77,14 +77,14 @@
       (_, index) => createTask(`t${index}`, 40),
     );
     list(tasks);
-    clock.extendBy(500);
+    clock.advance(500);
     list(tasks);
     chai.expect(loggedEvents).to.deep.equal(["steps.short"]);
-    clock.extendBy(2_000);
+    clock.advance(2_000);
     list(tasks);
     chai.expect(loggedEvents).to.deep.equal(["steps.short", "steps.short"]);
     chai.expect([...gauges.values()].some((late) => late > 0)).to.equal(true);
-    clock.extendBy(100);
+    clock.advance(100);
     list([createTask("alone", 20)]);
     chai.expect([...gauges.values()].every((late) => late === 0)).to.equal(
       true,
@@ -116,7 +116,7 @@
       10 * 50 * 46 / 6_800,
       0.05,
     );
-    clock.extendBy(20_000);
+    clock.advance(20_000);
     chai.expect(order.computeRequiredSlots("lm", tasks, 4_000)).to.be.closeTo(
       10 * 50 * 46 / 4_000,
       0.05,
@@ -125,7 +125,7 @@
 });
 
 describe("task table", () => {
-  const machine = new submissions.SubmissionMachine(() => {});
+  const machine = new submissions.SubmissionStateMachine(() => {});
   const draft = taskFixtures.createTask("x").submission;
 
   function accept(step: number, model: string, items: readonly string[]): void {
--- a/src/duty/duty_client.ts
+++ b/src/duty/duty_client.ts
@@ -23,7 +23,7 @@
  */
 export async function sendDutyCall(
   endpoint: fleetSettings.Endpoint,
-  request: dialects.RawRequestWithBody,
+  request: dialects.OutboundRequest,
 ): Promise<DutyCallOutcome> {
   const { method, target, headers, body } = request;
   const sent = await httpClient.sendRequest({
--- a/src/duty/duty_lease.ts
+++ b/src/duty/duty_lease.ts
@@ -117,7 +117,7 @@
     const command: NoteHolder = { kind: "noteHolder", box };
     const claimed = await group.propose(command, CLAIM_TIMEOUT_MS);
     this.#isClaiming = false;
-    metrics.countClaim(claimed.kind);
+    metrics.countDutyClaim(claimed.kind);
     log.write("info", "duties.claimed", {
       fence: group.getTerm(),
       former: previousHolder,
--- a/src/duty/duty_lease_test.ts
+++ b/src/duty/duty_lease_test.ts
@@ -107,7 +107,7 @@
   /** Advances the clock in steps, so that timers and promises alternate. */
   async function wait(ms: number): Promise<void> {
     for (let left = ms; left > 0; left -= 20) {
-      clock.extendBy(20);
+      clock.advance(20);
       await Promise.resolve();
     }
   }
--- a/src/engine/cache_events.ts
+++ b/src/engine/cache_events.ts
@@ -1,12 +1,12 @@
 import * as zlib from "node:zlib";
 import * as z from "zod";
-import type * as backends from "../backend_server/mod.ts";
+import type * as backendServers from "../backend_server/mod.ts";
 import * as httpClient from "../http_client/mod.ts";
 import * as results from "../results/mod.ts";
 
-const TIMEOUT_MS = 800;
+const CALL_TIMEOUT_MS = 800;
 /** Characters of a prompt that engines hash as its prefix. */
-const PREFIX_CHARACTERS = 32;
+const PREFIX_LENGTH = 32;
 
 const eventsSchema = z.object({
   events: z.array(
@@ -28,7 +28,7 @@
  * @returns CRC-32 of its first 32 characters, in hex.
  */
 export function hashPrefix(prompt: string): string {
-  return zlib.crc32(prompt.slice(0, PREFIX_CHARACTERS)).toString(16);
+  return zlib.crc32(prompt.slice(0, PREFIX_LENGTH)).toString(16);
 }
 
 /**
@@ -40,14 +40,14 @@
  * @returns The events after it, in order.
  */
 export async function readCacheEvents(
-  server: backends.BackendServer,
+  server: backendServers.BackendServer,
   after: number,
 ): Promise<results.Result<readonly CacheEvent[]>> {
   const answer = await httpClient.sendJson({
     baseUrl: `http://${server.address}:${server.port}`,
     path: `/v1/cache-events?after=${after}`,
     method: "GET",
-    timeoutMs: TIMEOUT_MS,
+    timeoutMs: CALL_TIMEOUT_MS,
   });
   if (answer.kind === "failure") return answer;
   const parsed = eventsSchema.safeParse(answer.value.json);
--- a/src/engine/engine_client.ts
+++ b/src/engine/engine_client.ts
@@ -1,5 +1,5 @@
 import * as z from "zod";
-import * as backends from "../backend_server/mod.ts";
+import * as backendServers from "../backend_server/mod.ts";
 import * as httpClient from "../http_client/mod.ts";
 import * as results from "../results/mod.ts";
 
@@ -12,7 +12,7 @@
   queued: z.number().int(),
   slots: z.number().int().positive(),
   isSwapping: z.boolean().default(false),
-  role: z.enum(backends.SERVER_ROLES).default("mixed"),
+  role: z.enum(backendServers.SERVER_ROLES).default("mixed"),
 }).readonly();
 
 /** What a backend server reports of itself. */
@@ -25,7 +25,7 @@
     readonly model: string;
     readonly weightVersion: number;
   }
-  | { readonly kind: "setRole"; readonly role: backends.ServerRole };
+  | { readonly kind: "setRole"; readonly role: backendServers.ServerRole };
 
 /** An order to an engine. */
 export interface EngineOrder {
@@ -37,7 +37,7 @@
 }
 
 const STATUS_TIMEOUT_MS = 800;
-const CONFLICT = 409;
+const CONFLICT_STATUS = 409;
 
 /**
  * Reads a backend server's report: `GET /v1/status`.
@@ -46,7 +46,7 @@
  * @returns Its report, or `connectFailed`.
  */
 export async function readReport(
-  server: backends.BackendServer,
+  server: backendServers.BackendServer,
 ): Promise<results.Result<ServerReport>> {
   const answer = await httpClient.sendJson({
     baseUrl: formatUrl(server),
@@ -72,7 +72,7 @@
  * newer fencing number; `backendFailed` if the load failed.
  */
 export async function sendOrder(
-  server: backends.BackendServer,
+  server: backendServers.BackendServer,
   order: EngineOrder,
 ): Promise<results.Result<undefined>> {
   const answer = await httpClient.sendJson({
@@ -88,7 +88,7 @@
   });
   if (answer.kind === "failure") return answer;
   if (answer.value.status === 200) return results.createOk(undefined);
-  if (answer.value.status === CONFLICT) {
+  if (answer.value.status === CONFLICT_STATUS) {
     return results.createFailure(
       "notLeader",
       `Cannot order ${server.id}: it has seen a newer fencing number`,
@@ -100,7 +100,7 @@
   );
 }
 
-function formatUrl(server: backends.BackendServer): string {
+function formatUrl(server: backendServers.BackendServer): string {
   return `http://${server.address}:${server.port}`;
 }
 
--- a/src/engine/event_reader.ts
+++ b/src/engine/event_reader.ts
@@ -1,7 +1,7 @@
 import * as eventSource from "eventsource-parser";
 import * as z from "zod";
 
-const END_MARK = "[DONE]";
+const END_MARKER = "[DONE]";
 
 const chunkSchema = z.object({
   weight_version: z.number().int().optional(),
@@ -27,13 +27,13 @@
   readonly #decoder = new TextDecoder();
   readonly #onEvent: (event: CompletionEvent) => void;
   #isEnded = false;
-  #fault: string | undefined;
+  #error: string | undefined;
 
   /** @param onEvent Receives each event before the end mark. */
   constructor(onEvent: (event: CompletionEvent) => void) {
     this.#onEvent = onEvent;
     this.#parser = eventSource.createParser({
-      onEvent: (event) => this.#readEvent(event.data),
+      onEvent: (event) => this.#handleEvent(event.data),
     });
   }
 
@@ -44,22 +44,22 @@
 
   /** Whether the end mark came and all before it could be read. */
   isEnded(): boolean {
-    return this.#isEnded && this.#fault === undefined;
+    return this.#isEnded && this.#error === undefined;
   }
 
   /** What could not be read, if anything. */
-  getFault(): string | undefined {
-    return this.#fault;
+  getError(): string | undefined {
+    return this.#error;
   }
 
-  #readEvent(data: string): void {
-    if (this.#isEnded || this.#fault !== undefined) return;
-    if (data === END_MARK) {
+  #handleEvent(data: string): void {
+    if (this.#isEnded || this.#error !== undefined) return;
+    if (data === END_MARKER) {
       this.#isEnded = true;
       return;
     }
     const event = parseEvent(data);
-    if (event === undefined) this.#fault = "an event can't be read";
+    if (event === undefined) this.#error = "an event can't be read";
     else this.#onEvent(event);
   }
 }
--- a/src/engine/stream_completion.ts
+++ b/src/engine/stream_completion.ts
@@ -1,4 +1,4 @@
-import type * as backends from "../backend_server/mod.ts";
+import type * as backendServers from "../backend_server/mod.ts";
 import type * as csp from "../csp/mod.ts";
 import * as httpClient from "../http_client/mod.ts";
 import * as eventReaders from "./event_reader.ts";
@@ -23,7 +23,7 @@
 }
 
 /** How one engine's stream ended. */
-export type StreamEnd =
+export type StreamOutcome =
   | { readonly kind: "finished"; readonly reason: string }
   /** Nothing was sent to the engine. */
   | { readonly kind: "notSent"; readonly message: string }
@@ -41,21 +41,21 @@
 /** Follows one completion on one engine. */
 class CompletionStream implements httpClient.ExchangeListener {
   readonly #options: StreamOptions;
-  readonly #resolve: (end: StreamEnd) => void;
+  readonly #resolve: (end: StreamOutcome) => void;
   readonly #reader: eventReaders.EventReader;
   #status = 0;
-  #reason: string | undefined;
+  #finishReason: string | undefined;
   #hasUnknownVersion = false;
 
-  constructor(options: StreamOptions, resolve: (end: StreamEnd) => void) {
+  constructor(options: StreamOptions, resolve: (end: StreamOutcome) => void) {
     this.#options = options;
     this.#resolve = resolve;
     this.#reader = new eventReaders.EventReader((event) =>
-      this.#takeEvent(event)
+      this.#handleEvent(event)
     );
   }
 
-  onHead(head: httpClient.HttpHead): void {
+  onHead(head: httpClient.ResponseHead): void {
     this.#status = head.status;
   }
 
@@ -68,12 +68,12 @@
       return this.#resolve({ kind: "refused", status: this.#status });
     }
     if (
-      this.#reader.isEnded() && this.#reason !== undefined &&
+      this.#reader.isEnded() && this.#finishReason !== undefined &&
       !this.#hasUnknownVersion
     ) {
-      return this.#resolve({ kind: "finished", reason: this.#reason });
+      return this.#resolve({ kind: "finished", reason: this.#finishReason });
     }
-    const message = this.#reader.getFault() ?? "the stream ended early";
+    const message = this.#reader.getError() ?? "the stream ended early";
     this.#resolve({ kind: "broken", message });
   }
 
@@ -83,9 +83,9 @@
   }
 
   /** A token whose weight version is not told can't name its origin. */
-  #takeEvent(event: eventReaders.CompletionEvent): void {
+  #handleEvent(event: eventReaders.CompletionEvent): void {
     const { tokenIds, text, weightVersion, finishReason } = event;
-    if (finishReason !== null) this.#reason = finishReason;
+    if (finishReason !== null) this.#finishReason = finishReason;
     if (weightVersion === undefined || this.#hasUnknownVersion) {
       this.#hasUnknownVersion = true;
       return;
@@ -106,10 +106,10 @@
  * @returns How the stream ended; tokens were given before.
  */
 export function streamCompletion(
-  server: backends.BackendServer,
+  server: backendServers.BackendServer,
   request: CompletionRequest,
   options: StreamOptions,
-): Promise<StreamEnd> {
+): Promise<StreamOutcome> {
   const body = JSON.stringify({
     model: request.model,
     prompt: request.prompt,
--- a/src/fleet/_configuration_news.ts
+++ b/src/fleet/_configuration_sync.ts
@@ -1,48 +1,49 @@
 import type * as logs from "../log/mod.ts";
 import type * as trafficConfig from "../traffic_config/mod.ts";
-import * as news from "./news.ts";
+import * as protocol from "./protocol.ts";
 import type * as peerPools from "./peer_pool.ts";
 
 /** Longest wait for a configuration that another box holds, in ms. */
-const CALL_MS = 1_000;
+const CALL_TIMEOUT_MS = 1_000;
 
 /** What the news of configurations need. */
-export interface ConfigurationNewsOptions {
+export interface ConfigurationSyncOptions {
   readonly log: logs.Log;
   readonly configuration: trafficConfig.ConfigurationHolder;
   readonly peers: peerPools.Peers;
   /** Told when a newer one was taken. */
-  readonly onTaken: () => void;
+  readonly onUpdated: () => void;
 }
 
 /** Takes newer configurations from other boxes. */
-export class ConfigurationNews {
-  readonly #options: ConfigurationNewsOptions;
+export class ConfigurationSync {
+  readonly #options: ConfigurationSyncOptions;
   #isFetching = false;
 
-  constructor(options: ConfigurationNewsOptions) {
+  constructor(options: ConfigurationSyncOptions) {
     this.#options = options;
   }
 
   /** Takes a configuration if it is newer than the one that is held. */
   offer(stored: trafficConfig.StoredConfiguration | undefined): void {
     if (stored === undefined) return;
-    const { configuration, onTaken } = this.#options;
-    if (configuration.update(stored)) onTaken();
+    const { configuration, onUpdated: onUpdated } = this.#options;
+    if (configuration.update(stored)) onUpdated();
   }
 
   /** Asks the sender for the configuration when it holds a newer one. */
-  fetchIfBehind(
-    message: Pick<news.News, "from" | "configurationVersion">,
+  fetchIfOutdated(
+    message: Pick<protocol.GossipMessage, "from" | "configurationVersion">,
   ): void {
     const { configuration, peers, log } = this.#options;
-    const isBehind = message.configurationVersion > configuration.getVersion();
-    if (!isBehind || this.#isFetching) return;
+    const isOutdated =
+      message.configurationVersion > configuration.getVersion();
+    if (!isOutdated || this.#isFetching) return;
     this.#isFetching = true;
-    peers.get(message.from).call<Pick<news.SyncReply, "configuration">>(
-      news.METHODS.readConfiguration,
+    peers.get(message.from).call<Pick<protocol.SyncReply, "configuration">>(
+      protocol.METHODS.readConfiguration,
       {},
-      CALL_MS,
+      CALL_TIMEOUT_MS,
     ).then((reply) => this.offer(reply.configuration))
       .catch((error: Error) =>
         log.write("warn", "configuration.unread", { message: error.message })
--- a/src/fleet/_crash_news.ts
+++ b/src/fleet/_crash_sync.ts
@@ -1,7 +1,7 @@
 import * as crashRecords from "../crash_record/mod.ts";
 
 /** What the news of crashes need. */
-export interface CrashNewsOptions {
+export interface CrashSyncOptions {
   readonly crashTable: crashRecords.CrashTable;
   /** Takes what others know; true where it was not known here. */
   readonly learnCrash: (record: crashRecords.CrashRecord) => boolean;
@@ -9,18 +9,18 @@
   readonly onLearned: (record: crashRecords.CrashRecord) => void;
 }
 
-const NONE: readonly crashRecords.CrashRecord[] = [];
+const NO_RECORDS: readonly crashRecords.CrashRecord[] = [];
 
 /** Takes from other boxes which work servers ended under. */
-export class CrashNews {
-  readonly #options: CrashNewsOptions;
+export class CrashSync {
+  readonly #options: CrashSyncOptions;
 
-  constructor(options: CrashNewsOptions) {
+  constructor(options: CrashSyncOptions) {
     this.#options = options;
   }
 
   /** Takes records; undefined from a box of a version before. */
-  take(records: readonly crashRecords.CrashRecord[] = NONE): void {
+  merge(records: readonly crashRecords.CrashRecord[] = NO_RECORDS): void {
     const { learnCrash, onLearned } = this.#options;
     for (const record of records) {
       if (learnCrash(record)) onLearned(record);
@@ -30,17 +30,17 @@
   /**
    * Takes all that another box knows.
    *
-   * @param theirs Its records; undefined where both knew the same.
+   * @param peerRecords Its records; undefined where both knew the same.
    * @returns What it does not know.
    */
-  compare(
-    theirs: readonly crashRecords.CrashRecord[] | undefined,
+  reconcile(
+    peerRecords: readonly crashRecords.CrashRecord[] | undefined,
   ): readonly crashRecords.CrashRecord[] {
-    if (theirs === undefined) return NONE;
-    this.take(theirs);
-    const known = new Set(theirs.map(crashRecords.createRecordKey));
+    if (peerRecords === undefined) return NO_RECORDS;
+    this.merge(peerRecords);
+    const peerKeys = new Set(peerRecords.map(crashRecords.createRecordKey));
     return this.#options.crashTable.list().filter((record) =>
-      !known.has(crashRecords.createRecordKey(record))
+      !peerKeys.has(crashRecords.createRecordKey(record))
     );
   }
 }
--- a/src/fleet/_relay.ts
+++ b/src/fleet/_relay.ts
@@ -2,10 +2,10 @@
 import type * as crashRecords from "../crash_record/mod.ts";
 import type * as registry from "../registry/mod.ts";
 import type * as boxRecords from "./box_record.ts";
-import type * as news from "./news.ts";
+import type * as protocol from "./protocol.ts";
 
 /** Between two relays of refreshes to subscribers, in ms. */
-const REFRESH_MS = 250;
+const REFRESH_INTERVAL_MS = 250;
 /**
  * Relays of refreshes to subscribers for each one to the other core boxes.
  * Plain boxes tell every core box of themselves, so another core box needs the
@@ -14,25 +14,25 @@
  * relays between core boxes carried 5 of the 10 MB of refreshes that crossed
  * failure domains in 50 s.
  */
-const RELAYS_PER_CORE_RELAY = 4;
+const CORE_RELAY_INTERVALS = 4;
 /**
  * Time for which changes are gathered, in ms. When many boxes start at once
  * each tells of itself; one message then carries tens of records.
  */
-const GATHER_MS = 30;
+const BATCH_DELAY_MS = 30;
 /** How long a subscription lasts, in ms; renewed by each refresh of a box. */
-const LEASE_MS = 2_000;
+const SUBSCRIPTION_MS = 2_000;
 
 /** What a relay needs. */
 export interface RelayOptions {
   readonly clock: clocks.Clock;
   /** Makes news of this box that say nothing yet. */
-  readonly createNews: () => news.News;
+  readonly createMessage: () => protocol.GossipMessage;
   /** Refresh of this box's own record. */
-  readonly getOwnRefresh: () => news.BoxRefresh;
+  readonly getOwnRefresh: () => protocol.BoxRefresh;
   /** Ids of the other core boxes. */
-  readonly listCore: () => readonly string[];
-  readonly tell: (id: string, message: news.News) => void;
+  readonly listCoreIds: () => readonly string[];
+  readonly send: (id: string, message: protocol.GossipMessage) => void;
 }
 
 /**
@@ -43,19 +43,19 @@
 export class Relay {
   readonly #options: RelayOptions;
   readonly #subscribers = new Map<string, number>();
-  readonly #forSubscribers = new RefreshBatch();
-  readonly #forCore = new RefreshBatch();
-  readonly #boxes = new Map<string, boxRecords.BoxRecord>();
-  readonly #servers = new Map<string, registry.ServerReport>();
-  readonly #flushSoon: clocks.GatheredCall;
-  #turn = 0;
+  readonly #subscriberRefreshes = new RefreshBatch();
+  readonly #coreRefreshes = new RefreshBatch();
+  readonly #queuedBoxes = new Map<string, boxRecords.BoxRecord>();
+  readonly #queuedServers = new Map<string, registry.ServerReport>();
+  readonly #delayedFlush: clocks.CoalescedCall;
+  #round = 0;
   #isStopped = false;
 
   constructor(options: RelayOptions) {
     this.#options = options;
-    this.#flushSoon = new clocks.GatheredCall({
+    this.#delayedFlush = new clocks.CoalescedCall({
       clock: options.clock,
-      delayMs: GATHER_MS,
+      delayMs: BATCH_DELAY_MS,
       action: () => this.#flush(),
     });
   }
@@ -63,28 +63,29 @@
   /** Begins to pass refreshes on. */
   start(): void {
     if (this.#isStopped) return;
-    const { clock, listCore } = this.#options;
-    const core = listCore();
-    this.#turn += 1;
-    if (this.#turn % RELAYS_PER_CORE_RELAY === 0) {
-      this.#tellBatch(this.#forCore, core);
+    const { clock, listCoreIds: listCoreIds } = this.#options;
+    const coreIds = listCoreIds();
+    this.#round += 1;
+    if (this.#round % CORE_RELAY_INTERVALS === 0) {
+      this.#sendBatch(this.#coreRefreshes, coreIds);
     }
-    const subscribers = this.listSubscribers().filter((id) =>
-      !core.includes(id)
+    const subscriberIds = this.listSubscribers().filter((id) =>
+      !coreIds.includes(id)
     );
-    this.#tellBatch(this.#forSubscribers, subscribers);
-    clock.startTimer(REFRESH_MS, () => this.start());
+    this.#sendBatch(this.#subscriberRefreshes, subscriberIds);
+    clock.startTimer(REFRESH_INTERVAL_MS, () => this.start());
   }
 
-  #tellBatch(batch: RefreshBatch, targets: readonly string[]): void {
-    const { createNews, getOwnRefresh, tell } = this.#options;
-    const { boxRefreshes, serverRefreshes } = batch.take();
-    const message: news.News = {
-      ...createNews(),
+  #sendBatch(batch: RefreshBatch, targets: readonly string[]): void {
+    const { createMessage: createMessage, getOwnRefresh, send: send } =
+      this.#options;
+    const { boxRefreshes, serverRefreshes } = batch.drain();
+    const message: protocol.GossipMessage = {
+      ...createMessage(),
       boxRefreshes: [...boxRefreshes, getOwnRefresh()],
       serverRefreshes,
     };
-    for (const id of targets) tell(id, message);
+    for (const id of targets) send(id, message);
   }
 
   stop(): void {
@@ -93,82 +94,82 @@
 
   /** Notes that a box wants to hear from this one for a while. */
   subscribe(id: string): void {
-    const untilMs = this.#options.clock.getMonotonicMs() + LEASE_MS;
-    this.#subscribers.set(id, untilMs);
+    const expiresAtMs = this.#options.clock.getMonotonicMs() + SUBSCRIPTION_MS;
+    this.#subscribers.set(id, expiresAtMs);
   }
 
   /** Ids of the boxes that chose this one. */
   listSubscribers(): readonly string[] {
     const nowMs = this.#options.clock.getMonotonicMs();
-    for (const [id, untilMs] of this.#subscribers) {
-      if (untilMs <= nowMs) this.#subscribers.delete(id);
+    for (const [id, expiresAtMs] of this.#subscribers) {
+      if (expiresAtMs <= nowMs) this.#subscribers.delete(id);
     }
     return [...this.#subscribers.keys()];
   }
 
-  refreshBox(refresh: news.BoxRefresh): void {
-    this.#forSubscribers.addBox(refresh);
-    this.#forCore.addBox(refresh);
+  refreshBox(refresh: protocol.BoxRefresh): void {
+    this.#subscriberRefreshes.addBox(refresh);
+    this.#coreRefreshes.addBox(refresh);
   }
 
-  refreshServer(refresh: news.ServerRefresh): void {
-    this.#forSubscribers.addServer(refresh);
-    this.#forCore.addServer(refresh);
+  refreshServer(refresh: protocol.ServerRefresh): void {
+    this.#subscriberRefreshes.addServer(refresh);
+    this.#coreRefreshes.addServer(refresh);
   }
 
   /** Passes a changed record on, soon. */
   addBox(box: boxRecords.BoxRecord): void {
-    this.#boxes.set(box.id, box);
-    this.#flushSoon.schedule();
+    this.#queuedBoxes.set(box.id, box);
+    this.#delayedFlush.schedule();
   }
 
   /** Passes a changed report on; at once where the server takes no more. */
   addServer(server: registry.ServerReport): void {
-    this.#servers.set(server.id, server);
-    if (server.phase === "ready") this.#flushSoon.schedule();
+    this.#queuedServers.set(server.id, server);
+    if (server.phase === "ready") this.#delayedFlush.schedule();
     else this.#flush();
   }
 
   /** Passes on at once that servers ended under a piece of work. */
   addCrash(record: crashRecords.CrashRecord): void {
     if (this.#isStopped) return;
-    this.#tellTargets({ ...this.#options.createNews(), crashes: [record] });
+    this.#broadcast({ ...this.#options.createMessage(), crashes: [record] });
   }
 
   #flush(): void {
     if (this.#isStopped) return;
-    if (this.#boxes.size === 0 && this.#servers.size === 0) return;
-    this.#tellTargets({
-      ...this.#options.createNews(),
-      boxes: [...this.#boxes.values()],
-      servers: [...this.#servers.values()],
+    if (this.#queuedBoxes.size === 0 && this.#queuedServers.size === 0) return;
+    this.#broadcast({
+      ...this.#options.createMessage(),
+      boxes: [...this.#queuedBoxes.values()],
+      servers: [...this.#queuedServers.values()],
     });
-    this.#boxes.clear();
-    this.#servers.clear();
+    this.#queuedBoxes.clear();
+    this.#queuedServers.clear();
   }
 
-  #tellTargets(message: news.News): void {
-    const { listCore, tell } = this.#options;
-    const targets = new Set([...this.listSubscribers(), ...listCore()]);
-    for (const id of targets) tell(id, message);
+  #broadcast(message: protocol.GossipMessage): void {
+    const { listCoreIds: listCoreIds, send: send } = this.#options;
+    const targets = new Set([...this.listSubscribers(), ...listCoreIds()]);
+    for (const id of targets) send(id, message);
   }
 }
 
 /** The newest refresh of each box and server since the last relay. */
 class RefreshBatch {
-  readonly #boxes = new Map<string, news.BoxRefresh>();
-  readonly #servers = new Map<string, news.ServerRefresh>();
+  readonly #boxes = new Map<string, protocol.BoxRefresh>();
+  readonly #servers = new Map<string, protocol.ServerRefresh>();
 
-  addBox(refresh: news.BoxRefresh): void {
+  addBox(refresh: protocol.BoxRefresh): void {
     this.#boxes.set(refresh.id, refresh);
   }
 
-  addServer(refresh: news.ServerRefresh): void {
+  addServer(refresh: protocol.ServerRefresh): void {
     this.#servers.set(refresh.id, refresh);
   }
 
   /** Gives what was gathered and begins anew. */
-  take(): Pick<news.News, "boxRefreshes" | "serverRefreshes"> {
+  drain(): Pick<protocol.GossipMessage, "boxRefreshes" | "serverRefreshes"> {
     const boxRefreshes = [...this.#boxes.values()];
     const serverRefreshes = [...this.#servers.values()];
     this.#boxes.clear();
--- a/src/fleet/_known_digest.ts
+++ b/src/fleet/_state_digest.ts
@@ -11,7 +11,7 @@
  * @param servers All remembered servers.
  * @returns The digest.
  */
-export function computeKnownDigest(
+export function computeStateDigest(
   boxes: readonly boxRecords.BoxRecord[],
   servers: readonly registry.ServerReport[],
 ): string {
--- a/src/fleet/_sync_loop.ts
+++ b/src/fleet/_sync_loop.ts
@@ -1,17 +1,17 @@
 import * as clocks from "../clock/mod.ts";
 import type * as logs from "../log/mod.ts";
-import * as news from "./news.ts";
+import * as protocol from "./protocol.ts";
 import type * as peerPools from "./peer_pool.ts";
 
 /** Between two exchanges, which repair whatever was lost, in ms. */
-const SYNC_MS = 2_000;
+const SYNC_INTERVAL_MS = 2_000;
 /** The same in the first while of a process, when boxes find each other. */
-const FIRST_SYNC_MS = 500;
-const FIRST_WHILE_MS = 10_000;
+const STARTUP_SYNC_INTERVAL_MS = 500;
+const STARTUP_MS = 10_000;
 /** Between two tries to reach a seed, in ms. */
-const SEED_RETRY_MS = 200;
+const RETRY_DELAY_MS = 200;
 /** Longest wait for the answer to one exchange, in ms. */
-const CALL_MS = 1_000;
+const CALL_TIMEOUT_MS = 1_000;
 
 /** What a sync loop needs. */
 export interface SyncLoopOptions {
@@ -21,10 +21,10 @@
   /** Core box that tells this one of the others; undefined while none does. */
   readonly chooseRelay: () => string | undefined;
   /** Ids of all seeds and core boxes, silent ones too. */
-  readonly listSources: () => readonly string[];
+  readonly listSourceIds: () => readonly string[];
   /** Makes the request for the named records, or for all that differs. */
-  readonly createRequest: (ids?: readonly string[]) => news.SyncRequest;
-  readonly onReply: (reply: news.SyncReply, from: string) => void;
+  readonly createRequest: (ids?: readonly string[]) => protocol.SyncRequest;
+  readonly onReply: (reply: protocol.SyncReply, from: string) => void;
 }
 
 /**
@@ -34,8 +34,8 @@
  */
 export class SyncLoop {
   readonly #options: SyncLoopOptions;
-  readonly #fetching = new Set<string>();
-  #turn = 0;
+  readonly #fetchingFrom = new Set<string>();
+  #round = 0;
   #isStopped = false;
 
   constructor(options: SyncLoopOptions) {
@@ -44,13 +44,15 @@
 
   async run(): Promise<void> {
     const { clock } = this.#options;
-    const settledAtMs = clock.getMonotonicMs() + FIRST_WHILE_MS;
+    const startupEndMs = clock.getMonotonicMs() + STARTUP_MS;
     while (!this.#isStopped) {
       const target = this.#pickTarget();
-      const isDone = target !== undefined && await this.#syncWith(target);
-      const isSettled = clock.getMonotonicMs() > settledAtMs;
-      const doneMs = isSettled ? SYNC_MS : FIRST_SYNC_MS;
-      await clocks.sleep(clock, isDone ? doneMs : SEED_RETRY_MS);
+      const isSynced = target !== undefined && await this.#syncWith(target);
+      const isStarted = clock.getMonotonicMs() > startupEndMs;
+      const intervalMs = isStarted
+        ? SYNC_INTERVAL_MS
+        : STARTUP_SYNC_INTERVAL_MS;
+      await clocks.sleep(clock, isSynced ? intervalMs : RETRY_DELAY_MS);
     }
   }
 
@@ -59,30 +61,32 @@
   }
 
   /** Asks a box for some records; one question to it at a time. */
-  fetch(id: string, wanted: readonly string[]): void {
-    if (this.#fetching.has(id) || this.#isStopped) return;
-    this.#fetching.add(id);
-    void this.#syncWith(id, wanted).finally(() => this.#fetching.delete(id));
+  fetch(id: string, recordIds: readonly string[]): void {
+    if (this.#fetchingFrom.has(id) || this.#isStopped) return;
+    this.#fetchingFrom.add(id);
+    void this.#syncWith(id, recordIds).finally(() =>
+      this.#fetchingFrom.delete(id)
+    );
   }
 
   /** The relay every other time, else the next of all sources. */
   #pickTarget(): string | undefined {
-    const { chooseRelay, listSources } = this.#options;
-    this.#turn += 1;
-    const relay = this.#turn % 2 === 0 ? chooseRelay() : undefined;
+    const { chooseRelay, listSourceIds: listSourceIds } = this.#options;
+    this.#round += 1;
+    const relay = this.#round % 2 === 0 ? chooseRelay() : undefined;
     if (relay !== undefined) return relay;
-    const sources = listSources();
-    return sources[(this.#turn >> 1) % Math.max(1, sources.length)];
+    const sourceIds = listSourceIds();
+    return sourceIds[(this.#round >> 1) % Math.max(1, sourceIds.length)];
   }
 
-  async #syncWith(id: string, wanted?: readonly string[]): Promise<boolean> {
+  async #syncWith(id: string, recordIds?: readonly string[]): Promise<boolean> {
     const { peers, log, createRequest, onReply } = this.#options;
     try {
       const client = peers.get(id);
-      const reply = await client.call<news.SyncReply>(
-        news.METHODS.sync,
-        createRequest(wanted),
-        CALL_MS,
+      const reply = await client.call<protocol.SyncReply>(
+        protocol.METHODS.sync,
+        createRequest(recordIds),
+        CALL_TIMEOUT_MS,
       );
       onReply(reply, id);
       return true;
--- a/src/fleet/_sync_desk.ts
+++ b/src/fleet/_sync_service.ts
@@ -3,31 +3,32 @@
 import type * as trafficConfig from "../traffic_config/mod.ts";
 import type * as boxDirectories from "./box_directory.ts";
 import type * as boxRecords from "./box_record.ts";
-import * as knownDigest from "./_known_digest.ts";
-import type * as news from "./news.ts";
+import * as stateDigest from "./_state_digest.ts";
+import type * as protocol from "./protocol.ts";
 
 /** What a sync desk tells of. */
-export interface SyncDeskOptions {
+export interface SyncServiceOptions {
   readonly directory: boxDirectories.BoxDirectory;
   readonly servers: registry.ServerRegistry;
   readonly configuration: trafficConfig.ConfigurationHolder;
   readonly crashTable: crashRecords.CrashTable;
-  readonly getOwn: () => boxRecords.BoxRecord;
+  readonly getOwnRecord: () => boxRecords.BoxRecord;
 }
 
 /** Asks and answers what two boxes know differently. */
-export class SyncDesk {
-  readonly #options: SyncDeskOptions;
+export class SyncService {
+  readonly #options: SyncServiceOptions;
 
-  constructor(options: SyncDeskOptions) {
+  constructor(options: SyncServiceOptions) {
     this.#options = options;
   }
 
   /** Creates the request for the named records, or for all that differs. */
-  createRequest(ids?: readonly string[]): news.SyncRequest {
-    const { configuration, getOwn, crashTable } = this.#options;
+  createRequest(ids?: readonly string[]): protocol.SyncRequest {
+    const { configuration, getOwnRecord: getOwnRecord, crashTable } =
+      this.#options;
     return {
-      record: getOwn(),
+      record: getOwnRecord(),
       wanted: ids === undefined
         ? { kind: "differing", digest: this.#computeDigest() }
         : { kind: "named", ids },
@@ -37,21 +38,21 @@
   }
 
   /** Answers with what the asker lacks; nothing where it knows the same. */
-  answer(request: news.SyncRequest): news.SyncReply {
+  handleRequest(request: protocol.SyncRequest): protocol.SyncReply {
     const { configuration, crashTable } = this.#options;
     const isNewer = configuration.getVersion() > request.configurationVersion;
-    const knowsCrashes = request.crashes === undefined ||
+    const hasSameCrashes = request.crashes === undefined ||
       request.crashes === crashTable.getContentHash();
     return {
-      ...this.#listWanted(request),
+      ...this.#listRequested(request),
       configuration: isNewer ? configuration.getStored() : undefined,
-      ...(knowsCrashes ? {} : { crashes: crashTable.list() }),
+      ...(hasSameCrashes ? {} : { crashes: crashTable.list() }),
     };
   }
 
-  #listWanted(
-    { wanted }: news.SyncRequest,
-  ): Pick<news.SyncReply, "boxes" | "servers"> {
+  #listRequested(
+    { wanted }: protocol.SyncRequest,
+  ): Pick<protocol.SyncReply, "boxes" | "servers"> {
     const boxes = this.#options.directory.listAlive();
     const servers = this.#options.servers.listAll();
     switch (wanted.kind) {
@@ -69,7 +70,7 @@
 
   #computeDigest(): string {
     const { directory, servers } = this.#options;
-    return knownDigest.computeKnownDigest(
+    return stateDigest.computeStateDigest(
       directory.listAlive(),
       servers.listAll(),
     );
--- a/src/fleet/box_directory.ts
+++ b/src/fleet/box_directory.ts
@@ -2,17 +2,17 @@
 import * as boxRecords from "./box_record.ts";
 
 /** A box silent for this long is taken for gone; three lost refreshes. */
-export const BOX_SILENCE_MS = 1_800;
+export const BOX_TIMEOUT_MS = 1_800;
 /** A box silent for this long is forgotten; a late record brings it back. */
-const FORGET_MS = 60_000;
+const RETENTION_MS = 60_000;
 
 /** Former processes of a box that are remembered. */
-const FORMER_STARTS = 4;
+const MAX_FORMER_STARTS = 4;
 
 /** A known box, and when news of it came. */
 interface KnownBox {
   readonly record: boxRecords.BoxRecord;
-  readonly heardAtMs: number;
+  readonly lastSeenMs: number;
   /** Starts of its former processes, oldest first; they count no more. */
   readonly formerStarts: readonly number[];
 }
@@ -37,22 +37,25 @@
   merge(record: boxRecords.BoxRecord): MergeOutcome {
     const known = this.#boxes.get(record.id);
     const wasSilent = known === undefined || this.#isSilent(known);
-    const isOther = record.startedAtMs !== known?.record.startedAtMs;
+    const isOtherProcess = record.startedAtMs !== known?.record.startedAtMs;
     const isNewer = boxRecords.isNewer(record, known?.record) ||
-      (wasSilent && isOther);
+      (wasSilent && isOtherProcess);
     const formerStarts = known?.formerStarts ?? [];
     if (!isNewer || formerStarts.includes(record.startedAtMs)) return "old";
-    const heardAtMs = this.#clock.getMonotonicMs();
+    const lastSeenMs = this.#clock.getMonotonicMs();
     this.#boxes.set(record.id, {
       record,
-      heardAtMs,
-      formerStarts: isOther && known !== undefined
-        ? [...formerStarts.slice(1 - FORMER_STARTS), known.record.startedAtMs]
+      lastSeenMs: lastSeenMs,
+      formerStarts: isOtherProcess && known !== undefined
+        ? [
+          ...formerStarts.slice(1 - MAX_FORMER_STARTS),
+          known.record.startedAtMs,
+        ]
         : formerStarts,
     });
     if (wasSilent) return "changed";
-    const before = boxRecords.describeContent(known.record);
-    return boxRecords.describeContent(record) === before
+    const previousContent = boxRecords.describeContent(known.record);
+    return boxRecords.describeContent(record) === previousContent
       ? "refreshed"
       : "changed";
   }
@@ -65,12 +68,12 @@
     const named = [...this.#boxes.values()].filter((box) =>
       box.record.name === name
     );
-    return named.sort((a, b) => b.heardAtMs - a.heardAtMs)[0]?.record;
+    return named.sort((a, b) => b.lastSeenMs - a.lastSeenMs)[0]?.record;
   }
 
   /** All known boxes, silent ones among them. */
   listAll(): readonly boxRecords.BoxRecord[] {
-    this.#forgetOld();
+    this.#removeExpired();
     return [...this.#boxes.values()].map((box) => box.record);
   }
 
@@ -84,17 +87,17 @@
   getSilenceMs(id: string): number {
     const known = this.#boxes.get(id);
     if (known === undefined) return Number.POSITIVE_INFINITY;
-    return this.#clock.getMonotonicMs() - known.heardAtMs;
+    return this.#clock.getMonotonicMs() - known.lastSeenMs;
   }
 
   #isSilent(box: KnownBox): boolean {
-    return this.#clock.getMonotonicMs() - box.heardAtMs > BOX_SILENCE_MS;
+    return this.#clock.getMonotonicMs() - box.lastSeenMs > BOX_TIMEOUT_MS;
   }
 
-  #forgetOld(): void {
+  #removeExpired(): void {
     const nowMs = this.#clock.getMonotonicMs();
     for (const [id, box] of this.#boxes) {
-      if (nowMs - box.heardAtMs > FORGET_MS) this.#boxes.delete(id);
+      if (nowMs - box.lastSeenMs > RETENTION_MS) this.#boxes.delete(id);
     }
   }
 }
--- a/src/fleet/box_directory_test.ts
+++ b/src/fleet/box_directory_test.ts
@@ -30,19 +30,19 @@
   });
 
   it("takes the record of a process whose clock was stepped back, once the former one is silent", () => {
-    clock.extendBy(boxDirectories.BOX_SILENCE_MS + 1);
+    clock.advance(boxDirectories.BOX_TIMEOUT_MS + 1);
     chai.expect(directory.merge(LATER)).to.equal("changed");
     chai.expect(directory.listAlive()).to.deep.equal([LATER]);
   });
 
   it("takes no record of an earlier start while the box is heard", () => {
-    clock.extendBy(boxDirectories.BOX_SILENCE_MS - 1);
+    clock.advance(boxDirectories.BOX_TIMEOUT_MS - 1);
     chai.expect(directory.merge(LATER)).to.equal("old");
     chai.expect(directory.listAlive()).to.deep.equal([FORMER]);
   });
 
   it("takes no older record of the same start, however long the box is silent", () => {
-    clock.extendBy(boxDirectories.BOX_SILENCE_MS + 1);
+    clock.advance(boxDirectories.BOX_TIMEOUT_MS + 1);
     chai.expect(directory.merge({ ...FORMER, sequence: 39 })).to.equal("old");
     chai.expect(directory.listAlive()).to.deep.equal([]);
   });
