--- a/src/fleet/fleet_fixture_test.ts
+++ b/src/fleet/fleet_fixture_test.ts
@@ -8,7 +8,7 @@
 import * as trafficConfig from "../traffic_config/mod.ts";
 import * as boxDirectories from "./box_directory.ts";
 import type * as boxRecords from "./box_record.ts";
-import * as fleetLinks from "./fleet_link.ts";
+import * as fleetGossips from "./fleet_gossip.ts";
 
 /** Between two heartbeats of a server, in ms. */
 export const HEARTBEAT_MS = 1_200;
@@ -20,38 +20,38 @@
 export class FakeFleet {
   readonly clock = new clocks.FakeClock(1_000);
   readonly #methods = new Map<string, Map<string, Handler>>();
-  readonly #down = new Set<string>();
+  readonly #stopped = new Set<string>();
   /** Groups that hear nothing of each other; empty for no cut. */
-  groups: readonly (readonly string[])[] = [];
+  partitions: readonly (readonly string[])[] = [];
   /** Single links that bring nothing, as `FROM>TO`. */
   cutLinks: ReadonlySet<string> = new Set();
   readonly boxes = new Map<string, FakeBox>();
-  #delivered = 0;
+  #deliveredCount = 0;
 
   start(id: string, isCore: boolean): FakeBox {
-    this.#down.delete(id);
+    this.#stopped.delete(id);
     const methods = new Map<string, Handler>();
     this.#methods.set(id, methods);
     const box = new FakeBox(this, id, isCore, methods);
     this.boxes.set(id, box);
-    box.link.start();
+    box.gossip.start();
     return box;
   }
 
   /** Messages and calls delivered so far. */
   countDelivered(): number {
-    return this.#delivered;
+    return this.#deliveredCount;
   }
 
   kill(id: string): void {
-    this.boxes.get(id)?.link.stop();
+    this.boxes.get(id)?.gossip.stop();
     this.boxes.delete(id);
-    this.#down.add(id);
+    this.#stopped.add(id);
   }
 
   getPeer(to: string, from = to): rpc.Peer {
     return {
-      tell: (method, params) => {
+      notify: (method, params) => {
         if (this.#canReach(from, to)) this.#deliver(to, method, params);
       },
       call: async (method, params) => {
@@ -62,26 +62,26 @@
   }
 
   #canReach(from: string, to: string): boolean {
-    if (this.#down.has(to) || !this.#methods.has(to)) return false;
+    if (this.#stopped.has(to) || !this.#methods.has(to)) return false;
     if (this.cutLinks.has(`${from}>${to}`)) return false;
-    const group = this.groups.find((ids) => ids.includes(from));
-    return group === undefined || group.includes(to);
+    const partition = this.partitions.find((ids) => ids.includes(from));
+    return partition === undefined || partition.includes(to);
   }
 
   #deliver(to: string, method: string, params: object) {
     const handler = this.#methods.get(to)?.get(method);
-    if (this.#down.has(to) || handler === undefined) {
+    if (this.#stopped.has(to) || handler === undefined) {
       throw new Error(`${to} is down`);
     }
-    this.#delivered += 1;
+    this.#deliveredCount += 1;
     const copy = JSON.parse(JSON.stringify(params));
     return JSON.parse(JSON.stringify(handler(copy) ?? null));
   }
 
   /** Lets time pass, with all that is waited for in between. */
-  async extendBy(ms: number): Promise<void> {
+  async advanceBy(ms: number): Promise<void> {
     for (let passed = 0; passed < ms; passed += STEP_MS) {
-      this.clock.extendBy(STEP_MS);
+      this.clock.advance(STEP_MS);
       await new Promise((resolve) => setImmediate(resolve));
     }
   }
@@ -92,7 +92,7 @@
   readonly servers: registry.ServerRegistry;
   readonly directory: boxDirectories.BoxDirectory;
   readonly configuration: trafficConfig.ConfigurationHolder;
-  readonly link: fleetLinks.FleetLink;
+  readonly gossip: fleetGossips.FleetGossip;
   readonly crashTable = new crashRecords.CrashTable();
   isLeaving = false;
 
@@ -111,7 +111,7 @@
       () => results.createOk({ routes: [] } as never),
       log,
     );
-    this.link = new fleetLinks.FleetLink({
+    this.gossip = new fleetGossips.FleetGossip({
       clock,
       log,
       directory: this.directory,
@@ -142,14 +142,14 @@
   }
 
   /** Takes a heartbeat as an entry box does. */
-  takeHeartbeat(report: registry.RegisteredServer): void {
+  handleHeartbeat(report: registry.RegisteredServer): void {
     const outcome = this.servers.merge(report);
     const merged = this.servers.get(report.id) ?? report;
-    if (outcome === "changed") this.link.publishServer(merged);
-    if (outcome === "refreshed") this.link.refreshServer(merged);
+    if (outcome === "changed") this.gossip.publishServer(merged);
+    if (outcome === "refreshed") this.gossip.refreshServer(merged);
   }
 
-  listIds(): readonly string[] {
+  listReadyServers(): readonly string[] {
     return this.servers.listReady("s").map((server) => server.id).toSorted();
   }
 }
--- a/src/fleet/fleet_link.ts
+++ b/src/fleet/fleet_gossip.ts
@@ -6,34 +6,34 @@
 import type * as trafficConfig from "../traffic_config/mod.ts";
 import type * as boxDirectories from "./box_directory.ts";
 import * as boxRecords from "./box_record.ts";
-import * as configurationNews from "./_configuration_news.ts";
-import * as crashNews from "./_crash_news.ts";
-import * as news from "./news.ts";
+import * as configurationSyncs from "./_configuration_sync.ts";
+import * as crashSyncs from "./_crash_sync.ts";
+import * as protocol from "./protocol.ts";
 import * as relays from "./_relay.ts";
-import * as syncDesks from "./_sync_desk.ts";
+import * as syncServices from "./_sync_service.ts";
 import * as syncLoops from "./_sync_loop.ts";
 import type * as peerPools from "./peer_pool.ts";
 
 /** Between two refreshes of a box's own record, in ms; see BOX_SILENCE_MS. */
-const REFRESH_MS = 500;
+const REFRESH_INTERVAL_MS = 500;
 /**
  * Pause before all boxes are told which configuration is newest, in ms. Those
  * that chose this box have it by then, and only the others fetch it.
  */
-const BRIEF_MS = 150;
+const VERSION_DELAY_MS = 150;
 /** Silence after which another core box is chosen to relay, in ms. */
-const RELAY_SILENCE_MS = 1_200;
+const RELAY_TIMEOUT_MS = 1_200;
 
 /** What a fleet link needs. */
-export interface FleetLinkOptions
-  extends Omit<crashNews.CrashNewsOptions, "onLearned"> {
+export interface FleetGossipOptions
+  extends Omit<crashSyncs.CrashSyncOptions, "onLearned"> {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly directory: boxDirectories.BoxDirectory;
   readonly servers: registry.ServerRegistry;
   readonly configuration: trafficConfig.ConfigurationHolder;
   readonly peers: peerPools.Peers;
-  readonly server: rpc.MethodTable;
+  readonly server: rpc.MethodRegistry;
   /** Ids of the boxes to ask first. */
   readonly seeds: readonly string[];
   /** Record of this box; the link numbers it. */
@@ -44,230 +44,233 @@
  * Spreads what boxes know of boxes, servers and the configuration. Every box
  * tells the core boxes; each of these passes it on to the boxes that chose it.
  */
-export class FleetLink {
-  readonly #options: FleetLinkOptions;
+export class FleetGossip {
+  readonly #options: FleetGossipOptions;
   readonly #id: string;
   readonly #relay: relays.Relay;
-  readonly #tellVersionSoon: clocks.GatheredCall;
+  readonly #versionAnnouncement: clocks.CoalescedCall;
   /** Refreshes that a box without a relay of its own has to tell. */
-  readonly #serverRefreshes = new Map<string, news.ServerRefresh>();
-  #own: boxRecords.BoxRecord;
-  readonly #sync: syncLoops.SyncLoop;
-  readonly #configuration: configurationNews.ConfigurationNews;
-  readonly #crashes: crashNews.CrashNews;
+  readonly #serverRefreshes = new Map<string, protocol.ServerRefresh>();
+  #self: boxRecords.BoxRecord;
+  readonly #syncLoop: syncLoops.SyncLoop;
+  readonly #configurationSync: configurationSyncs.ConfigurationSync;
+  readonly #crashSync: crashSyncs.CrashSync;
   #isStopped = false;
 
-  constructor(options: FleetLinkOptions) {
+  constructor(options: FleetGossipOptions) {
     this.#options = options;
-    this.#own = { ...options.describeSelf(), sequence: 0 };
-    this.#id = this.#own.id;
-    options.directory.merge(this.#own);
-    this.#tellVersionSoon = new clocks.GatheredCall({
+    this.#self = { ...options.describeSelf(), sequence: 0 };
+    this.#id = this.#self.id;
+    options.directory.merge(this.#self);
+    this.#versionAnnouncement = new clocks.CoalescedCall({
       clock: options.clock,
-      delayMs: BRIEF_MS,
+      delayMs: VERSION_DELAY_MS,
       action: () => {
-        if (!this.#isStopped) this.#tellAll(this.#createNews());
+        if (!this.#isStopped) this.#sendToAll(this.#createMessage());
       },
     });
     this.#relay = new relays.Relay({
       clock: options.clock,
-      createNews: () => this.#createNews(),
-      getOwnRefresh: () => news.createBoxRefresh(this.#own),
-      listCore: () => this.#listCore(),
-      tell: (id, message) => this.#tell(id, message),
+      createMessage: () => this.#createMessage(),
+      getOwnRefresh: () => protocol.createBoxRefresh(this.#self),
+      listCoreIds: () => this.#listCoreIds(),
+      send: (id, message) => this.#send(id, message),
     });
-    this.#configuration = new configurationNews.ConfigurationNews({
+    this.#configurationSync = new configurationSyncs.ConfigurationSync({
       ...options,
-      onTaken: () => this.publishConfiguration(),
+      onUpdated: () => this.publishConfiguration(),
     });
-    this.#crashes = new crashNews.CrashNews({
+    this.#crashSync = new crashSyncs.CrashSync({
       ...options,
       onLearned: (record) => {
-        if (this.#own.isCore) this.#relay.addCrash(record);
+        if (this.#self.isCore) this.#relay.addCrash(record);
       },
     });
-    const desk = new syncDesks.SyncDesk({
+    const syncService = new syncServices.SyncService({
       ...options,
-      getOwn: () => this.#own,
+      getOwnRecord: () => this.#self,
     });
-    this.#sync = new syncLoops.SyncLoop({
+    this.#syncLoop = new syncLoops.SyncLoop({
       ...options,
       chooseRelay: () => this.#chooseRelay(),
-      listSources: () => this.#listSources(),
-      createRequest: (ids) => desk.createRequest(ids),
-      onReply: (reply, from) => this.#takeReply(reply, from),
+      listSourceIds: () => this.#listSourceIds(),
+      createRequest: (ids) => syncService.createRequest(ids),
+      onReply: (reply, from) => this.#handleReply(reply, from),
     });
     options.server.add(
-      news.METHODS.news,
-      (message: news.News) => this.#receive(message),
+      protocol.METHODS.news,
+      (message: protocol.GossipMessage) => this.#handleMessage(message),
     );
     options.server.add(
-      news.METHODS.sync,
-      (request: news.SyncRequest) => {
+      protocol.METHODS.sync,
+      (request: protocol.SyncRequest) => {
         this.#mergeBox(request.record);
-        return desk.answer(request);
+        return syncService.handleRequest(request);
       },
     );
     options.server.add(
-      news.METHODS.readConfiguration,
+      protocol.METHODS.readConfiguration,
       () => ({ configuration: options.configuration.getStored() }),
     );
   }
 
   /** Begins to exchange news. */
   start(): void {
-    this.#runRefresh();
-    void this.#sync.run();
-    if (this.#own.isCore) this.#relay.start();
+    this.#sendRefreshes();
+    void this.#syncLoop.run();
+    if (this.#self.isCore) this.#relay.start();
   }
 
   stop(): void {
     this.#isStopped = true;
-    this.#sync.stop();
+    this.#syncLoop.stop();
     this.#relay.stop();
   }
 
   /** Tells the others at once what this box now says of itself. */
   publishSelf(): void {
-    this.#refreshOwn();
-    this.#spread({ ...this.#createNews(), boxes: [this.#own] });
+    this.#updateOwnRecord();
+    this.#broadcast({ ...this.#createMessage(), boxes: [this.#self] });
   }
 
   /** Tells the others at once what a server reports. */
   publishServer(server: registry.ServerReport): void {
-    this.#spread({ ...this.#createNews(), servers: [server] });
+    this.#broadcast({ ...this.#createMessage(), servers: [server] });
   }
 
   /** Tells the others at once that servers ended under a piece of work. */
   publishCrash(record: crashRecords.CrashRecord): void {
-    this.#spread({ ...this.#createNews(), crashes: [record] });
+    this.#broadcast({ ...this.#createMessage(), crashes: [record] });
   }
 
   /** Passes on that a server still runs as it did. */
   refreshServer(server: registry.ServerReport): void {
-    const refresh = news.createServerRefresh(server);
-    if (this.#own.isCore) this.#relay.refreshServer(refresh);
+    const refresh = protocol.createServerRefresh(server);
+    if (this.#self.isCore) this.#relay.refreshServer(refresh);
     else this.#serverRefreshes.set(server.id, refresh);
   }
 
   /** Tells the others of a newer configuration. */
   publishConfiguration(): void {
-    if (!this.#own.isCore) return;
-    const full = {
-      ...this.#createNews(),
+    if (!this.#self.isCore) return;
+    const message = {
+      ...this.#createMessage(),
       configuration: this.#options.configuration.getStored(),
     };
-    for (const id of this.#relay.listSubscribers()) this.#tell(id, full);
-    this.#tellVersionSoon.schedule();
+    for (const id of this.#relay.listSubscribers()) this.#send(id, message);
+    this.#versionAnnouncement.schedule();
   }
 
-  #createNews(): news.News {
-    return news.createNews(
+  #createMessage(): protocol.GossipMessage {
+    return protocol.createGossipMessage(
       this.#id,
       this.#options.configuration.getVersion(),
     );
   }
 
-  #tell(id: string, message: news.News): void {
-    this.#options.peers.get(id).tell(news.METHODS.news, message);
+  #send(id: string, message: protocol.GossipMessage): void {
+    this.#options.peers.get(id).notify(protocol.METHODS.news, message);
   }
 
-  #refreshOwn(): void {
+  #updateOwnRecord(): void {
     const { directory, describeSelf } = this.#options;
-    this.#own = { ...describeSelf(), sequence: this.#own.sequence + 1 };
-    directory.merge(this.#own);
+    this.#self = { ...describeSelf(), sequence: this.#self.sequence + 1 };
+    directory.merge(this.#self);
   }
 
-  #listOthers(): readonly string[] {
+  #listOtherIds(): readonly string[] {
     return this.#options.directory.listAlive().map((box) => box.id)
       .filter((id) => id !== this.#id);
   }
 
   /** Core boxes, silent ones too; the seeds where none is known. */
-  #listCore(): readonly string[] {
+  #listCoreIds(): readonly string[] {
     const core = this.#options.directory.listAll().filter((box) => box.isCore)
       .map((box) => box.id);
-    const known = core.length > 0 ? core : this.#options.seeds;
-    return known.filter((id) => id !== this.#id);
+    const ids = core.length > 0 ? core : this.#options.seeds;
+    return ids.filter((id) => id !== this.#id);
   }
 
   /** Boxes that may know what this one does not. */
-  #listSources(): readonly string[] {
-    const ids = new Set([...this.#options.seeds, ...this.#listCore()]);
+  #listSourceIds(): readonly string[] {
+    const ids = new Set([...this.#options.seeds, ...this.#listCoreIds()]);
     ids.delete(this.#id);
     return [...ids].toSorted();
   }
 
   /** Sends a change to all boxes from a core box, else to the core boxes. */
-  #spread(message: news.News): void {
-    if (this.#own.isCore) return this.#tellAll(message);
-    for (const id of this.#listCore()) this.#tell(id, message);
+  #broadcast(message: protocol.GossipMessage): void {
+    if (this.#self.isCore) return this.#sendToAll(message);
+    for (const id of this.#listCoreIds()) this.#send(id, message);
   }
 
-  #tellAll(message: news.News): void {
-    for (const id of this.#listOthers()) this.#tell(id, message);
+  #sendToAll(message: protocol.GossipMessage): void {
+    for (const id of this.#listOtherIds()) this.#send(id, message);
   }
 
   #chooseRelay(): string | undefined {
     const { directory } = this.#options;
-    const heard = directory.listAlive().filter((box) =>
+    const candidates = directory.listAlive().filter((box) =>
       box.isCore && !box.isLeaving && box.id !== this.#id &&
-      directory.getSilenceMs(box.id) < RELAY_SILENCE_MS
+      directory.getSilenceMs(box.id) < RELAY_TIMEOUT_MS
     );
-    const near = heard.find((box) =>
-      box.failureDomain === this.#own.failureDomain
+    const sameDomain = candidates.find((box) =>
+      box.failureDomain === this.#self.failureDomain
     );
-    return (near ?? heard[0])?.id;
+    return (sameDomain ?? candidates[0])?.id;
   }
 
-  #runRefresh(): void {
+  #sendRefreshes(): void {
     if (this.#isStopped) return;
-    this.#refreshOwn();
-    const message: news.News = {
-      ...this.#createNews(),
-      boxRefreshes: [news.createBoxRefresh(this.#own)],
-      serverRefreshes: this.#takeServerRefreshes(),
+    this.#updateOwnRecord();
+    const message: protocol.GossipMessage = {
+      ...this.#createMessage(),
+      boxRefreshes: [protocol.createBoxRefresh(this.#self)],
+      serverRefreshes: this.#drainServerRefreshes(),
     };
     const relay = this.#chooseRelay();
-    const wish: news.News = { ...message, wantsRelay: true };
-    for (const core of this.#listCore()) {
-      this.#tell(core, core === relay ? wish : message);
+    const toRelay: protocol.GossipMessage = { ...message, wantsRelay: true };
+    for (const coreId of this.#listCoreIds()) {
+      this.#send(coreId, coreId === relay ? toRelay : message);
     }
-    this.#options.clock.startTimer(REFRESH_MS, () => this.#runRefresh());
+    this.#options.clock.startTimer(
+      REFRESH_INTERVAL_MS,
+      () => this.#sendRefreshes(),
+    );
   }
 
-  #takeServerRefreshes(): readonly news.ServerRefresh[] {
-    const taken = [...this.#serverRefreshes.values()];
+  #drainServerRefreshes(): readonly protocol.ServerRefresh[] {
+    const refreshes = [...this.#serverRefreshes.values()];
     this.#serverRefreshes.clear();
-    return taken;
+    return refreshes;
   }
 
-  #takeReply(reply: news.SyncReply, from: string): void {
+  #handleReply(reply: protocol.SyncReply, from: string): void {
     for (const box of reply.boxes) this.#mergeBox(box);
     for (const server of reply.servers) this.#mergeServer(server, from);
-    this.#configuration.offer(reply.configuration);
-    const untold = this.#crashes.compare(reply.crashes);
-    if (untold.length === 0) return;
-    this.#tell(from, { ...this.#createNews(), crashes: untold });
+    this.#configurationSync.offer(reply.configuration);
+    const missing = this.#crashSync.reconcile(reply.crashes);
+    if (missing.length === 0) return;
+    this.#send(from, { ...this.#createMessage(), crashes: missing });
   }
 
-  #receive(message: news.News): void {
+  #handleMessage(message: protocol.GossipMessage): void {
     const { from } = message;
     if (message.wantsRelay) this.#relay.subscribe(from);
     for (const box of message.boxes) this.#mergeBox(box);
     for (const server of message.servers) this.#mergeServer(server, from);
-    const unknown = [
-      ...message.boxRefreshes.filter((item) => !this.#takeBoxRefresh(item)),
+    const outdated = [
+      ...message.boxRefreshes.filter((item) => !this.#applyBoxRefresh(item)),
       ...message.serverRefreshes.filter((item) =>
-        !this.#takeServerRefresh(item)
+        !this.#applyServerRefresh(item)
       ),
     ];
-    if (unknown.length > 0) {
-      this.#sync.fetch(from, unknown.map((item) => item.id));
+    if (outdated.length > 0) {
+      this.#syncLoop.fetch(from, outdated.map((item) => item.id));
     }
-    this.#crashes.take(message.crashes);
-    this.#configuration.offer(message.configuration);
-    this.#configuration.fetchIfBehind(message);
+    this.#crashSync.merge(message.crashes);
+    this.#configurationSync.offer(message.configuration);
+    this.#configurationSync.fetchIfOutdated(message);
   }
 
   #mergeBox(box: boxRecords.BoxRecord): void {
@@ -281,7 +284,7 @@
       leaving: box.isLeaving,
       sequence: box.sequence,
     });
-    if (this.#own.isCore) this.#relay.addBox(box);
+    if (this.#self.isCore) this.#relay.addBox(box);
   }
 
   #mergeServer(server: registry.ServerReport, source: string): void {
@@ -295,23 +298,23 @@
       sequence: server.sequence,
       source,
     });
-    if (this.#own.isCore) this.#relay.addServer(server);
+    if (this.#self.isCore) this.#relay.addServer(server);
   }
 
   /** Takes a refresh of a box; false when its record must be fetched. */
-  #takeBoxRefresh(refresh: news.BoxRefresh): boolean {
+  #applyBoxRefresh(refresh: protocol.BoxRefresh): boolean {
     if (refresh.id === this.#id) return true;
     const { directory } = this.#options;
     const known = directory.get(refresh.id);
     if (known === undefined) return false;
     if (boxRecords.describeContent(known) !== refresh.content) return false;
     const outcome = directory.merge({ ...known, sequence: refresh.sequence });
-    if (outcome !== "old" && this.#own.isCore) this.#relay.refreshBox(refresh);
+    if (outcome !== "old" && this.#self.isCore) this.#relay.refreshBox(refresh);
     return true;
   }
 
   /** Takes a refresh of a server; false when its report must be fetched. */
-  #takeServerRefresh(refresh: news.ServerRefresh): boolean {
+  #applyServerRefresh(refresh: protocol.ServerRefresh): boolean {
     const { servers } = this.#options;
     const known = servers.get(refresh.id);
     if (known === undefined) return false;
@@ -326,7 +329,7 @@
     if (refresh.sequence <= known.sequence) return true;
     if (registry.createContentKey(known) !== refresh.content) return false;
     const outcome = servers.merge({ ...known, sequence: refresh.sequence });
-    if (outcome !== "old" && this.#own.isCore) {
+    if (outcome !== "old" && this.#self.isCore) {
       this.#relay.refreshServer(refresh);
     }
     return true;
--- a/src/fleet/former_record_test.ts
+++ b/src/fleet/former_record_test.ts
@@ -27,7 +27,7 @@
     const clock = new clocks.FakeClock();
     const directory = new boxDirectories.BoxDirectory(clock);
     directory.merge(FORMER);
-    clock.extendBy(boxDirectories.BOX_SILENCE_MS + 1);
+    clock.advance(boxDirectories.BOX_TIMEOUT_MS + 1);
     directory.merge(LATER);
     chai.expect(directory.merge(FORMER)).to.equal("old");
     chai.expect(directory.listAlive()).to.deep.equal([LATER]);
--- a/src/fleet/mod.ts
+++ b/src/fleet/mod.ts
@@ -12,6 +12,6 @@
  */
 export * from "./box_directory.ts";
 export * from "./box_record.ts";
-export * from "./fleet_link.ts";
-export * from "./news.ts";
+export * from "./fleet_gossip.ts";
+export * from "./protocol.ts";
 export * from "./peer_pool.ts";
--- a/src/fleet/news.ts
+++ b/src/fleet/protocol.ts
@@ -26,7 +26,7 @@
 }
 
 /** What one box tells another; every part may be lost and repeated. */
-export interface News {
+export interface GossipMessage {
   readonly from: string;
   /** Whether the sender wants to be told of refreshes from now on. */
   readonly wantsRelay: boolean;
@@ -76,7 +76,10 @@
  * @param configurationVersion Version that it holds.
  * @returns Empty news.
  */
-export function createNews(from: string, configurationVersion: number): News {
+export function createGossipMessage(
+  from: string,
+  configurationVersion: number,
+): GossipMessage {
   return {
     from,
     wantsRelay: false,
--- a/src/fleet_daemon/_choose_entry_boxes.ts
+++ b/src/fleet_daemon/_choose_entry_boxes.ts
@@ -1,22 +1,22 @@
 import type * as fleet from "../fleet/mod.ts";
 
 /** Boxes of the caller's own failure domain that are enough to name alone. */
-const ENOUGH_NEAR = 2;
+const MIN_SAME_DOMAIN_BOXES = 2;
 /**
  * Silence after which a box is not named to callers, in ms. News of a box come
  * every 500 ms and are passed on every 250 ms; a box counts as gone only after
  * 1,800 ms. Callers that connect to a box without power wait a second for
  * nothing, while a box left out for a moment is hardly missed.
  */
-const SUSPECT_MS = 1_100;
+const SUSPECT_TIMEOUT_MS = 1_100;
 /**
  * Share of the boxes that may be left out; where more are silent, the news
  * rather than the boxes are at fault.
  */
-const MOST_SUSPECT_SHARE = 0.5;
+const MAX_SUSPECT_FRACTION = 0.5;
 
 /** What decides which boxes a caller is sent to. */
-export interface EntryBoxChoice {
+export interface EntryBoxChoiceOptions {
   /** Boxes that are not taken for gone. */
   readonly alive: readonly fleet.BoxRecord[];
   /** Failure domain of the caller. */
@@ -33,16 +33,20 @@
  * @returns The boxes.
  */
 export function chooseEntryBoxes(
-  { alive, failureDomain, getSilenceMs }: EntryBoxChoice,
+  { alive, failureDomain, getSilenceMs }: EntryBoxChoiceOptions,
 ): readonly fleet.BoxRecord[] {
   const ready = alive.filter((box) =>
     box.isReady && !box.isLeaving && box.callerAddress !== undefined
   );
-  const near = ready.filter((box) => box.failureDomain === failureDomain);
-  const chosen = near.length >= ENOUGH_NEAR ? near : ready;
-  const heard = chosen.filter((box) => getSilenceMs(box.id) < SUSPECT_MS);
+  const sameDomain = ready.filter((box) => box.failureDomain === failureDomain);
+  const chosen = sameDomain.length >= MIN_SAME_DOMAIN_BOXES
+    ? sameDomain
+    : ready;
+  const responsive = chosen.filter((box) =>
+    getSilenceMs(box.id) < SUSPECT_TIMEOUT_MS
+  );
   const isPlausible =
-    heard.length >= chosen.length * (1 - MOST_SUSPECT_SHARE) &&
-    heard.length > 0;
-  return isPlausible ? heard : chosen;
+    responsive.length >= chosen.length * (1 - MAX_SUSPECT_FRACTION) &&
+    responsive.length > 0;
+  return isPlausible ? responsive : chosen;
 }
--- a/src/fleet_daemon/_duty_settings.ts
+++ b/src/fleet_daemon/_duty_settings.ts
@@ -4,9 +4,9 @@
 
 const MS_PER_SECOND = 1_000;
 /** Name of the duty to order engines. */
-const CAPACITY_DUTY = "autoscaling";
+const AUTOSCALING_DUTY = "autoscaling";
 /** Name of the duty to report usage. */
-const USAGE_DUTY = "usage_reporting";
+const USAGE_REPORTING_DUTY = "usage_reporting";
 
 /**
  * Gives the windows in which usage is reported.
@@ -14,17 +14,19 @@
  * @param settings Settings of the box.
  * @returns The windows; undefined where no report is asked for.
  */
-export function getUsageTimes(
+export function getUsageTimings(
   settings: fleetSettings.FleetSettings,
-): usages.WindowTimes | undefined {
+): usages.WindowTimings | undefined {
   const { usageWindowS, usageLateS } = settings.bounds;
-  const isAsked = settings.infrastructure?.duties.includes(USAGE_DUTY);
-  if (!isAsked || usageWindowS === undefined || usageLateS === undefined) {
+  const isEnabled = settings.infrastructure?.duties.includes(
+    USAGE_REPORTING_DUTY,
+  );
+  if (!isEnabled || usageWindowS === undefined || usageLateS === undefined) {
     return undefined;
   }
   return {
     windowMs: usageWindowS * MS_PER_SECOND,
-    lateMs: usageLateS * MS_PER_SECOND,
+    reportDelayMs: usageLateS * MS_PER_SECOND,
   };
 }
 
@@ -38,7 +40,7 @@
   settings: fleetSettings.FleetSettings,
 ): capacity.CapacityPolicy | undefined {
   const { policy, headroom } = settings.capacity;
-  if (!settings.infrastructure?.duties.includes(CAPACITY_DUTY)) {
+  if (!settings.infrastructure?.duties.includes(AUTOSCALING_DUTY)) {
     return undefined;
   }
   switch (policy) {
--- a/src/fleet_daemon/_plain_headers.ts
+++ b/src/fleet_daemon/_end_to_end_headers.ts
@@ -1,6 +1,6 @@
 import type * as dialects from "../dialect/mod.ts";
 
-const CONNECTION_HEADERS = new Set([
+const HOP_BY_HOP_HEADERS = new Set([
   "connection",
   "keep-alive",
   "transfer-encoding",
@@ -8,13 +8,13 @@
 ]);
 
 /** Gives a server's headers less those of its connection. */
-export function toPlainHeaders(
+export function toEndToEndHeaders(
   headers: dialects.HeaderMap,
 ): Readonly<Record<string, string>> {
   return Object.fromEntries(
     Object.entries(headers)
       .filter(([name, value]) =>
-        value !== undefined && !CONNECTION_HEADERS.has(name)
+        value !== undefined && !HOP_BY_HOP_HEADERS.has(name)
       )
       .map(([name, value]) => [name, String(value)]),
   );
--- a/src/fleet_daemon/_raw_listener.ts
+++ b/src/fleet_daemon/_raw_listener.ts
@@ -7,7 +7,7 @@
 const MAX_HEADER_BYTES = 65_536;
 
 /** Time in which a request's head must arrive until operators say, in ms. */
-const FIRST_HEADERS_MS = 5_000;
+const INITIAL_HEADERS_TIMEOUT_MS = 5_000;
 
 /**
  * Creates a listener whose callers speak a platform's dialect.
@@ -21,11 +21,12 @@
   log: logs.Log,
 ): httpServer.HttpListener {
   return new httpServer.HttpListener(handler, {
-    headersTimeoutMs: FIRST_HEADERS_MS,
+    headersTimeoutMs: INITIAL_HEADERS_TIMEOUT_MS,
     requestTimeoutMs: 0,
     maxHeaderBytes: MAX_HEADER_BYTES,
-    onUnsent: ({ message }) => log.write("debug", "answer.unsent", { message }),
-    onThrown: (request, response, error) => {
+    onResponseError: ({ message }) =>
+      log.write("debug", "answer.unsent", { message }),
+    onHandlerError: (request, response, error) => {
       const { stack, message } = error as Error;
       log.write("error", "request.failed", {
         target: request.url,
@@ -48,7 +49,7 @@
 ): void {
   if (response.headersSent || response.destroyed) return;
   const body = Buffer.from(answer.body);
-  if (answer.endsWithConnection === true) {
+  if (answer.isCloseDelimited === true) {
     response.useChunkedEncodingByDefault = false;
     response.writeHead(answer.status, {
       ...answer.headers,
--- a/src/fleet_daemon/_near_reader.ts
+++ b/src/fleet_daemon/_replica_reader.ts
@@ -4,16 +4,16 @@
 import type * as replicaGroups from "../replica_group/mod.ts";
 import * as results from "../results/mod.ts";
 import * as submissions from "../submission/mod.ts";
-import * as controlCalls from "./control_calls.ts";
+import * as controlHandlers from "./control_handler.ts";
 
 /**
  * Time for which a replica that answered is asked first, in ms. The leader is
  * asked again then, as another replica may be nearer or the voters changed.
  */
-const NEAR_MS = 10_000;
+const PREFERENCE_MS = 10_000;
 
 /** What a near reader needs. */
-export interface NearReaderOptions {
+export interface ReplicaReaderOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly peers: fleet.Peers;
@@ -22,14 +22,14 @@
 }
 
 /** Which results to read. */
-export type ResultsWanted = Pick<
+export type ResultsQuery = Pick<
   submissions.ReadRequest,
   "id" | "sender" | "after" | "waitMs"
 >;
 
-interface NearReplica {
+interface PreferredReplica {
   readonly id: string;
-  readonly untilMs: number;
+  readonly expiresAtMs: number;
 }
 
 /**
@@ -38,84 +38,84 @@
  * trainer and by others; read from the leader they were 18 of the 67 MB that 28
  * boxes sent across failure domains in 50 s.
  */
-export class NearReader {
-  readonly #options: NearReaderOptions;
-  #near: NearReplica | undefined;
+export class ReplicaReader {
+  readonly #options: ReplicaReaderOptions;
+  #preferred: PreferredReplica | undefined;
 
-  constructor(options: NearReaderOptions) {
+  constructor(options: ReplicaReaderOptions) {
     this.#options = options;
   }
 
   /** Reads once; the leader is asked where the near replica does not answer. */
   async read(
-    wanted: ResultsWanted,
-    times: replicaGroups.CallTimes,
+    query: ResultsQuery,
+    timeouts: replicaGroups.CallTimeouts,
   ): Promise<results.Result<submissions.ResultPage>> {
-    return await this.#readNear(wanted, times) ??
-      await this.#readAtLeader(wanted, times);
+    return await this.#readFromPreferred(query, timeouts) ??
+      await this.#readFromLeader(query, timeouts);
   }
 
-  async #readNear(
-    wanted: ResultsWanted,
-    times: replicaGroups.CallTimes,
+  async #readFromPreferred(
+    query: ResultsQuery,
+    timeouts: replicaGroups.CallTimeouts,
   ): Promise<results.Result<submissions.ResultPage> | undefined> {
-    const near = this.#findNear();
-    if (near === undefined) return undefined;
+    const replicaId = this.#findPreferredId();
+    if (replicaId === undefined) return undefined;
     const { peers, log } = this.#options;
     try {
-      const reply = await peers.get(near).call<
+      const reply = await peers.get(replicaId).call<
         submissions.LeaderReply<submissions.ReadReply>
       >(
         submissions.METHODS.read,
-        this.#createRequest(wanted, true),
-        times.tryMs,
+        this.#createRequest(query, true),
+        timeouts.tryMs,
       );
       if (reply.kind === "done") return results.createOk(reply.value.page);
     } catch (error) {
       log.write("info", "replica.unread", {
-        peer: near,
+        peer: replicaId,
         message: (error as Error).message,
       });
     }
-    this.#near = undefined;
+    this.#preferred = undefined;
     return undefined;
   }
 
-  #findNear(): string | undefined {
+  #findPreferredId(): string | undefined {
     const nowMs = this.#options.clock.getMonotonicMs();
-    if (this.#near === undefined || this.#near.untilMs <= nowMs) {
+    if (this.#preferred === undefined || this.#preferred.expiresAtMs <= nowMs) {
       return undefined;
     }
-    return this.#near.id;
+    return this.#preferred.id;
   }
 
-  async #readAtLeader(
-    wanted: ResultsWanted,
-    times: replicaGroups.CallTimes,
+  async #readFromLeader(
+    query: ResultsQuery,
+    timeouts: replicaGroups.CallTimeouts,
   ): Promise<results.Result<submissions.ResultPage>> {
     const { clock, stores } = this.#options;
-    const reply = await controlCalls.callStores<submissions.ReadReply>(
+    const reply = await controlHandlers.callStoreLeader<submissions.ReadReply>(
       stores,
       {
         method: submissions.METHODS.read,
-        request: this.#createRequest(wanted, false),
+        request: this.#createRequest(query, false),
       },
-      times,
+      timeouts,
     );
     if (reply.kind === "failure") return reply;
     const { page, nearReplica } = reply.value;
-    this.#near = nearReplica === undefined ? undefined : {
+    this.#preferred = nearReplica === undefined ? undefined : {
       id: nearReplica,
-      untilMs: clock.getMonotonicMs() + NEAR_MS,
+      expiresAtMs: clock.getMonotonicMs() + PREFERENCE_MS,
     };
     return results.createOk(page);
   }
 
   #createRequest(
-    wanted: ResultsWanted,
+    query: ResultsQuery,
     mayFollow: boolean,
   ): submissions.ReadRequest {
     const { failureDomain } = this.#options;
-    return { ...wanted, failureDomain, mayFollow };
+    return { ...query, failureDomain, mayFollow };
   }
 }
--- a/src/fleet_daemon/_submission_calls.ts
+++ b/src/fleet_daemon/_submission_handler.ts
@@ -7,17 +7,17 @@
 import type * as results from "../results/mod.ts";
 import * as submissions from "../submission/mod.ts";
 import * as trafficConfig from "../traffic_config/mod.ts";
-import * as controlCalls from "./control_calls.ts";
-import * as nearReaders from "./_near_reader.ts";
-import * as readInSlices from "./_read_in_slices.ts";
+import * as controlHandlers from "./control_handler.ts";
+import * as replicaReaders from "./_replica_reader.ts";
+import * as pollResults from "./_poll_results.ts";
 
 /** Times of calls about submissions; callers wait some seconds. */
-const STORE_TIMES = { totalMs: 2_500, tryMs: 1_200 };
+const STORE_TIMEOUTS = { totalMs: 2_500, tryMs: 1_200 };
 /** When to come back where no leader answered a read, in ms. */
-const UNREAD_RETRY_MS = 150;
+const READ_RETRY_MS = 150;
 
 /** What the submission calls need. */
-export interface SubmissionCallsOptions {
+export interface SubmissionHandlerOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly dialect: dialects.Dialect;
@@ -34,7 +34,7 @@
 >;
 
 /** A submission as it came, and whose it is. */
-export interface SubmissionToAccept {
+export interface IncomingSubmission {
   readonly requestId: string;
   readonly route: trafficConfig.Route;
   readonly sender: accounts.Sender;
@@ -42,19 +42,19 @@
 }
 
 /** Answers callers about submissions, with what the stores say. */
-export class SubmissionCalls {
-  readonly #options: SubmissionCallsOptions;
-  readonly #reader: nearReaders.NearReader;
+export class SubmissionHandler {
+  readonly #options: SubmissionHandlerOptions;
+  readonly #reader: replicaReaders.ReplicaReader;
 
-  constructor(options: SubmissionCallsOptions) {
+  constructor(options: SubmissionHandlerOptions) {
     this.#options = options;
-    this.#reader = new nearReaders.NearReader(options);
+    this.#reader = new replicaReaders.ReplicaReader(options);
   }
 
   /** Has a submission kept; it runs from then on. */
-  async accept(toAccept: SubmissionToAccept): Promise<dialects.RawAnswer> {
+  async accept(incoming: IncomingSubmission): Promise<dialects.RawAnswer> {
     const { dialect, clock, draw, log } = this.#options;
-    const { route, requestId, sender, body } = toAccept;
+    const { route, requestId, sender, body } = incoming;
     const draft = dialect.parseSubmission(requestId, body);
     if (draft.kind === "failure") return dialect.formatFailure(draft.failure);
     const request: submissions.AcceptRequest = {
@@ -73,7 +73,7 @@
         },
       },
     };
-    const accepted = await this.#callStores<null>(
+    const accepted = await this.#callStoreLeader<null>(
       submissions.METHODS.accept,
       request,
     );
@@ -107,13 +107,13 @@
     sender: accounts.Sender,
   ): Promise<dialects.RawAnswer> {
     const { dialect } = this.#options;
-    const read = await readInSlices.readInSlices({
+    const read = await pollResults.pollResults({
       clock: this.#options.clock,
       waitMs: call.waitMs,
       readOnce: (waitMs, tryMs) => {
         const { submission: id, after } = call;
         return this.#reader.read({ id, sender, after, waitMs }, {
-          totalMs: Math.max(STORE_TIMES.totalMs, tryMs),
+          totalMs: Math.max(STORE_TIMEOUTS.totalMs, tryMs),
           tryMs,
         });
       },
@@ -132,7 +132,7 @@
       sender,
       item: call.item,
     };
-    const read = await this.#callStores<string>(
+    const read = await this.#callStoreLeader<string>(
       submissions.METHODS.readBody,
       request,
     );
@@ -148,7 +148,7 @@
   ): Promise<dialects.RawAnswer> {
     const { dialect } = this.#options;
     const request: submissions.EndRequest = { id, sender };
-    const ended = await this.#callStores<null>(
+    const ended = await this.#callStoreLeader<null>(
       submissions.METHODS.end,
       request,
     );
@@ -156,14 +156,14 @@
     return dialect.formatFailure(ended.failure);
   }
 
-  async #callStores<T>(
+  async #callStoreLeader<T>(
     method: string,
     request: object,
   ): Promise<results.Result<T>> {
-    return await controlCalls.callStores<T>(
+    return await controlHandlers.callStoreLeader<T>(
       this.#options.stores,
       { method, request },
-      STORE_TIMES,
+      STORE_TIMEOUTS,
     );
   }
 }
@@ -185,6 +185,6 @@
     code: "noLeader",
     message: failure.message,
     outcome: "notRun",
-    retryAfterMs: UNREAD_RETRY_MS,
+    retryAfterMs: READ_RETRY_MS,
   };
 }
--- a/src/fleet_daemon/box_parts.ts
+++ b/src/fleet_daemon/box_components.ts
@@ -23,7 +23,7 @@
 }
 
 /** Whether callers may come, and whether the box is being stopped. */
-export interface BoxPhase {
+export interface BoxStatus {
   isReady: boolean;
   isLeaving: boolean;
   /** Newest term in which this box has led its replica group; 0 for none. */
@@ -31,7 +31,7 @@
 }
 
 /** The parts that every box has. */
-export interface BoxParts extends BoxContext {
+export interface BoxComponents extends BoxContext {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly metrics: metrics.FleetMetrics;
@@ -43,17 +43,17 @@
   /** Tells whether a configuration names a service; true while there is none. */
   readonly isService: (name: string) => boolean;
   readonly configuration: trafficConfig.ConfigurationHolder;
-  readonly link: fleet.FleetLink;
+  readonly link: fleet.FleetGossip;
   /** Work under which servers ended, as this box knows it. */
   readonly crashTable: crashRecords.CrashTable;
   readonly crashGuard: crashGuards.CrashGuard;
   readonly forwarder: forwarding.Forwarder;
-  readonly phase: BoxPhase;
+  readonly status: BoxStatus;
   readonly draw: () => number;
 }
 
 /** Builds the parts that every box has; nothing runs yet. */
-export function createBoxParts(context: BoxContext): BoxParts {
+export function createBoxComponents(context: BoxContext): BoxComponents {
   const { settings, dialect, lines } = context;
   const clock = new clocks.SystemClock();
   const log = new logs.Log(
@@ -84,14 +84,14 @@
     servers: new registry.ServerRegistry(
       clock,
       settings.bounds.heartbeatMs,
-      ({ address, port }) => httpClient.closeIdle(address, port),
+      ({ address, port }) => httpClient.closeIdleConnections(address, port),
     ),
     configuration,
     crashTable: new crashRecords.CrashTable(),
-    phase: { isReady: false, isLeaving: false, ledTerm: 0 },
+    status: { isReady: false, isLeaving: false, ledTerm: 0 },
     draw: Math.random,
   };
-  const link: fleet.FleetLink = createLink(
+  const link: fleet.FleetGossip = createLink(
     shared,
     (record) => crashGuard.mergeRemoteRecord(record),
   );
@@ -107,31 +107,31 @@
 }
 
 /** The parts that know nothing of the fleet's news. */
-type LocalParts = Omit<BoxParts, "link" | "crashGuard" | "forwarder">;
+type LocalComponents = Omit<BoxComponents, "link" | "crashGuard" | "forwarder">;
 
 function createCrashGuard(
-  parts: LocalParts,
-  link: fleet.FleetLink,
+  components: LocalComponents,
+  link: fleet.FleetGossip,
 ): crashGuards.CrashGuard {
-  const stores = createLeaderCaller(parts, isStoreBox);
+  const storeLeader = createLeaderCaller(components, isStoreBox);
   return new crashGuards.CrashGuard({
-    ...parts,
-    table: parts.crashTable,
-    findPortState: httpClient.findPortState,
+    ...components,
+    table: components.crashTable,
+    findPortState: httpClient.probePort,
     publish: (record) => link.publishCrash(record),
-    ...crashGuards.createGrantClient(stores),
+    ...crashGuards.createGrantClient(storeLeader),
   });
 }
 
 function createLink(
-  parts: LocalParts,
+  components: LocalComponents,
   learnCrash: (record: crashRecords.CrashRecord) => boolean,
-): fleet.FleetLink {
-  const { settings, phase, clock } = parts;
+): fleet.FleetGossip {
+  const { settings, status: status, clock } = components;
   const { box, roles, listen, seeds, dataFolder } = settings;
   const startedAtMs = clock.getWallMs();
-  return new fleet.FleetLink({
-    ...parts,
+  return new fleet.FleetGossip({
+    ...components,
     learnCrash,
     seeds: seeds.map((seed) => seed.address),
     describeSelf: () => ({
@@ -145,9 +145,9 @@
         : `${listen.caller.address}:${listen.caller.port}`,
       isCore: roles.entry && dataFolder !== undefined,
       isStore: roles.store,
-      isReady: phase.isReady,
-      isLeaving: phase.isLeaving,
-      ledTerm: phase.ledTerm,
+      isReady: status.isReady,
+      isLeaving: status.isLeaving,
+      ledTerm: status.ledTerm,
       startedAtMs,
     }),
   });
@@ -155,10 +155,10 @@
 
 /** Makes a caller of the leader among the boxes of a kind. */
 export function createLeaderCaller(
-  parts: Pick<BoxParts, "clock" | "log" | "directory" | "peers">,
+  components: Pick<BoxComponents, "clock" | "log" | "directory" | "peers">,
   isMember: (box: fleet.BoxRecord) => boolean,
 ): replicaGroups.LeaderCaller {
-  const { clock, log, directory, peers } = parts;
+  const { clock, log, directory, peers } = components;
   return new replicaGroups.LeaderCaller({
     clock,
     log,
--- a/src/fleet_daemon/caller_calls.ts
+++ b/src/fleet_daemon/caller_handler.ts
@@ -11,22 +11,22 @@
 import * as trafficConfig from "../traffic_config/mod.ts";
 import type * as metricTypes from "../metrics/mod.ts";
 import type * as fleet from "../fleet/mod.ts";
-import * as plainHeaders from "./_plain_headers.ts";
+import * as endToEndHeaders from "./_end_to_end_headers.ts";
 import type * as usages from "../usage/mod.ts";
 import * as rawListeners from "./_raw_listener.ts";
-import * as submissionCalls from "./_submission_calls.ts";
+import * as submissionHandlers from "./_submission_handler.ts";
 
 /** Kept back from a deadline so that the answer arrives before it, in ms. */
 const ANSWER_MARGIN_MS = 30;
 /** When to come back to a box that has no configuration yet, in ms. */
-const START_RETRY_MS = 500;
+const UNCONFIGURED_RETRY_MS = 500;
 /** Shortest silence before a second server is asked, in ms. */
-const MIN_HEDGE_MS = 60;
+const MIN_HEDGE_DELAY_MS = 60;
 /** Share of the target latency after which a second server is asked. */
-const HEDGE_SHARE = 0.45;
+const HEDGE_DELAY_FRACTION = 0.45;
 
 /** What the caller calls need. */
-export interface CallerCallsOptions {
+export interface CallerHandlerOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly metrics: metricTypes.FleetMetrics;
@@ -37,12 +37,12 @@
   readonly peers: fleet.Peers;
   readonly failureDomain: string;
   /** Counts usage where that is asked for. */
-  readonly usage: usages.UsageTeller | undefined;
+  readonly usage: usages.UsageRecorder | undefined;
   readonly draw: () => number;
 }
 
 /** A request and the configuration under which it is answered. */
-interface AskedRequest {
+interface ParsedRequest {
   readonly raw: dialects.RawRequest;
   readonly head: dialects.RequestHead;
   readonly configuration: trafficConfig.Configuration;
@@ -62,13 +62,13 @@
 }
 
 /** Answers requests at the caller address. */
-export class CallerCalls {
-  readonly #options: CallerCallsOptions;
-  readonly #submissions: submissionCalls.SubmissionCalls;
+export class CallerHandler {
+  readonly #options: CallerHandlerOptions;
+  readonly #submissions: submissionHandlers.SubmissionHandler;
 
-  constructor(options: CallerCallsOptions) {
+  constructor(options: CallerHandlerOptions) {
     this.#options = options;
-    this.#submissions = new submissionCalls.SubmissionCalls(options);
+    this.#submissions = new submissionHandlers.SubmissionHandler(options);
   }
 
   /** Answers one request. */
@@ -91,51 +91,51 @@
     const configuration = this.#options.configuration.get();
     if (configuration === undefined) {
       return this.#refuse("noLease", "Cannot serve: no configuration yet", {
-        retryAfterMs: START_RETRY_MS,
+        retryAfterMs: UNCONFIGURED_RETRY_MS,
       });
     }
-    const asked: AskedRequest = {
+    const parsed: ParsedRequest = {
       raw,
       head: this.#options.dialect.parseRequestHead(raw.headers),
       configuration,
       host: getHost(raw),
     };
     if (call.kind === "routed") {
-      return await this.#serveRouted(asked, request, response);
+      return await this.#serveRouted(parsed, request, response);
     }
     const allowsAnonymous = configuration.routes.some((route) =>
-      route.host === asked.host && route.kind === "submission" &&
+      route.host === parsed.host && route.kind === "submission" &&
       route.allowsAnonymous
     );
-    const sender = this.#checkKey(asked, allowsAnonymous);
+    const sender = this.#checkKey(parsed, allowsAnonymous);
     if (sender.kind === "refused") return this.#refuseKey();
     return await this.#submissions.answer(call, sender);
   }
 
   /** Says whose request it is; a refusal is logged without its key. */
   #checkKey(
-    { raw, head, configuration, host }: AskedRequest,
+    { raw, head, configuration, host }: ParsedRequest,
     allowsAnonymous: boolean,
-  ): accounts.KeyVerdict {
+  ): accounts.KeyCheckResult {
     const { log, metrics } = this.#options;
     const { key, requestId } = head;
-    const verdict = accounts.checkKey(
+    const result = accounts.checkKey(
       configuration.accounts,
       key,
       allowsAnonymous,
     );
-    if (verdict.kind === "refused") {
-      metrics.countRefusedKey(verdict.reason);
+    if (result.kind === "refused") {
+      metrics.countRefusedKey(result.reason);
       log.write("info", "key.refused", {
         request: requestId,
         host,
         target: raw.target,
         key: accounts.describeKey(key),
         version: configuration.version,
-        reason: verdict.reason,
+        reason: result.reason,
       });
     }
-    return verdict;
+    return result;
   }
 
   #refuseKey(): dialects.RawAnswer {
@@ -143,7 +143,7 @@
   }
 
   #refuse(
-    code: results.CodeName,
+    code: results.ResultCodeName,
     message: string,
     options: results.FailureOptions = {},
   ): dialects.RawAnswer {
@@ -152,13 +152,13 @@
   }
 
   async #serveRouted(
-    asked: AskedRequest,
+    parsed: ParsedRequest,
     request: http.IncomingMessage,
     response: http.ServerResponse,
   ): Promise<dialects.RawAnswer | undefined> {
     const { clock, dialect, log } = this.#options;
     const arrivedAtMs = clock.getMonotonicMs();
-    const { raw, head, configuration, host } = asked;
+    const { raw, head, configuration, host } = parsed;
     const route = trafficConfig.matchRoute(configuration, host, raw.target);
     if (route === undefined) {
       log.write("info", "request.unrouted", {
@@ -168,18 +168,18 @@
       });
       return this.#refuse("unknownRoute", "Cannot serve: no route fits");
     }
-    const sender = this.#checkKey(asked, route.allowsAnonymous);
+    const sender = this.#checkKey(parsed, route.allowsAnonymous);
     if (sender.kind === "refused") return this.#refuseKey();
     if (head.requestId === undefined) {
       return this.#refuse("missingKey", "Cannot serve: the id is missing");
     }
-    const waitMs = Math.min(
+    const timeoutMs = Math.min(
       head.deadlineMs ?? route.timeoutMs,
       route.timeoutMs,
     );
     const body = await httpServer.readBody(request, {
       maxBodyBytes: configuration.limits.bodyBytes,
-      receiveTimeoutMs: waitMs,
+      receiveTimeoutMs: timeoutMs,
     });
     if (body.kind === "failure") return dialect.formatFailure(body.failure);
     const routed: RoutedRequest = {
@@ -189,7 +189,7 @@
       sender,
       requestId: head.requestId,
       arrivedAtMs,
-      deadlineAtMs: arrivedAtMs + waitMs - ANSWER_MARGIN_MS,
+      deadlineAtMs: arrivedAtMs + timeoutMs - ANSWER_MARGIN_MS,
     };
     if (route.kind === "submission") {
       return await this.#submissions.accept({ ...routed, body: body.value });
@@ -220,27 +220,33 @@
       maxAttempts: route.attempts,
       isRepeatable: route.kind === "repeatable",
       retriesErrors: true,
-      hedgeMs: Math.max(MIN_HEDGE_MS, route.targetLatencyMs * HEDGE_SHARE),
-      onStarted: (begunAtMs) => this.#countUsage(sender, begunAtMs),
+      hedgeMs: Math.max(
+        MIN_HEDGE_DELAY_MS,
+        route.targetLatencyMs * HEDGE_DELAY_FRACTION,
+      ),
+      onStarted: (startedAtMs) => this.#countUsage(sender, startedAtMs),
       cancellation,
     });
-    this.#note(routed, outcome);
+    this.#recordOutcome(routed, outcome);
     return this.#toAnswer(outcome);
   }
 
-  #countUsage(sender: accounts.Sender, begunAtMs: number): void {
+  #countUsage(sender: accounts.Sender, startedAtMs: number): void {
     const { clock, usage } = this.#options;
     if (sender.kind !== "account" || usage === undefined) return;
-    const agoMs = clock.getMonotonicMs() - begunAtMs;
-    usage.count(sender.name, clock.getWallMs() - agoMs);
+    const elapsedMs = clock.getMonotonicMs() - startedAtMs;
+    usage.count(sender.name, clock.getWallMs() - elapsedMs);
   }
 
-  #note(routed: RoutedRequest, outcome: forwarding.ForwardOutcome): void {
+  #recordOutcome(
+    routed: RoutedRequest,
+    outcome: forwarding.ForwardOutcome,
+  ): void {
     const { clock, log, metrics } = this.#options;
-    const tookMs = clock.getMonotonicMs() - routed.arrivedAtMs;
-    metrics.recordRequest(routed.route.name, outcome.kind, tookMs);
-    const isPlain = outcome.kind === "answered" && outcome.answer.status < 500;
-    log.write(isPlain ? "debug" : "info", "request.done", {
+    const durationMs = clock.getMonotonicMs() - routed.arrivedAtMs;
+    metrics.recordRequest(routed.route.name, outcome.kind, durationMs);
+    const isServed = outcome.kind === "answered" && outcome.answer.status < 500;
+    log.write(isServed ? "debug" : "info", "request.done", {
       request: routed.requestId,
       route: routed.route.name,
       account: routed.sender.kind === "account"
@@ -253,7 +259,7 @@
       status: outcome.kind === "answered" ? outcome.answer.status : undefined,
       waitedMs: outcome.kind === "notRun" ? outcome.waitedMs : undefined,
       returnMs: "returnMs" in outcome ? outcome.returnMs : undefined,
-      tookMs: Math.round(tookMs),
+      tookMs: Math.round(durationMs),
     });
   }
 
@@ -265,9 +271,9 @@
         const { status, headers, body, isFramed } = outcome.answer;
         return {
           status,
-          headers: plainHeaders.toPlainHeaders(headers),
+          headers: endToEndHeaders.toEndToEndHeaders(headers),
           body,
-          endsWithConnection: !isFramed,
+          isCloseDelimited: !isFramed,
         };
       }
       case "notRun":
--- a/src/fleet_daemon/choose_entry_boxes_test.ts
+++ b/src/fleet_daemon/choose_entry_boxes_test.ts
@@ -2,9 +2,9 @@
 import type * as fleet from "../fleet/mod.ts";
 import * as chooseEntryBoxes from "./_choose_entry_boxes.ts";
 
-const HEARD_MS = 600;
+const RESPONSIVE_MS = 600;
 /** Less than the time after which a box is taken for gone. */
-const SILENT_MS = 1_200;
+const SUSPECT_MS = 1_200;
 
 function createBox(
   id: string,
@@ -36,20 +36,25 @@
   return chooseEntryBoxes.chooseEntryBoxes({
     alive,
     failureDomain: "z1",
-    getSilenceMs: (id) => silent.includes(id) ? SILENT_MS : HEARD_MS,
+    getSilenceMs: (id) => silent.includes(id) ? SUSPECT_MS : RESPONSIVE_MS,
   }).map((box) => box.id);
 }
 
 describe("choice of entry boxes", () => {
-  const near = ["a", "b", "c", "d"].map((id) => createBox(id, "z1"));
-  const far = ["e", "f"].map((id) => createBox(id, "z2"));
+  const sameDomain = ["a", "b", "c", "d"].map((id) => createBox(id, "z1"));
+  const otherDomain = ["e", "f"].map((id) => createBox(id, "z2"));
 
   it("names the boxes of the caller's failure domain", () => {
-    chai.expect(choose([...near, ...far])).to.deep.equal(["a", "b", "c", "d"]);
+    chai.expect(choose([...sameDomain, ...otherDomain])).to.deep.equal([
+      "a",
+      "b",
+      "c",
+      "d",
+    ]);
   });
 
   it("names all boxes where too few are near", () => {
-    chai.expect(choose([createBox("a", "z1"), ...far])).to.deep.equal([
+    chai.expect(choose([createBox("a", "z1"), ...otherDomain])).to.deep.equal([
       "a",
       "e",
       "f",
@@ -58,7 +63,7 @@
 
   it("names no box that is not ready, leaves, or serves no callers", () => {
     const boxes = [
-      ...near,
+      ...sameDomain,
       createBox("g", "z1", { isReady: false }),
       createBox("h", "z1", { isLeaving: true }),
       createBox("i", "z1", { callerAddress: undefined }),
@@ -67,11 +72,11 @@
   });
 
   it("leaves out a quarter of the boxes before they are taken for gone", () => {
-    chai.expect(choose(near, ["b"])).to.deep.equal(["a", "c", "d"]);
+    chai.expect(choose(sameDomain, ["b"])).to.deep.equal(["a", "c", "d"]);
   });
 
   it("leaves none out where most are silent, as the news are then at fault", () => {
-    chai.expect(choose(near, ["a", "b", "c"])).to.deep.equal([
+    chai.expect(choose(sameDomain, ["a", "b", "c"])).to.deep.equal([
       "a",
       "b",
       "c",
--- a/src/fleet_daemon/control_calls.ts
+++ b/src/fleet_daemon/control_handler.ts
@@ -9,10 +9,10 @@
 import * as trafficConfig from "../traffic_config/mod.ts";
 
 /** Operators take a second without an answer for a failure. */
-const CALL_TIMES = { totalMs: 900, tryMs: 450 };
+const CALL_TIMEOUTS = { totalMs: 900, tryMs: 450 };
 
 /** What the control calls need. */
-export interface ControlCallsOptions {
+export interface ControlHandlerOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly dialect: dialects.Dialect;
@@ -21,16 +21,16 @@
   readonly refusedReports: Pick<registry.RefusalRecorder, "record">;
   /** Tells whether a configuration names a service; true while there is none. */
   readonly isService: (name: string) => boolean;
-  readonly link: fleet.FleetLink;
+  readonly link: fleet.FleetGossip;
   readonly core: replicaGroups.LeaderCaller;
   readonly stores: replicaGroups.LeaderCaller;
 }
 
 /** Answers the calls of servers, operators and trainers to the control address. */
-export class ControlCalls {
-  readonly #options: ControlCallsOptions;
+export class ControlHandler {
+  readonly #options: ControlHandlerOptions;
 
-  constructor(options: ControlCallsOptions) {
+  constructor(options: ControlHandlerOptions) {
     this.#options = options;
   }
 
@@ -43,9 +43,9 @@
     const call = dialect.parseControlCall(request, body);
     switch (call.kind) {
       case "heartbeat":
-        return this.#takeHeartbeat(call.report);
+        return this.#handleHeartbeat(call.report);
       case "leave":
-        return this.#takeLeave(call.lifetime);
+        return this.#handleLeave(call.lifetime);
       case "badReport":
         this.#options.refusedReports.record(call.refusal);
         return dialect.formatFailure(call.failure);
@@ -72,7 +72,7 @@
   }
 
   #refuse(
-    code: results.CodeName,
+    code: results.ResultCodeName,
     message: string,
     options: results.FailureOptions = {},
   ): dialects.RawAnswer {
@@ -81,7 +81,7 @@
   }
 
   /** The others are told before the server is, so that they know by then. */
-  #takeHeartbeat(report: registry.ServerReport): dialects.RawAnswer {
+  #handleHeartbeat(report: registry.ServerReport): dialects.RawAnswer {
     const { servers, link, log, dialect, clock, isService } = this.#options;
     const refusal = registry.validateReport(report, {
       known: servers.get(report.id),
@@ -120,7 +120,7 @@
     );
   }
 
-  #takeLeave(lifetime: registry.Lifetime): dialects.RawAnswer {
+  #handleLeave(lifetime: registry.Lifetime): dialects.RawAnswer {
     const { servers, link, log, dialect, clock } = this.#options;
     const { id, born } = lifetime;
     const known = servers.get(id);
@@ -146,7 +146,7 @@
     const reply = await core.call<trafficConfig.PutReply>(
       trafficConfig.METHODS.put,
       request,
-      CALL_TIMES,
+      CALL_TIMEOUTS,
     );
     log.write("info", "configuration.put", {
       version: stored.version,
@@ -161,7 +161,7 @@
     const reply = await core.call<trafficConfig.ReadReply>(
       trafficConfig.METHODS.read,
       {},
-      CALL_TIMES,
+      CALL_TIMEOUTS,
     );
     if (reply.kind === "failure") return dialect.formatFailure(reply.failure);
     const { stored } = reply.value;
@@ -174,7 +174,7 @@
     version: number,
   ): Promise<dialects.RawAnswer> {
     const request: submissions.NameVersionRequest = { model, version };
-    const reply = await this.#callStores<null>(
+    const reply = await this.#callStoreLeader<null>(
       submissions.METHODS.nameVersion,
       request,
     );
@@ -185,9 +185,9 @@
 
   async #retire(name: string): Promise<dialects.RawAnswer> {
     const box = this.#options.directory.findByName(name);
-    if (box === undefined || !box.isStore) return this.#refuseBox(name);
+    if (box === undefined || !box.isStore) return this.#refuseUnknownBox(name);
     const request: submissions.RetireRequest = { box: box.id };
-    const reply = await this.#callStores<submissions.RetireState>(
+    const reply = await this.#callStoreLeader<submissions.RetireState>(
       submissions.METHODS.retire,
       request,
     );
@@ -203,9 +203,9 @@
 
   async #readRetire(name: string): Promise<dialects.RawAnswer> {
     const box = this.#options.directory.findByName(name);
-    if (box === undefined || !box.isStore) return this.#refuseBox(name);
+    if (box === undefined || !box.isStore) return this.#refuseUnknownBox(name);
     const request: submissions.RetireRequest = { box: box.id };
-    const reply = await this.#callStores<submissions.RetireState>(
+    const reply = await this.#callStoreLeader<submissions.RetireState>(
       submissions.METHODS.readRetire,
       request,
     );
@@ -215,18 +215,18 @@
     return this.#options.dialect.formatRetire(reply.value === "completed");
   }
 
-  #refuseBox(name: string): dialects.RawAnswer {
+  #refuseUnknownBox(name: string): dialects.RawAnswer {
     return this.#refuse("unknownRoute", `Cannot find the store box ${name}`);
   }
 
-  async #callStores<T>(
+  async #callStoreLeader<T>(
     method: string,
     request: object,
   ): Promise<results.Result<T>> {
-    return await callStores<T>(
+    return await callStoreLeader<T>(
       this.#options.stores,
       { method, request },
-      CALL_TIMES,
+      CALL_TIMEOUTS,
     );
   }
 }
@@ -243,15 +243,15 @@
  * @returns The value; `unknownStep` for what does not exist, `changeUnknown`
  * or `noLeader` where no answer came in time.
  */
-export async function callStores<T>(
+export async function callStoreLeader<T>(
   stores: replicaGroups.LeaderCaller,
   call: StoreCall,
-  times: replicaGroups.CallTimes,
+  timeouts: replicaGroups.CallTimeouts,
 ): Promise<results.Result<T>> {
   const reply = await stores.call<submissions.LeaderReply<T>>(
     call.method,
     call.request,
-    times,
+    timeouts,
   );
   if (reply.kind === "failure") return reply;
   switch (reply.value.kind) {
--- a/src/fleet_daemon/entry_box.ts
+++ b/src/fleet_daemon/entry_box.ts
@@ -7,86 +7,96 @@
 import * as results from "../results/mod.ts";
 import * as usages from "../usage/mod.ts";
 import * as trafficConfig from "../traffic_config/mod.ts";
-import * as boxParts from "./box_parts.ts";
-import * as callerCalls from "./caller_calls.ts";
+import * as boxComponents from "./box_components.ts";
+import * as callerHandlers from "./caller_handler.ts";
 import * as chooseEntryBoxes from "./_choose_entry_boxes.ts";
-import * as controlCalls from "./control_calls.ts";
-import * as duties from "./_duty_settings.ts";
+import * as controlHandlers from "./control_handler.ts";
+import * as dutySettings from "./_duty_settings.ts";
 import * as rawListeners from "./_raw_listener.ts";
 
 /** Largest body of a control call, in bytes; a configuration has some 100 KB. */
-const MAX_CONTROL_BYTES = 16 * 1024 * 1024;
+const MAX_CONTROL_BODY_BYTES = 16 * 1024 * 1024;
 /** Time in which the body of a control call must arrive, in ms. */
-const CONTROL_RECEIVE_MS = 5_000;
+const CONTROL_BODY_TIMEOUT_MS = 5_000;
 /** Core replicas at most; an odd number, so that a half has no quorum. */
 const MAX_CORE_VOTERS = 9;
 const CORE_SNAPSHOT_ENTRIES = 64;
 /** Share of the longest time that callers keep addresses. */
-const KEEP_SHARE = 0.4;
+const ADDRESS_LIFETIME_FRACTION = 0.4;
 /** Addresses in one answer at most; callers read no more. */
 const MAX_ADDRESSES = 64;
 
 /** The listeners and services of an entry box. */
 export class EntryBox {
-  readonly #parts: boxParts.BoxParts;
-  readonly #callers: httpServer.HttpListener;
-  readonly #others: readonly httpServer.HttpListener[];
-  readonly #control: httpServer.HttpListener;
-  readonly #ready: httpServer.HttpListener;
-  readonly #directory: httpServer.HttpListener;
-  readonly #controlCalls: controlCalls.ControlCalls;
+  readonly #components: boxComponents.BoxComponents;
+  readonly #callerListener: httpServer.HttpListener;
+  readonly #otherListeners: readonly httpServer.HttpListener[];
+  readonly #controlListener: httpServer.HttpListener;
+  readonly #readinessListener: httpServer.HttpListener;
+  readonly #addressListener: httpServer.HttpListener;
+  readonly #controlHandler: controlHandlers.ControlHandler;
   readonly #core: replicaGroups.ReplicaGroup | undefined;
-  readonly #usage: usages.UsageTeller | undefined;
+  readonly #usageRecorder: usages.UsageRecorder | undefined;
 
-  constructor(parts: boxParts.BoxParts) {
-    this.#parts = parts;
-    new replicaGroups.FoundingDesk({
-      ...parts,
-      isFirstStart: parts.settings.isFirstStart,
+  constructor(components: boxComponents.BoxComponents) {
+    this.#components = components;
+    new replicaGroups.BootstrapService({
+      ...components,
+      isFirstStart: components.settings.isFirstStart,
     });
-    const core = boxParts.createLeaderCaller(parts, boxParts.isCoreBox);
-    const stores = boxParts.createLeaderCaller(parts, boxParts.isStoreBox);
-    this.#controlCalls = new controlCalls.ControlCalls({
-      ...parts,
+    const core = boxComponents.createLeaderCaller(
+      components,
+      boxComponents.isCoreBox,
+    );
+    const stores = boxComponents.createLeaderCaller(
+      components,
+      boxComponents.isStoreBox,
+    );
+    this.#controlHandler = new controlHandlers.ControlHandler({
+      ...components,
       core,
       stores,
     });
-    this.#usage = createUsageTeller(parts, stores);
-    const calls = new callerCalls.CallerCalls({
-      ...parts,
+    this.#usageRecorder = createUsageRecorder(components, stores);
+    const callerHandler = new callerHandlers.CallerHandler({
+      ...components,
       stores,
-      usage: this.#usage,
-      failureDomain: parts.settings.box.failureDomain,
+      usage: this.#usageRecorder,
+      failureDomain: components.settings.box.failureDomain,
     });
-    const { log } = parts;
-    this.#callers = rawListeners.createRawListener(
-      (request, response) => calls.serve(request, response),
+    const { log } = components;
+    this.#callerListener = rawListeners.createRawListener(
+      (request, response) => callerHandler.serve(request, response),
       log,
     );
-    this.#control = rawListeners.createRawListener(
+    this.#controlListener = rawListeners.createRawListener(
       (request, response) => this.#serveControl(request, response),
       log,
     );
-    this.#ready = rawListeners.createRawListener(
-      (_request, response) => this.#serveReady(response),
+    this.#readinessListener = rawListeners.createRawListener(
+      (_request, response) => this.#serveReadiness(response),
       log,
     );
-    this.#directory = rawListeners.createRawListener(
+    this.#addressListener = rawListeners.createRawListener(
       (request, response) => this.#serveAddresses(request, response),
       log,
     );
-    this.#others = [this.#control, this.#ready, this.#directory];
+    this.#otherListeners = [
+      this.#controlListener,
+      this.#readinessListener,
+      this.#addressListener,
+    ];
     this.#core = this.#createCore();
   }
 
   /** Starts to listen; callers come once a configuration is in force. */
   async start(): Promise<void> {
-    const { listen } = this.#parts.settings;
-    await listenAt(this.#control, listen.control);
-    await listenAt(this.#ready, listen.ready);
-    await listenAt(this.#directory, listen.directory);
-    await listenAt(this.#callers, listen.caller);
-    this.#usage?.start();
+    const { listen } = this.#components.settings;
+    await listenAt(this.#controlListener, listen.control);
+    await listenAt(this.#readinessListener, listen.ready);
+    await listenAt(this.#addressListener, listen.directory);
+    await listenAt(this.#callerListener, listen.caller);
+    this.#usageRecorder?.start();
   }
 
   /** Joins the core where this box has a disk; waits for the founding. */
@@ -100,14 +110,14 @@
   }
 
   getInFlight(): number {
-    return this.#callers.getInFlight();
+    return this.#callerListener.getInFlightCount();
   }
 
   /** Follows what the configuration says of connections. */
-  followLimits(): void {
-    const limits = this.#parts.configuration.get()?.limits;
+  applyLimits(): void {
+    const limits = this.#components.configuration.get()?.limits;
     if (limits === undefined) return;
-    this.#callers.setTimes({
+    this.#callerListener.setConnectionTimeouts({
       headersMs: limits.headerTimeoutMs,
       idleMs: limits.idleTimeoutMs,
     });
@@ -115,58 +125,62 @@
 
   /** Hands leadership over, and asks callers to go elsewhere. */
   async setDraining(): Promise<void> {
-    this.#callers.setDraining();
-    for (const listener of this.#others) listener.setDraining();
+    this.#callerListener.startDraining();
+    for (const listener of this.#otherListeners) listener.startDraining();
     await this.#core?.resign();
   }
 
   async stop(): Promise<void> {
-    for (const listener of [this.#callers, ...this.#others]) {
+    for (const listener of [this.#callerListener, ...this.#otherListeners]) {
       listener.close(false);
     }
-    this.#usage?.stop();
+    this.#usageRecorder?.stop();
     await this.#core?.stop();
   }
 
   #createCore(): replicaGroups.ReplicaGroup | undefined {
-    const { settings, server } = this.#parts;
+    const { settings, server } = this.#components;
     if (settings.dataFolder === undefined) return undefined;
-    const machine = this.#createMachine();
+    const stateMachine = this.#createStateMachine();
     const group = new replicaGroups.ReplicaGroup({
-      ...this.#parts,
+      ...this.#components,
       name: "core",
       id: settings.box.address,
       failureDomain: settings.box.failureDomain,
       dataFolder: settings.dataFolder,
       isFirstStart: settings.isFirstStart,
-      wanted: MAX_CORE_VOTERS,
-      least: 2 * settings.lossesToBear + 1,
+      maxVoters: MAX_CORE_VOTERS,
+      minVoters: 2 * settings.lossesToBear + 1,
       snapshotEntries: CORE_SNAPSHOT_ENTRIES,
       seeds: settings.seeds.map((seed) => seed.address),
-      machine,
-      canVote: boxParts.isCoreBox,
+      stateMachine: stateMachine,
+      canVote: boxComponents.isCoreBox,
       listRetiring: () => [],
     });
-    new trafficConfig.ConfigurationService({ server, group, machine });
+    new trafficConfig.ConfigurationService({
+      server,
+      group,
+      machine: stateMachine,
+    });
     return group;
   }
 
   /** What a round of the log brings is put in force once, not one by one. */
-  #createMachine(): trafficConfig.ConfigurationMachine {
-    const { clock, configuration, link } = this.#parts;
-    const followSoon = new clocks.GatheredCall({
+  #createStateMachine(): trafficConfig.ConfigurationMachine {
+    const { clock, configuration, link } = this.#components;
+    const deferredUpdate = new clocks.CoalescedCall({
       clock,
       delayMs: 0,
       action: () => {
-        const stored = machine.getStored();
+        const stored = stateMachine.getStored();
         if (stored === undefined || !configuration.update(stored)) return;
         link.publishConfiguration();
       },
     });
-    const machine = new trafficConfig.ConfigurationMachine(() =>
-      followSoon.schedule()
+    const stateMachine = new trafficConfig.ConfigurationMachine(() =>
+      deferredUpdate.schedule()
     );
-    return machine;
+    return stateMachine;
   }
 
   async #serveControl(
@@ -174,43 +188,43 @@
     response: http.ServerResponse,
   ): Promise<void> {
     const body = await httpServer.readBody(request, {
-      maxBodyBytes: MAX_CONTROL_BYTES,
-      receiveTimeoutMs: CONTROL_RECEIVE_MS,
+      maxBodyBytes: MAX_CONTROL_BODY_BYTES,
+      receiveTimeoutMs: CONTROL_BODY_TIMEOUT_MS,
     });
     const raw = rawListeners.toRawRequest(request);
     const answer = body.kind === "ok"
-      ? await this.#controlCalls.answer(raw, body.value)
-      : this.#parts.dialect.formatFailure(body.failure);
+      ? await this.#controlHandler.answer(raw, body.value)
+      : this.#components.dialect.formatFailure(body.failure);
     rawListeners.writeAnswer(response, answer);
   }
 
-  #serveReady(response: http.ServerResponse): Promise<void> {
-    const { dialect, phase } = this.#parts;
+  #serveReadiness(response: http.ServerResponse): Promise<void> {
+    const { dialect, status: status } = this.#components;
     rawListeners.writeAnswer(
       response,
-      phase.isReady && !phase.isLeaving
+      status.isReady && !status.isLeaving
         ? dialect.formatDone()
         : this.#refuse("noLease", "Not ready"),
     );
     return Promise.resolve();
   }
 
-  #refuse(code: results.CodeName, message: string): dialects.RawAnswer {
+  #refuse(code: results.ResultCodeName, message: string): dialects.RawAnswer {
     const { failure } = results.createFailure(code, message);
-    return this.#parts.dialect.formatFailure(failure);
+    return this.#components.dialect.formatFailure(failure);
   }
 
   #serveAddresses(
     request: http.IncomingMessage,
     response: http.ServerResponse,
   ): Promise<void> {
-    const { dialect, settings } = this.#parts;
+    const { dialect, settings } = this.#components;
     const raw = rawListeners.toRawRequest(request);
     const query = dialect.parseAddressQuery(raw);
     const addresses = query === undefined
       ? []
       : this.#listAddresses(query.failureDomain);
-    const keepMs = settings.bounds.addressesKeepMs * KEEP_SHARE;
+    const keepMs = settings.bounds.addressesKeepMs * ADDRESS_LIFETIME_FRACTION;
     rawListeners.writeAnswer(
       response,
       addresses.length === 0
@@ -221,7 +235,7 @@
   }
 
   #listAddresses(failureDomain: string): readonly string[] {
-    const { directory } = this.#parts;
+    const { directory } = this.#components;
     return chooseEntryBoxes.chooseEntryBoxes({
       alive: directory.listAlive(),
       failureDomain,
@@ -231,21 +245,21 @@
 }
 
 /** Counts usage where the settings ask for its report. */
-function createUsageTeller(
-  parts: boxParts.BoxParts,
+function createUsageRecorder(
+  components: boxComponents.BoxComponents,
   stores: replicaGroups.LeaderCaller,
-): usages.UsageTeller | undefined {
-  const { clock, settings, directory } = parts;
-  const times = duties.getUsageTimes(settings);
+): usages.UsageRecorder | undefined {
+  const { clock, settings, directory } = components;
+  const times = dutySettings.getUsageTimings(settings);
   if (times === undefined) return undefined;
-  return new usages.UsageTeller({
+  return new usages.UsageRecorder({
     clock,
     stores,
     times,
     source: `${settings.box.address} ${clock.getWallMs()}`,
     describeLeader: () => {
-      const leader = boxParts.findLeader(
-        directory.listAll().filter(boxParts.isStoreBox),
+      const leader = boxComponents.findLeader(
+        directory.listAll().filter(boxComponents.isStoreBox),
       );
       return `${leader?.id} ${leader?.ledTerm}`;
     },
--- a/src/fleet_daemon/fleet_daemon.ts
+++ b/src/fleet_daemon/fleet_daemon.ts
@@ -1,19 +1,19 @@
 import * as clocks from "../clock/mod.ts";
-import * as boxParts from "./box_parts.ts";
+import * as boxComponents from "./box_components.ts";
 import * as entryBoxes from "./entry_box.ts";
 import * as storeBoxes from "./store_box.ts";
 
 /** Between two looks at whether the box may take callers, in ms. */
-const READY_CHECK_MS = 100;
+const CHECK_INTERVAL_MS = 100;
 /** Kept back from the time that a planned stop may take, in ms. */
 const STOP_MARGIN_MS = 1_200;
 /** Longest time that a store box waits after handing over, in ms. */
-const STORE_STOP_MS = 1_000;
+const STORE_DRAIN_MS = 1_000;
 /** Time without a request after which a leaving box may end, in ms. */
-const QUIET_MS = 1_500;
-const QUIET_CHECK_MS = 50;
+const MIN_IDLE_MS = 1_500;
+const IDLE_CHECK_INTERVAL_MS = 50;
 /** Age of the settings' oldest address answers, as multiples of their time. */
-const STALE_ANSWERS = 1.2;
+const ADDRESS_LIFETIME_FACTOR = 1.2;
 
 /** How a box ended. */
 export type BoxEnd =
@@ -22,7 +22,7 @@
 
 /** One box of a fleet: an entry box or a store box. */
 export class FleetDaemon {
-  readonly #parts: boxParts.BoxParts;
+  readonly #components: boxComponents.BoxComponents;
   readonly #entry: entryBoxes.EntryBox | undefined;
   readonly #store: storeBoxes.StoreBox | undefined;
   readonly #onEnd: (end: BoxEnd) => void;
@@ -30,26 +30,26 @@
 
   /** @param onEnd Told once, when the box has ended. */
   constructor(
-    context: Omit<boxParts.BoxContext, "onFatal">,
+    context: Omit<boxComponents.BoxContext, "onFatal">,
     onEnd: (end: BoxEnd) => void,
   ) {
     this.#onEnd = onEnd;
-    this.#parts = boxParts.createBoxParts({
+    this.#components = boxComponents.createBoxComponents({
       ...context,
       onFatal: (error) => this.#end({ kind: "failed", error }),
     });
     const { roles, dataFolder } = context.settings;
     this.#entry = roles.entry
-      ? new entryBoxes.EntryBox(this.#parts)
+      ? new entryBoxes.EntryBox(this.#components)
       : undefined;
     this.#store = roles.store && dataFolder !== undefined
-      ? new storeBoxes.StoreBox(this.#parts, dataFolder)
+      ? new storeBoxes.StoreBox(this.#components, dataFolder)
       : undefined;
   }
 
   /** Starts all parts; resolves once this box listens. */
   async start(): Promise<void> {
-    const { settings, server, link, log, metrics } = this.#parts;
+    const { settings, server, link, log, metrics } = this.#components;
     const { box, listen } = settings;
     await server.listen(box.address, listen.peerPort);
     await this.#entry?.start();
@@ -63,7 +63,7 @@
       hasDisk: settings.dataFolder !== undefined,
       isFirstStart: settings.isFirstStart,
     });
-    this.#followConfiguration();
+    this.#refreshStatus();
     const joins = [this.#entry?.join(), this.#store?.join()];
     Promise.all(joins).catch((error: unknown) =>
       this.#end({ kind: "failed", error })
@@ -75,67 +75,68 @@
    * leadership over, serves what still comes, and ends.
    */
   async drain(): Promise<void> {
-    const { phase, link, log } = this.#parts;
-    if (phase.isLeaving) return;
-    phase.isLeaving = true;
+    const { status: status, link, log } = this.#components;
+    if (status.isLeaving) return;
+    status.isLeaving = true;
     log.write("info", "drain.began", { inFlight: this.#entry?.getInFlight() });
     link.publishSelf();
     await Promise.all([this.#entry?.setDraining(), this.#store?.setDraining()]);
     await (this.#entry === undefined
-      ? clocks.sleep(this.#parts.clock, STORE_STOP_MS)
-      : this.#awaitQuiet(this.#entry));
+      ? clocks.sleep(this.#components.clock, STORE_DRAIN_MS)
+      : this.#awaitIdle(this.#entry));
     log.write("info", "drain.ended", { inFlight: this.#entry?.getInFlight() });
-    await this.#stopParts();
+    await this.#stopComponents();
     this.#end({ kind: "stopped" });
   }
 
   /** Waits until no caller comes any more, or the time is over. */
-  async #awaitQuiet(entry: entryBoxes.EntryBox): Promise<void> {
-    const { clock, settings: { bounds } } = this.#parts;
+  async #awaitIdle(entry: entryBoxes.EntryBox): Promise<void> {
+    const { clock, settings: { bounds } } = this.#components;
     const startMs = clock.getMonotonicMs();
     const endMs = startMs + bounds.stopMs - STOP_MARGIN_MS;
-    let busyAtMs = startMs + bounds.addressesKeepMs * STALE_ANSWERS - QUIET_MS;
+    let lastBusyMs = startMs +
+      bounds.addressesKeepMs * ADDRESS_LIFETIME_FACTOR - MIN_IDLE_MS;
     while (clock.getMonotonicMs() < endMs) {
       const nowMs = clock.getMonotonicMs();
-      if (entry.getInFlight() > 0) busyAtMs = Math.max(busyAtMs, nowMs);
-      if (nowMs - busyAtMs > QUIET_MS) return;
-      await clocks.sleep(clock, QUIET_CHECK_MS);
+      if (entry.getInFlight() > 0) lastBusyMs = Math.max(lastBusyMs, nowMs);
+      if (nowMs - lastBusyMs > MIN_IDLE_MS) return;
+      await clocks.sleep(clock, IDLE_CHECK_INTERVAL_MS);
     }
   }
 
   /** Takes callers once a configuration is in force. */
-  #followConfiguration(): void {
-    const { configuration, phase, link, clock, log, lines, metrics } =
-      this.#parts;
+  #refreshStatus(): void {
+    const { configuration, status: status, link, clock, log, lines, metrics } =
+      this.#components;
     if (this.#isEnded) return;
-    metrics.setLogLost(lines.getLost());
-    this.#entry?.followLimits();
-    if (!phase.isReady && configuration.getVersion() > 0) {
-      phase.isReady = true;
+    metrics.setDroppedLogLines(lines.getDroppedCount());
+    this.#entry?.applyLimits();
+    if (!status.isReady && configuration.getVersion() > 0) {
+      status.isReady = true;
       log.write("info", "box.ready", { version: configuration.getVersion() });
       link.publishSelf();
     }
-    this.#followLeadership();
-    clock.startTimer(READY_CHECK_MS, () => this.#followConfiguration());
+    this.#publishLeadership();
+    clock.startTimer(CHECK_INTERVAL_MS, () => this.#refreshStatus());
   }
 
   /** Tells the fleet when this box begins to lead its group. */
-  #followLeadership(): void {
-    const { phase, link } = this.#parts;
+  #publishLeadership(): void {
+    const { status: status, link } = this.#components;
     const term = this.#store?.getLeadTerm() ?? this.#entry?.getLeadTerm() ?? 0;
-    if (term <= phase.ledTerm) return;
-    phase.ledTerm = term;
+    if (term <= status.ledTerm) return;
+    status.ledTerm = term;
     link.publishSelf();
   }
 
   /** Stops at once, cutting what is under way. */
   async stop(): Promise<void> {
-    await this.#stopParts();
+    await this.#stopComponents();
     this.#end({ kind: "stopped" });
   }
 
-  async #stopParts(): Promise<void> {
-    const { link, server, peers, metrics } = this.#parts;
+  async #stopComponents(): Promise<void> {
+    const { link, server, peers, metrics } = this.#components;
     link.stop();
     await this.#entry?.stop();
     await this.#store?.stop();
@@ -147,7 +148,7 @@
   #end(end: BoxEnd): void {
     if (this.#isEnded) return;
     this.#isEnded = true;
-    const { log } = this.#parts;
+    const { log } = this.#components;
     if (end.kind === "failed") {
       const error = end.error as Error;
       log.write("error", "box.failed", {
--- a/src/fleet_daemon/mod.ts
+++ b/src/fleet_daemon/mod.ts
@@ -8,9 +8,9 @@
  * ```
  * @module
  */
-export * from "./box_parts.ts";
-export * from "./caller_calls.ts";
-export * from "./control_calls.ts";
+export * from "./box_components.ts";
+export * from "./caller_handler.ts";
+export * from "./control_handler.ts";
 export * from "./entry_box.ts";
 export * from "./fleet_daemon.ts";
 export * from "./_raw_listener.ts";
--- a/src/fleet_daemon/read_in_slices_test.ts
+++ b/src/fleet_daemon/poll_results_test.ts
@@ -2,7 +2,7 @@
 import * as clocks from "../clock/mod.ts";
 import * as results from "../results/mod.ts";
 import type * as submissions from "../submission/mod.ts";
-import * as readInSlices from "./_read_in_slices.ts";
+import * as pollResults from "./_poll_results.ts";
 
 const RESULT: submissions.ItemResult = {
   id: "a",
@@ -22,45 +22,45 @@
 
 describe("read in slices", () => {
   let clock = new clocks.FakeClock();
-  let asked: number[] = [];
+  let waits: number[] = [];
 
   beforeEach(() => {
     clock = new clocks.FakeClock();
-    asked = [];
+    waits = [];
   });
 
   /** Reads 1,000 ms long; each answer takes the whole wait it was asked for. */
-  function read(
+  function poll(
     answers: readonly results.Result<submissions.ResultPage>[],
   ): Promise<results.Result<submissions.ResultPage>> {
-    return readInSlices.readInSlices({
+    return pollResults.pollResults({
       clock,
       waitMs: 1_000,
-      readOnce: (waitMs, tryMs) => {
-        chai.expect(tryMs).to.be.lessThan(1_000);
-        asked.push(waitMs);
-        clock.extendBy(waitMs);
-        return Promise.resolve(answers[asked.length - 1] ?? createPage([]));
+      readOnce: (waitMs, timeoutMs) => {
+        chai.expect(timeoutMs).to.be.lessThan(1_000);
+        waits.push(waitMs);
+        clock.advance(waitMs);
+        return Promise.resolve(answers[waits.length - 1] ?? createPage([]));
       },
     });
   }
 
   it("waits no longer than its caller allows", async () => {
-    const page = await read([]);
+    const page = await poll([]);
     chai.expect(page).to.deep.equal(createPage([]));
-    chai.expect(asked).to.deep.equal([400, 400, 200]);
+    chai.expect(waits).to.deep.equal([400, 400, 200]);
   });
 
   it("gives the first results at once", async () => {
-    const page = await read([createPage([]), createPage([RESULT])]);
+    const page = await poll([createPage([]), createPage([RESULT])]);
     chai.expect(page).to.deep.equal(createPage([RESULT]));
-    chai.expect(asked).to.deep.equal([400, 400]);
+    chai.expect(waits).to.deep.equal([400, 400]);
   });
 
   it("asks no more once the submission has ended, or a read failed", async () => {
-    await read([createPage([], true)]);
-    chai.expect(asked.length).to.equal(1);
+    await poll([createPage([], true)]);
+    chai.expect(waits.length).to.equal(1);
     const failure = results.createFailure("noLeader", "no leader");
-    chai.expect(await read([failure, failure])).to.deep.equal(failure);
+    chai.expect(await poll([failure, failure])).to.deep.equal(failure);
   });
 });
--- a/src/fleet_daemon/raw_listener_test.ts
+++ b/src/fleet_daemon/raw_listener_test.ts
@@ -32,7 +32,7 @@
     // A server that gives no length crashed midway; the end of its connection
     // ended the answer, which was passed on with the length of what had come, so
     // that the caller took the half for the whole.
-    const text = await readAnswer({ ...answer, endsWithConnection: true });
+    const text = await readAnswer({ ...answer, isCloseDelimited: true });
     chai.expect(text).to.not.match(/content-length|transfer-encoding/i);
     chai.expect(text).to.match(/connection: close\r\n[^]*\r\n\r\nhalf$/i);
   });
--- a/src/fleet_daemon/near_reader_test.ts
+++ b/src/fleet_daemon/replica_reader_test.ts
@@ -4,17 +4,17 @@
 import * as replicaGroups from "../replica_group/mod.ts";
 import type * as rpc from "../rpc/mod.ts";
 import type * as submissions from "../submission/mod.ts";
-import * as nearReaders from "./_near_reader.ts";
+import * as replicaReaders from "./_replica_reader.ts";
 
-const WANTED = {
+const QUERY = {
   sender: { kind: "unasked" } as const,
   id: "s",
   after: 0,
   waitMs: 0,
 };
-const TIMES = { totalMs: 1_000, tryMs: 500 };
+const TIMEOUTS = { totalMs: 1_000, tryMs: 500 };
 /** Longer than a near replica is asked without the leader's word, in ms. */
-const LONG_MS = 10_001;
+const EXPIRED_MS = 10_001;
 
 type ReadReply = submissions.LeaderReply<submissions.ReadReply>;
 
@@ -24,13 +24,13 @@
 
 describe("near reader", () => {
   let clock = new clocks.FakeClock();
-  let asked: string[] = [];
+  let calls: string[] = [];
   let answers: Record<string, ReadReply | Error> = {};
-  let reader: nearReaders.NearReader;
+  let reader: replicaReaders.ReplicaReader;
 
   beforeEach(() => {
     clock = new clocks.FakeClock();
-    asked = [];
+    calls = [];
     answers = {
       leader: {
         kind: "done",
@@ -49,7 +49,7 @@
       findLeader: () => undefined,
       getClient: getPeer,
     });
-    reader = new nearReaders.NearReader({
+    reader = new replicaReaders.ReplicaReader({
       clock,
       log,
       peers: { get: getPeer },
@@ -60,12 +60,12 @@
 
   function getPeer(id: string): rpc.Peer {
     return {
-      tell: () => {},
+      notify: () => {},
       call: <T>(_method: string, params: object) => {
         const { mayFollow, failureDomain } = params as submissions.ReadRequest;
         chai.expect(failureDomain).to.equal("z1");
         chai.expect(mayFollow).to.equal(id === "near");
-        asked.push(id);
+        calls.push(id);
         const answer = answers[id];
         return answer instanceof Error
           ? Promise.reject(answer)
@@ -75,7 +75,7 @@
   }
 
   async function readNext(): Promise<number | string> {
-    const read = await reader.read(WANTED, TIMES);
+    const read = await reader.read(QUERY, TIMEOUTS);
     return read.kind === "ok" ? read.value.next : read.failure.code;
   }
 
@@ -83,9 +83,9 @@
     chai.expect(await readNext()).to.equal(1);
     chai.expect(await readNext()).to.equal(2);
     chai.expect(await readNext()).to.equal(2);
-    clock.extendBy(LONG_MS);
+    clock.advance(EXPIRED_MS);
     chai.expect(await readNext()).to.equal(1);
-    chai.expect(asked).to.deep.equal(["leader", "near", "near", "leader"]);
+    chai.expect(calls).to.deep.equal(["leader", "near", "near", "leader"]);
   });
 
   it("asks the leader where the near replica fails or can't tell", async () => {
@@ -99,7 +99,7 @@
       answers["near"] = refusal;
       chai.expect(await readNext()).to.equal(1);
     }
-    chai.expect(asked).to.deep.equal([
+    chai.expect(calls).to.deep.equal([
       "leader",
       ...["near", "leader", "near", "leader", "near", "leader"],
     ]);
@@ -112,7 +112,7 @@
     };
     chai.expect(await readNext()).to.equal(3);
     chai.expect(await readNext()).to.equal(3);
-    chai.expect(asked).to.deep.equal(["leader", "leader"]);
+    chai.expect(calls).to.deep.equal(["leader", "leader"]);
   });
 
   it("says that a submission is unknown only on the leader's word", async () => {
--- a/src/fleet_daemon/run_box.ts
+++ b/src/fleet_daemon/run_box.ts
@@ -31,7 +31,7 @@
       resolve,
     );
     process.on("SIGTERM", () => void daemon.drain());
-    process.on("SIGHUP", () => reportReload(file, settings, lines));
+    process.on("SIGHUP", () => checkSettings(file, settings, lines));
     daemon.start().catch((error: unknown) =>
       resolve({ kind: "failed", error })
     );
@@ -41,7 +41,7 @@
 }
 
 /** Nothing in the settings changes while a box runs but the seeds to ask. */
-function reportReload(
+function checkSettings(
   file: string,
   settings: fleetSettings.FleetSettings,
   lines: logs.LineBuffer,
--- a/src/fleet_daemon/store_box.ts
+++ b/src/fleet_daemon/store_box.ts
@@ -7,14 +7,14 @@
 import * as submissions from "../submission/mod.ts";
 import * as weightOrders from "../weight_orders/mod.ts";
 import * as usages from "../usage/mod.ts";
-import * as boxParts from "./box_parts.ts";
+import * as boxComponents from "./box_components.ts";
 import * as dutySettings from "./_duty_settings.ts";
 
 /** Entries after which the stores' log is cut; bodies make it large. */
 const STORE_SNAPSHOT_ENTRIES = 4_096;
 
 /** Between two looks for submissions that nobody asks for any more, in ms. */
-const FORGET_MS = 5_000;
+const CLEANUP_INTERVAL_MS = 5_000;
 
 /** Keeps submissions, and runs them while it leads the stores. */
 export class StoreBox {
@@ -22,45 +22,45 @@
   readonly #dispatcher: dispatch.Dispatcher;
   readonly #duty: duties.DutyLease;
   readonly #usage: usages.UsageReporter | undefined;
-  readonly #capacity: capacity.Autoscaler | undefined;
-  readonly #orders: weightOrders.WeightOrderScheduler;
-  readonly #knownEngines: weightOrders.EngineTracker;
-  readonly #crashKeeper: crashGuards.CrashReplicator;
-  readonly #parts: boxParts.BoxParts;
-  readonly #machine: submissions.SubmissionMachine;
+  readonly #autoscaler: capacity.Autoscaler | undefined;
+  readonly #weightOrders: weightOrders.WeightOrderScheduler;
+  readonly #engineTracker: weightOrders.EngineTracker;
+  readonly #crashReplicator: crashGuards.CrashReplicator;
+  readonly #components: boxComponents.BoxComponents;
+  readonly #stateMachine: submissions.SubmissionStateMachine;
   readonly #ages: submissions.SubmissionAges;
   #isStopped = false;
 
   /** @param dataFolder Folder on the box's disk. */
-  constructor(parts: boxParts.BoxParts, dataFolder: string) {
-    this.#parts = parts;
-    this.#ages = new submissions.SubmissionAges(parts.clock);
-    const { settings, clock } = parts;
+  constructor(components: boxComponents.BoxComponents, dataFolder: string) {
+    this.#components = components;
+    this.#ages = new submissions.SubmissionAges(components.clock);
+    const { settings, clock } = components;
     const changed = new csp.Signal();
-    const machine = new submissions.SubmissionMachine(() => {
+    const stateMachine = new submissions.SubmissionStateMachine(() => {
       changed.notify();
       this.#dispatcher.wake();
     });
-    const wanted = 2 * settings.lossesToBear + 1;
+    const voterCount = 2 * settings.lossesToBear + 1;
     const group = new replicaGroups.ReplicaGroup({
-      ...parts,
+      ...components,
       name: "stores",
       id: settings.box.address,
       failureDomain: settings.box.failureDomain,
       dataFolder,
       isFirstStart: settings.isFirstStart,
-      wanted,
-      least: wanted,
+      maxVoters: voterCount,
+      minVoters: voterCount,
       snapshotEntries: STORE_SNAPSHOT_ENTRIES,
       seeds: settings.seeds.map((seed) => seed.address),
-      machine,
-      canVote: boxParts.isStoreBox,
-      listRetiring: () => machine.listRetiring(),
+      stateMachine: stateMachine,
+      canVote: boxComponents.isStoreBox,
+      listRetiring: () => stateMachine.listRetiring(),
     });
     this.#group = group;
-    this.#machine = machine;
+    this.#stateMachine = stateMachine;
     const engines = new dispatch.EngineTable(clock);
-    const shared = { ...parts, group, machine, engines };
+    const shared = { ...components, group, machine: stateMachine, engines };
     this.#dispatcher = new dispatch.Dispatcher(shared);
     this.#duty = new duties.DutyLease({
       ...shared,
@@ -69,56 +69,56 @@
       leaseMs: settings.bounds.orderLeaseMs,
     });
     this.#usage = this.#createUsageReporter();
-    this.#capacity = this.#createCapacityOrders();
-    this.#orders = new weightOrders.WeightOrderScheduler({
+    this.#autoscaler = this.#createAutoscaler();
+    this.#weightOrders = new weightOrders.WeightOrderScheduler({
       ...shared,
       duty: this.#duty,
       onLoading: (engine, model) => this.#dispatcher.moveRuns(engine, model),
       onLoaded: () => this.#dispatcher.wake(),
     });
-    this.#knownEngines = new weightOrders.EngineTracker({
+    this.#engineTracker = new weightOrders.EngineTracker({
       ...shared,
       onDiscovered: () => this.#dispatcher.wake(),
     });
-    this.#crashKeeper = this.#createCrashKeeper();
-    this.#createSubmissionService(changed, wanted);
+    this.#crashReplicator = this.#createCrashReplicator();
+    this.#createSubmissionService(changed, voterCount);
   }
 
   /** Has the submissions answered for, while this store leads or may read. */
-  #createSubmissionService(changed: csp.Signal, wanted: number): void {
-    const { settings, directory } = this.#parts;
-    const machine = this.#machine;
+  #createSubmissionService(changed: csp.Signal, wantedVoters: number): void {
+    const { settings, directory } = this.#components;
+    const stateMachine = this.#stateMachine;
     const barrier = new replicaGroups.ReadBarrier({
-      ...this.#parts,
+      ...this.#components,
       name: "stores",
       replica: this.#group,
       changed,
     });
     new submissions.SubmissionService({
-      ...this.#parts,
+      ...this.#components,
       group: this.#group,
-      machine,
+      stateMachine: stateMachine,
       id: settings.box.address,
       barrier,
       getFailureDomain: (id) => directory.get(id)?.failureDomain,
-      changed,
-      wantedVoters: wanted,
-      listStores: () =>
+      stateChanged: changed,
+      wantedVoters: wantedVoters,
+      listStoreIds: () =>
         directory.listAlive()
           .filter((box) =>
             box.isStore && !box.isLeaving &&
-            !machine.listRetiring().includes(box.id)
+            !stateMachine.listRetiring().includes(box.id)
           )
           .map((box) => box.id),
     });
   }
 
-  #createCrashKeeper(): crashGuards.CrashReplicator {
-    const { link, crashTable, crashGuard } = this.#parts;
+  #createCrashReplicator(): crashGuards.CrashReplicator {
+    const { link, crashTable, crashGuard } = this.#components;
     const shared = {
-      ...this.#parts,
+      ...this.#components,
       group: this.#group,
-      machine: this.#machine,
+      machine: this.#stateMachine,
       table: crashTable,
     };
     return new crashGuards.CrashReplicator({
@@ -130,30 +130,30 @@
   }
 
   #createUsageReporter(): usages.UsageReporter | undefined {
-    const { settings } = this.#parts;
-    const times = dutySettings.getUsageTimes(settings);
+    const { settings } = this.#components;
+    const times = dutySettings.getUsageTimings(settings);
     const endpoint = settings.infrastructure?.address;
     if (times === undefined || endpoint === undefined) return undefined;
     return new usages.UsageReporter({
-      ...this.#parts,
+      ...this.#components,
       group: this.#group,
       duty: this.#duty,
-      book: this.#machine.getUsage(),
+      state: this.#stateMachine.getUsage(),
       times,
       endpoint,
     });
   }
 
-  #createCapacityOrders(): capacity.Autoscaler | undefined {
-    const { settings } = this.#parts;
+  #createAutoscaler(): capacity.Autoscaler | undefined {
+    const { settings } = this.#components;
     const policy = dutySettings.getCapacityPolicy(settings);
     const endpoint = settings.infrastructure?.address;
     if (policy === undefined || endpoint === undefined) return undefined;
     return new capacity.Autoscaler({
-      ...this.#parts,
+      ...this.#components,
       group: this.#group,
       duty: this.#duty,
-      state: this.#machine.getCapacity(),
+      state: this.#stateMachine.getCapacity(),
       policy,
       endpoint,
       countNeededSlots: (service, leastMs) =>
@@ -167,11 +167,11 @@
     this.#dispatcher.start();
     this.#duty.start();
     this.#usage?.start();
-    this.#capacity?.start();
-    this.#orders.start();
-    this.#knownEngines.start();
-    this.#crashKeeper.start();
-    this.#runForget();
+    this.#autoscaler?.start();
+    this.#weightOrders.start();
+    this.#engineTracker.start();
+    this.#crashReplicator.start();
+    this.#removeExpired();
   }
 
   /** Term in which this box leads the stores; 0 where it does not. */
@@ -184,23 +184,26 @@
     await this.#group.resign();
   }
 
-  #runForget(): void {
+  #removeExpired(): void {
     if (this.#isStopped) return;
-    const { clock, settings } = this.#parts;
-    this.#ages.observe(this.#machine.listAll());
-    const ids = submissions.findForgettable(this.#machine.listAll(), {
-      nowMs: clock.getWallMs(),
-      resultsKeepMs: settings.bounds.resultsKeepMs,
-      getKnownMs: (id) => this.#ages.getAgeMs(id),
-    });
+    const { clock, settings } = this.#components;
+    this.#ages.observe(this.#stateMachine.listAll());
+    const ids = submissions.findExpiredSubmissions(
+      this.#stateMachine.listAll(),
+      {
+        nowMs: clock.getWallMs(),
+        resultRetentionMs: settings.bounds.resultsKeepMs,
+        getAgeMs: (id) => this.#ages.getAgeMs(id),
+      },
+    );
     if (ids.length > 0 && this.#group.hasAuthority()) {
       const command: submissions.SubmissionCommand = {
         kind: "forgetSubmissions",
         ids,
       };
-      void this.#group.propose(command, FORGET_MS);
+      void this.#group.propose(command, CLEANUP_INTERVAL_MS);
     }
-    clock.startTimer(FORGET_MS, () => this.#runForget());
+    clock.startTimer(CLEANUP_INTERVAL_MS, () => this.#removeExpired());
   }
 
   async stop(): Promise<void> {
@@ -208,10 +211,10 @@
     this.#dispatcher.stop();
     this.#duty.stop();
     this.#usage?.stop();
-    this.#capacity?.stop();
-    this.#orders.stop();
-    this.#knownEngines.stop();
-    this.#crashKeeper.stop();
+    this.#autoscaler?.stop();
+    this.#weightOrders.stop();
+    this.#engineTracker.stop();
+    this.#crashReplicator.stop();
     await this.#group.stop();
   }
 }
--- a/src/fleet_settings/fleet_settings.ts
+++ b/src/fleet_settings/fleet_settings.ts
@@ -1,8 +1,11 @@
 import * as z from "zod";
 
-const port = z.number().int().min(1).max(65_535);
+const portSchema = z.number().int().min(1).max(65_535);
 
-const endpoint = z.string().regex(/^\d+\.\d+\.\d+\.\d+:\d+$/, "must be IP:PORT")
+const endpointSchema = z.string().regex(
+  /^\d+\.\d+\.\d+\.\d+:\d+$/,
+  "must be IP:PORT",
+)
   .transform((text): Endpoint => {
     const [address = "", portText = ""] = text.split(":");
     return { address, port: Number(portText) };
@@ -27,14 +30,18 @@
     store: z.boolean().describe("Keeps submissions and their results"),
   }),
   listen: z.strictObject({
-    caller: endpoint.optional(),
-    ready: endpoint.optional(),
-    control: endpoint.optional(),
-    directory: endpoint.optional(),
-    metrics: port.optional().describe("Port of the metrics page"),
-    peerPort: port.describe("Port for other boxes, the same on every box"),
+    caller: endpointSchema.optional(),
+    ready: endpointSchema.optional(),
+    control: endpointSchema.optional(),
+    directory: endpointSchema.optional(),
+    metrics: portSchema.optional().describe("Port of the metrics page"),
+    peerPort: portSchema.describe(
+      "Port for other boxes, the same on every box",
+    ),
   }),
-  seeds: z.array(endpoint).describe("Boxes to ask first; they may be gone"),
+  seeds: z.array(endpointSchema).describe(
+    "Boxes to ask first; they may be gone",
+  ),
   isFirstStart: z.boolean().describe("True once, when all disks are empty"),
   dataFolder: z.string().optional().describe("Folder on a lasting disk"),
   memoryMb: z.number().positive().describe("Limit of the process, in MB"),
@@ -61,7 +68,7 @@
     ),
   }),
   infrastructure: z.strictObject({
-    address: endpoint.describe("Where it takes calls of duties"),
+    address: endpointSchema.describe("Where it takes calls of duties"),
     duties: z.array(z.string()).describe("Duties that it asks for"),
   }).optional().describe("Undefined where there are no such duties"),
   capacity: z.strictObject({
--- a/src/forwarding/_attempt.ts
+++ b/src/forwarding/_attempt.ts
@@ -40,7 +40,7 @@
     body: job.body,
     timeoutMs,
     connectTimeoutMs: CONNECT_TIMEOUT_MS,
-    maxAnswerBytes: MAX_ANSWER_BYTES,
+    maxResponseBytes: MAX_ANSWER_BYTES,
     isFreshConnection: !job.isRepeatable,
     checkHead: (head) => findHeadProblem(options, head),
     cancellation,
@@ -62,7 +62,7 @@
 /** Returns why an answer head is not acceptable, or undefined if it is. */
 function findHeadProblem(
   { dialect, job }: AttemptOptions,
-  { status, headers }: httpClient.HttpHead,
+  { status, headers }: httpClient.ResponseHead,
 ): string | undefined {
   const { requestId } = dialect.parseAnswerHead(headers);
   if (requestId === job.requestId) return undefined;
@@ -74,7 +74,7 @@
 
 function evaluateAnswer(
   options: AttemptOptions,
-  { status, headers }: httpClient.HttpHead,
+  { status, headers }: httpClient.ResponseHead,
   body: Buffer,
 ): jobs.AttemptOutcome {
   const head = options.dialect.parseAnswerHead(headers);
--- a/src/forwarding/_job_run.ts
+++ b/src/forwarding/_job_run.ts
@@ -64,7 +64,7 @@
   /** Starts the first attempt and the deadline timer. */
   start(): void {
     const { cancellation, deadlineAtMs } = this.#job;
-    cancellation.add(this.#onAbandon);
+    cancellation.addListener(this.#onAbandon);
     if (cancellation.isCancelled()) return this.#onAbandon();
     const leftMs = deadlineAtMs - this.#options.clock.getMonotonicMs();
     this.#cancelDeadline = this.#options.clock.startTimer(
@@ -286,7 +286,7 @@
     const { priority, targetAtMs } = this.#job;
     const giveUpAtMs = this.#slotWait.start();
     this.#leaveQueue = this.#queue.enqueue(
-      { priority, targetAtMs, giveUpAtMs },
+      { priority, targetAtMs, deadlineAtMs: giveUpAtMs },
       {
         onTurn: () => {
           this.#picker.startTurn();
@@ -321,7 +321,7 @@
     this.#cancelHedge();
     this.#leaveQueue();
     this.#crashGuard.releaseGrant();
-    this.#job.cancellation.remove(this.#onAbandon);
+    this.#job.cancellation.removeListener(this.#onAbandon);
     this.#reportStart();
     for (const cancellation of this.#runningAttempts.keys()) {
       cancellation.cancel();
--- a/src/forwarding/_service_queue.ts
+++ b/src/forwarding/_service_queue.ts
@@ -8,7 +8,7 @@
 const PROBE_INTERVAL_MS = 40;
 
 /** Priority and time limits of a queued request. */
-export type QueueEntry = Omit<admission.WaitingRequest, "id">;
+export type QueueEntry = Omit<admission.QueuedRequest, "id">;
 
 /** Callbacks of a queued request; at most one of them is called, once. */
 export interface QueueListener {
@@ -21,7 +21,7 @@
 /** Queues the requests of one service and dispatches them as slots are freed. */
 export class ServiceQueue {
   readonly #clock: clocks.Clock;
-  readonly #queue = new admission.WaitingLine();
+  readonly #queue = new admission.AdmissionQueue();
   readonly #listeners = new Map<string, QueueListener>();
   #sequence = 0;
   #isProbeScheduled = false;
@@ -39,27 +39,27 @@
     this.#sequence += 1;
     const id = String(this.#sequence);
     const nowMs = this.#clock.getMonotonicMs();
-    const result = this.#queue.enter({ ...entry, id }, nowMs);
+    const result = this.#queue.enqueue({ ...entry, id }, nowMs);
     if (result.kind === "refused") {
-      listener.onRefuse(result.returnMs);
+      listener.onRefuse(result.retryAfterMs);
       return () => {};
     }
     this.#listeners.set(id, listener);
     this.#scheduleProbe();
     return () => {
-      this.#queue.leave(id);
+      this.#queue.remove(id);
       this.#listeners.delete(id);
     };
   }
 
   /** Assigns the delay after which a refused caller should retry, in ms. */
   assignRetryAfterMs(): number {
-    return this.#queue.refuse(this.#clock.getMonotonicMs());
+    return this.#queue.scheduleRetry(this.#clock.getMonotonicMs());
   }
 
   /** Records that a server answered, and gives its slot to the next request. */
   recordFreedSlot(): void {
-    this.#queue.noteFreed(this.#clock.getMonotonicMs());
+    this.#queue.recordFreedSlot(this.#clock.getMonotonicMs());
     this.#notifyNext();
   }
 
@@ -76,13 +76,15 @@
 
   #refuseExpired(): void {
     const nowMs = this.#clock.getMonotonicMs();
-    for (const { id, returnMs } of this.#queue.takeExpired(nowMs)) {
+    for (
+      const { id, retryAfterMs: returnMs } of this.#queue.removeExpired(nowMs)
+    ) {
       this.#takeListener(id)?.onRefuse(returnMs);
     }
   }
 
   #notifyNext(): void {
-    const id = this.#queue.takeNext(this.#clock.getMonotonicMs());
+    const id = this.#queue.dequeue(this.#clock.getMonotonicMs());
     if (id !== undefined) this.#takeListener(id)?.onTurn();
   }
 
--- a/src/forwarding/choose_server_test.ts
+++ b/src/forwarding/choose_server_test.ts
@@ -41,7 +41,7 @@
     loads.recordEnd("b", 40);
     chai.expect(choose()?.id).to.equal("b");
     loads.markFull("b");
-    clock.extendBy(30);
+    clock.advance(30);
     chai.expect(choose()?.id).to.equal("b");
   });
 
@@ -53,7 +53,7 @@
     for (const id of ["b", "c"]) loads.recordEnd(id, 44);
     chai.expect(loads.getMeanDurationMs("a")).to.be.closeTo(40, 0.01);
     chai.expect(choose()?.id).to.not.equal("a");
-    clock.extendBy(3_000);
+    clock.advance(3_000);
     chai.expect(choose()?.id).to.equal("a");
   });
 
--- a/src/forwarding/crash_replay_test.ts
+++ b/src/forwarding/crash_replay_test.ts
@@ -1,5 +1,5 @@
 import * as chai from "chai";
-import * as crashReplays from "../fixtures/crash_replay.ts";
+import * as crashReplays from "../fixtures/crash_simulation.ts";
 import * as crashRecords from "../crash_record/mod.ts";
 
 const SEEDS = [1, 2] as const;
@@ -54,15 +54,20 @@
     for (const badShare of [0.01, 0.05, 0.2]) {
       it(`is served and not held back: ${pattern.name}, ${badShare * 100} % crashing`, async () => {
         for (const seed of SEEDS) {
-          const baseline = await crashReplays.replayCrashes(
+          const baseline = await crashReplays.simulateCrashes(
             { ...pattern, badShare: 0 },
             seed,
           );
-          const outcome = await crashReplays.replayCrashes(
+          const outcome = await crashReplays.simulateCrashes(
             { ...pattern, badShare },
             seed,
           );
-          const { mostEnded, heldBack, heldBackEarly, good } = outcome;
+          const {
+            maxCrashesPerTarget: mostEnded,
+            heldBack,
+            heldBackEarly,
+            good,
+          } = outcome;
           chai.expect(mostEnded).to.be.within(
             1,
             MAX_ENDED_BY_SHARE[badShare] ?? 0,
@@ -79,9 +84,9 @@
 
   it("loses its servers if crashing work is not identified", async () => {
     const pattern = { ...FEW, badShare: 0.05 };
-    const guarded = await crashReplays.replayCrashes(pattern, 1);
-    const unguarded = await crashReplays.replayCrashes(pattern, 1, false);
-    chai.expect(unguarded.mostEnded).to.be.greaterThan(
+    const guarded = await crashReplays.simulateCrashes(pattern, 1);
+    const unguarded = await crashReplays.simulateCrashes(pattern, 1, false);
+    chai.expect(unguarded.maxCrashesPerTarget).to.be.greaterThan(
       3 * crashRecords.MAX_CONSECUTIVE_CRASHES,
     );
     chai.expect(getShareInTarget(unguarded)).to.be.lessThan(
@@ -92,7 +97,7 @@
   it("is not held back if all crashes are unrelated to work", async () => {
     const pattern = { ...MANY, badShare: 0, chanceEndsPerMin: 60 };
     for (const seed of SEEDS) {
-      const { heldBack, ended } = await crashReplays.replayCrashes(
+      const { heldBack, ended } = await crashReplays.simulateCrashes(
         pattern,
         seed,
       );
--- a/src/forwarding/forwarding_test.ts
+++ b/src/forwarding/forwarding_test.ts
@@ -187,7 +187,7 @@
     it("recover some seconds after a failure", () => {
       loads.recordOutcome("failing", false);
       const before = estimate("failing");
-      fakeClock.extendBy(20_000);
+      fakeClock.advance(20_000);
       chai.expect(estimate("failing")).to.be.lessThan(before - 70);
     });
 
--- a/src/forwarding/load_test.ts
+++ b/src/forwarding/load_test.ts
@@ -1,5 +1,5 @@
 import * as chai from "chai";
-import * as loadReplays from "../fixtures/load_replay.ts";
+import * as loadReplays from "../fixtures/load_simulation.ts";
 
 const SEED = 4;
 /** Tolerated difference between two replays, as a share of all callers. */
@@ -8,8 +8,12 @@
 describe("forwarding under load", () => {
   for (const pattern of loadReplays.LOAD_PATTERNS) {
     it(`serves no fewer callers when load-aware: ${pattern.name}`, async () => {
-      const unawareOutcome = await loadReplays.replayLoad(pattern, SEED, false);
-      const awareOutcome = await loadReplays.replayLoad(pattern, SEED, true);
+      const unawareOutcome = await loadReplays.simulateLoad(
+        pattern,
+        SEED,
+        false,
+      );
+      const awareOutcome = await loadReplays.simulateLoad(pattern, SEED, true);
       function getShares(outcome: loadReplays.LoadOutcome) {
         return {
           inTarget: outcome.inTarget / outcome.asked,
@@ -52,8 +56,8 @@
         Math.floor(atMs / SLOWDOWN_MS) % 5 === server ? 2.5 : 1,
     };
     const reporting = { ...pattern, tellsSlowness: true };
-    const withoutReports = await loadReplays.replayLoad(pattern, SEED, true);
-    const withReports = await loadReplays.replayLoad(reporting, SEED, true);
+    const withoutReports = await loadReplays.simulateLoad(pattern, SEED, true);
+    const withReports = await loadReplays.simulateLoad(reporting, SEED, true);
     const lateWithoutReports = 1 -
       withoutReports.inTarget / withoutReports.asked;
     const lateWithReports = 1 - withReports.inTarget / withReports.asked;
@@ -62,7 +66,7 @@
 
   it("refuses no request below capacity", async () => {
     const calm = loadReplays.LOAD_PATTERNS[0]!;
-    const outcome = await loadReplays.replayLoad(calm, SEED, true);
+    const outcome = await loadReplays.simulateLoad(calm, SEED, true);
     chai.expect(outcome.refusedOnce).to.equal(0);
     chai.expect(outcome.inTarget).to.be.at.least(outcome.asked * 0.99);
   });
@@ -71,8 +75,12 @@
     const overload = loadReplays.LOAD_PATTERNS.find(({ name }) =>
       name === "twice the capacity"
     )!;
-    const unawareOutcome = await loadReplays.replayLoad(overload, SEED, false);
-    const awareOutcome = await loadReplays.replayLoad(overload, SEED, true);
+    const unawareOutcome = await loadReplays.simulateLoad(
+      overload,
+      SEED,
+      false,
+    );
+    const awareOutcome = await loadReplays.simulateLoad(overload, SEED, true);
     const gain = (awareOutcome.inTarget / awareOutcome.asked) /
       (unawareOutcome.inTarget / unawareOutcome.asked);
     chai.expect(gain).to.be.at.least(1.5);
--- a/src/forwarding/server_fixture_test.ts
+++ b/src/forwarding/server_fixture_test.ts
@@ -16,7 +16,7 @@
 export const DIALECT = {
   createForwardHeaders: (
     headers: dialects.HeaderMap,
-    marks: dialects.ForwardMarks,
+    marks: dialects.ForwardMetadata,
   ) => ({ ...headers, id: marks.requestId, server: marks.server }),
   parseAnswerHead: (headers: dialects.HeaderMap) => ({
     requestId: headers["id"],
--- a/src/forwarding/server_restart_test.ts
+++ b/src/forwarding/server_restart_test.ts
@@ -101,7 +101,7 @@
     servers.registry = new registry.ServerRegistry(
       clock,
       60_000,
-      ({ address, port }) => httpClient.closeIdle(address, port),
+      ({ address, port }) => httpClient.closeIdleConnections(address, port),
     );
     const { port } = servers.httpServers[0]?.address() as net.AddressInfo;
     servers.registry.merge(
--- a/src/generation/generate_tokens.ts
+++ b/src/generation/generate_tokens.ts
@@ -1,5 +1,5 @@
 import * as crypto from "node:crypto";
-import type * as backends from "../backend_server/mod.ts";
+import type * as backendServers from "../backend_server/mod.ts";
 import * as clocks from "../clock/mod.ts";
 import type * as csp from "../csp/mod.ts";
 import * as engines from "../engine/mod.ts";
@@ -15,7 +15,7 @@
   readonly prompt: string;
   readonly maxTokens: number;
   readonly priority: number;
-  readonly use: backends.ServerUse;
+  readonly use: backendServers.ServerUse;
   /** Oldest weight version that may serve. */
   readonly minVersion: number;
 }
@@ -33,7 +33,7 @@
 }
 
 /** Why a whole generation ended. */
-export interface GenerationEnd {
+export interface GenerationResult {
   /** The engine's reason, such as `stop`. */
   readonly reason: string;
   /** Engines that took part. */
@@ -44,7 +44,7 @@
 class GenerationRun {
   readonly #request: GenerationRequest;
   readonly #options: GenerationOptions;
-  readonly #endMs: number;
+  readonly #deadlineMs: number;
   readonly #tokens: number[] = [];
   #excluded: ReadonlySet<string> = new Set();
   #engineCount = 0;
@@ -52,26 +52,35 @@
   constructor(request: GenerationRequest, options: GenerationOptions) {
     this.#request = request;
     this.#options = options;
-    this.#endMs = options.clock.getMonotonicMs() + options.timeoutMs;
+    this.#deadlineMs = options.clock.getMonotonicMs() + options.timeoutMs;
   }
 
-  async run(): Promise<results.Result<GenerationEnd>> {
+  async run(): Promise<results.Result<GenerationResult>> {
     for (;;) {
-      const end = await this.#tryEngine();
-      if (end !== undefined) return end;
+      const result = await this.#tryEngine();
+      if (result !== undefined) return result;
       if (this.#options.cancellation.isCancelled()) {
-        return this.#fail("deadlineExceeded", "it was cancelled");
+        return this.#createFailure("deadlineExceeded", "it was cancelled");
       }
-      if (this.#getLeftMs() <= 0) {
-        return this.#fail("deadlineExceeded", "the deadline passed");
+      if (this.#getRemainingMs() <= 0) {
+        return this.#createFailure("deadlineExceeded", "the deadline passed");
       }
     }
   }
 
-  async #tryEngine(): Promise<results.Result<GenerationEnd> | undefined> {
+  async #tryEngine(): Promise<results.Result<GenerationResult> | undefined> {
     const { service, model, minVersion, use } = this.#request;
-    const need = { service, model, minVersion, use, excluded: this.#excluded };
-    const server = this.#options.table.choosePrompt(need, this.#request.prompt);
+    const requirements = {
+      service,
+      model,
+      minVersion,
+      use,
+      excluded: this.#excluded,
+    };
+    const server = this.#options.table.chooseForPrompt(
+      requirements,
+      this.#request.prompt,
+    );
     if (server === undefined) {
       this.#excluded = new Set();
       await clocks.sleep(this.#options.clock, RETRY_DELAY_MS);
@@ -79,18 +88,22 @@
     }
     this.#options.table.addRequest(server.id);
     this.#engineCount += 1;
-    const end = await engines.streamCompletion(server, this.#createRequest(), {
-      timeoutMs: this.#getLeftMs(),
-      connectTimeoutMs: this.#options.connectTimeoutMs,
-      cancellation: this.#options.cancellation,
-      onToken: (token) => this.#takeToken(token),
-    });
-    const isFailed = end.kind !== "finished" &&
+    const outcome = await engines.streamCompletion(
+      server,
+      this.#createRequest(),
+      {
+        timeoutMs: this.#getRemainingMs(),
+        connectTimeoutMs: this.#options.connectTimeoutMs,
+        cancellation: this.#options.cancellation,
+        onToken: (token) => this.#handleToken(token),
+      },
+    );
+    const hasFailed = outcome.kind !== "finished" &&
       !this.#options.cancellation.isCancelled();
-    this.#options.table.removeRequest(server.id, isFailed);
-    if (end.kind === "finished") {
+    this.#options.table.removeRequest(server.id, hasFailed);
+    if (outcome.kind === "finished") {
       return results.createOk({
-        reason: end.reason,
+        reason: outcome.reason,
         engineCount: this.#engineCount,
       });
     }
@@ -111,19 +124,19 @@
     };
   }
 
-  #takeToken(token: engines.GeneratedToken): void {
+  #handleToken(token: engines.GeneratedToken): void {
     this.#tokens.push(token.tokenId);
     this.#options.onToken(token);
   }
 
-  #getLeftMs(): number {
-    return this.#endMs - this.#options.clock.getMonotonicMs();
+  #getRemainingMs(): number {
+    return this.#deadlineMs - this.#options.clock.getMonotonicMs();
   }
 
-  #fail(
-    code: results.CodeName,
+  #createFailure(
+    code: results.ResultCodeName,
     reason: string,
-  ): results.Result<GenerationEnd> {
+  ): results.Result<GenerationResult> {
     const outcome = this.#engineCount === 0 ? "notRun" : "unknown";
     return results.createFailure(code, `Cannot generate: ${reason}`, {
       outcome,
@@ -143,6 +156,6 @@
 export function generateTokens(
   request: GenerationRequest,
   options: GenerationOptions,
-): Promise<results.Result<GenerationEnd>> {
+): Promise<results.Result<GenerationResult>> {
   return new GenerationRun(request, options).run();
 }
--- a/src/http_client/http_request.ts
+++ b/src/http_client/http_request.ts
@@ -13,17 +13,17 @@
   /** Time to connect, in ms; default 1,000. */
   readonly connectTimeoutMs?: number;
   /** Largest answer, in bytes; default 16 MiB. */
-  readonly maxAnswerBytes?: number;
+  readonly maxResponseBytes?: number;
   /** Use a connection of its own, never one that served before. */
   readonly isFreshConnection?: boolean;
   /** Says what is wrong with an answer's head, before its body is read. */
-  readonly checkHead?: (head: HttpHead) => string | undefined;
+  readonly checkHead?: (head: ResponseHead) => string | undefined;
   /** Gives the request up when cancelled. */
   readonly cancellation?: csp.Cancellation;
 }
 
 /** Head of an answer. */
-export interface HttpHead {
+export interface ResponseHead {
   readonly status: number;
   readonly headers: Readonly<
     Record<string, string | readonly string[] | undefined>
@@ -34,7 +34,7 @@
 export type HttpOutcome =
   | {
     readonly kind: "answered";
-    readonly head: HttpHead;
+    readonly head: ResponseHead;
     readonly body: Buffer;
   }
   /** No byte of the request left this process. */
@@ -45,5 +45,5 @@
     readonly message: string;
     /** Whether the server closed or reset the connection in its midst. */
     readonly isClosed: boolean;
-    readonly head?: HttpHead;
+    readonly head?: ResponseHead;
   };
--- a/src/http_client/mod.ts
+++ b/src/http_client/mod.ts
@@ -10,8 +10,8 @@
  * ```
  * @module
  */
-export { closeIdle } from "./_agent.ts";
-export * from "./find_port_state.ts";
+export { closeIdleConnections as closeIdleConnections } from "./_agent.ts";
+export * from "./probe_port.ts";
 export * from "./http_request.ts";
 export * from "./open_exchange.ts";
 export * from "./send_json.ts";
--- a/src/http_client/open_exchange.ts
+++ b/src/http_client/open_exchange.ts
@@ -7,7 +7,7 @@
 /** What an exchange tells its owner; exactly one of the last two, once. */
 export interface ExchangeListener {
   /** The head of the answer came. */
-  onHead(head: httpRequests.HttpHead): void;
+  onHead(head: httpRequests.ResponseHead): void;
   /** A part of the body came. */
   onData(chunk: Buffer): void;
   /** The answer is whole. */
@@ -26,7 +26,7 @@
 }
 
 /** Errors of a connection that its other side closed or reset. */
-const CLOSED_CODES: ReadonlySet<string | undefined> = new Set([
+const CONNECTION_CLOSED_CODES: ReadonlySet<string | undefined> = new Set([
   "ECONNRESET",
   "EPIPE",
 ]);
@@ -38,7 +38,7 @@
 }
 
 /** Follows one request from connect to end. */
-class ExchangeRun implements Exchange {
+class PendingExchange implements Exchange {
   readonly #listener: ExchangeListener;
   readonly #request: http.ClientRequest;
   #isSettled = false;
@@ -65,7 +65,7 @@
       headers: createHeaders(options),
       agent: options.isFreshConnection === true ? false : agents.SHARED_AGENT,
     });
-    this.#watch(options);
+    this.#attachListeners(options);
     this.#request.end(options.body);
   }
 
@@ -74,30 +74,31 @@
     this.#request.destroy();
   }
 
-  #watch(options: httpRequests.HttpRequest): void {
-    const connectMs = options.connectTimeoutMs ?? agents.DEFAULT_CONNECT_MS;
+  #attachListeners(options: httpRequests.HttpRequest): void {
+    const connectTimeoutMs = options.connectTimeoutMs ??
+      agents.DEFAULT_CONNECT_TIMEOUT_MS;
     this.#timer = setTimeout(
       () => this.#fail("the deadline passed"),
       options.timeoutMs,
     );
     this.#request.on(
       "socket",
-      (socket) => this.#watchSocket(socket, connectMs),
+      (socket) => this.#trackConnection(socket, connectTimeoutMs),
     );
-    this.#request.on("error", (error) => this.#failWith(error));
-    this.#request.on("response", (answer) => this.#read(answer));
-    this.#cancellation?.add(this.#onCancel);
+    this.#request.on("error", (error) => this.#failWithError(error));
+    this.#request.on("response", (response) => this.#readResponse(response));
+    this.#cancellation?.addListener(this.#onCancel);
     if (this.#cancellation?.isCancelled() === true) this.#onCancel();
   }
 
-  #watchSocket(socket: net.Socket, connectMs: number): void {
+  #trackConnection(socket: net.Socket, connectTimeoutMs: number): void {
     if (!socket.connecting) {
       this.#isSent = true;
       return;
     }
     this.#connectTimer = setTimeout(
       () => this.#fail("the connection was not made in time"),
-      connectMs,
+      connectTimeoutMs,
     );
     socket.once("connect", () => {
       clearTimeout(this.#connectTimer);
@@ -105,20 +106,23 @@
     });
   }
 
-  #read(answer: http.IncomingMessage): void {
+  #readResponse(response: http.IncomingMessage): void {
     if (this.#isSettled) return;
-    const head = { status: answer.statusCode ?? 0, headers: answer.headers };
-    const fault = this.#checkHead?.(head);
-    if (fault !== undefined) return this.#fail(fault);
+    const head = {
+      status: response.statusCode ?? 0,
+      headers: response.headers,
+    };
+    const problem = this.#checkHead?.(head);
+    if (problem !== undefined) return this.#fail(problem);
     this.#listener.onHead(head);
-    answer.on("data", (chunk: Buffer) => {
+    response.on("data", (chunk: Buffer) => {
       if (!this.#isSettled) this.#listener.onData(chunk);
     });
-    answer.on("error", (error) => this.#failWith(error));
-    answer.on("close", () => {
-      if (!answer.complete) this.#fail("the answer ended early", true);
+    response.on("error", (error) => this.#failWithError(error));
+    response.on("close", () => {
+      if (!response.complete) this.#fail("the answer ended early", true);
     });
-    answer.on("end", () => this.#finish(answer.complete));
+    response.on("end", () => this.#finish(response.complete));
   }
 
   #finish(isComplete: boolean): void {
@@ -128,8 +132,8 @@
     this.#listener.onEnd();
   }
 
-  #failWith(error: NodeJS.ErrnoException): void {
-    this.#fail(error.message, CLOSED_CODES.has(error.code));
+  #failWithError(error: NodeJS.ErrnoException): void {
+    this.#fail(error.message, CONNECTION_CLOSED_CODES.has(error.code));
   }
 
   #fail(message: string, isClosed = false): void {
@@ -144,12 +148,12 @@
     this.#isSettled = true;
     clearTimeout(this.#timer);
     clearTimeout(this.#connectTimer);
-    this.#cancellation?.remove(this.#onCancel);
+    this.#cancellation?.removeListener(this.#onCancel);
   }
 }
 
 /** A request that can't be written: its port, path or a header is no such. */
-class RefusedExchange implements Exchange {
+class InvalidExchange implements Exchange {
   #isCancelled = false;
 
   constructor(message: string, listener: ExchangeListener) {
@@ -186,8 +190,8 @@
   listener: ExchangeListener,
 ): Exchange {
   try {
-    return new ExchangeRun(options, listener);
+    return new PendingExchange(options, listener);
   } catch (error) {
-    return new RefusedExchange((error as Error).message, listener);
+    return new InvalidExchange((error as Error).message, listener);
   }
 }
--- a/src/http_client/find_port_state.ts
+++ b/src/http_client/probe_port.ts
@@ -1,7 +1,7 @@
 import * as net from "node:net";
 
 /** Longest wait for a sign of the port, in ms; links take some milliseconds. */
-const CHECK_MS = 250;
+const PROBE_TIMEOUT_MS = 250;
 const REFUSED_CODE = "ECONNREFUSED";
 
 /** What a port shows. */
@@ -21,13 +21,13 @@
  * @param port Port.
  * @returns What it shows; it never throws.
  */
-export function findPortState(
+export function probePort(
   address: string,
   port: number,
 ): Promise<PortState> {
   return new Promise((resolve) => {
     const socket = net.connect(port, address);
-    const timer = setTimeout(() => settle("silent"), CHECK_MS);
+    const timer = setTimeout(() => settle("silent"), PROBE_TIMEOUT_MS);
     function settle(state: PortState): void {
       clearTimeout(timer);
       socket.destroy();
--- a/src/http_client/send_json.ts
+++ b/src/http_client/send_json.ts
@@ -12,7 +12,7 @@
 }
 
 /** A JSON answer of any status. */
-export interface JsonAnswer {
+export interface JsonResponse {
   readonly status: number;
   readonly json: unknown;
 }
@@ -25,7 +25,7 @@
  */
 export async function sendJson(
   options: JsonRequest,
-): Promise<results.Result<JsonAnswer>> {
+): Promise<results.Result<JsonResponse>> {
   const { baseUrl, json, path, ...rest } = options;
   const url = new URL(baseUrl);
   const request: httpRequests.HttpRequest = {
@@ -53,14 +53,14 @@
       },
     );
   }
-  return parseAnswer(outcome.head.status, outcome.body, target);
+  return parseResponse(outcome.head.status, outcome.body, target);
 }
 
-function parseAnswer(
+function parseResponse(
   status: number,
   body: Buffer,
   target: string,
-): results.Result<JsonAnswer> {
+): results.Result<JsonResponse> {
   if (body.length === 0) return results.createOk({ status, json: undefined });
   try {
     return results.createOk({
--- a/src/http_client/send_request.ts
+++ b/src/http_client/send_request.ts
@@ -11,9 +11,9 @@
 export function sendRequest(
   options: httpRequests.HttpRequest,
 ): Promise<httpRequests.HttpOutcome> {
-  const limit = options.maxAnswerBytes ?? agents.DEFAULT_ANSWER_BYTES;
+  const limit = options.maxResponseBytes ?? agents.DEFAULT_MAX_RESPONSE_BYTES;
   return new Promise((resolve) => {
-    let head: httpRequests.HttpHead | undefined;
+    let head: httpRequests.ResponseHead | undefined;
     let size = 0;
     const chunks: Buffer[] = [];
     const exchange = openExchange.openExchange(options, {
--- a/src/http_server/http_listener.ts
+++ b/src/http_server/http_listener.ts
@@ -1,6 +1,6 @@
 import * as http from "node:http";
 import * as results from "../results/mod.ts";
-import * as answers from "./answer.ts";
+import * as responses from "./respond.ts";
 
 /** Answers one request. */
 export type HttpHandler = (
@@ -17,37 +17,37 @@
   /** Largest head, in bytes; 16 KiB unless given. */
   readonly maxHeaderBytes?: number;
   /** Ends a response whose handler threw; answers the error unless given. */
-  readonly onThrown?: (
+  readonly onHandlerError?: (
     request: http.IncomingMessage,
     response: http.ServerResponse,
     error: unknown,
   ) => void;
   /** Told of an answer that could not be sent; its caller has left. */
-  readonly onUnsent?: (error: Error) => void;
+  readonly onResponseError?: (error: Error) => void;
 }
 
 /** Time limits of a listener's connections, in ms. */
-export interface ConnectionTimes {
+export interface ConnectionTimeouts {
   readonly headersMs: number;
   readonly idleMs: number;
 }
 
-const MAX_HEADER_BYTES = 16_384;
-const KEEP_ALIVE_MS = 30_000;
+const DEFAULT_MAX_HEADER_BYTES = 16_384;
+const KEEP_ALIVE_TIMEOUT_MS = 30_000;
 
-function answerThrown(
+function respondThrownError(
   _request: http.IncomingMessage,
   response: http.ServerResponse,
   error: unknown,
 ): void {
-  answers.answerFailure(response, results.toFailure(error));
+  responses.respondFailure(response, results.toFailure(error));
 }
 
 /** An HTTP server whose requests in flight are counted. */
 export class HttpListener {
   readonly #server: http.Server;
   readonly #options: HttpListenerOptions;
-  #inFlight = 0;
+  #inFlightCount = 0;
   #isDraining = false;
 
   constructor(handler: HttpHandler, options: HttpListenerOptions) {
@@ -55,29 +55,29 @@
     this.#server = http.createServer({
       headersTimeout: options.headersTimeoutMs,
       requestTimeout: options.requestTimeoutMs,
-      keepAliveTimeout: KEEP_ALIVE_MS,
-      maxHeaderSize: options.maxHeaderBytes ?? MAX_HEADER_BYTES,
+      keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
+      maxHeaderSize: options.maxHeaderBytes ?? DEFAULT_MAX_HEADER_BYTES,
       noDelay: true,
     });
     this.#server.on(
       "request",
-      (request, response) => this.#serve(handler, request, response),
+      (request, response) => this.#handleRequest(handler, request, response),
     );
   }
 
   /** Requests that are being answered. */
-  getInFlight(): number {
-    return this.#inFlight;
+  getInFlightCount(): number {
+    return this.#inFlightCount;
   }
 
   /** Sets the limits of connections anew, also of open ones. */
-  setTimes(times: ConnectionTimes): void {
-    this.#server.headersTimeout = times.headersMs;
-    this.#server.keepAliveTimeout = times.idleMs;
+  setConnectionTimeouts(timeouts: ConnectionTimeouts): void {
+    this.#server.headersTimeout = timeouts.headersMs;
+    this.#server.keepAliveTimeout = timeouts.idleMs;
   }
 
   /** From now on each answer asks its caller to use another connection. */
-  setDraining(): void {
+  startDraining(): void {
     this.#isDraining = true;
   }
 
@@ -96,20 +96,23 @@
     else this.#server.closeIdleConnections();
   }
 
-  #serve(
+  #handleRequest(
     handler: HttpHandler,
     request: http.IncomingMessage,
     response: http.ServerResponse,
   ): void {
-    this.#inFlight += 1;
+    this.#inFlightCount += 1;
     response.once("close", () => {
-      this.#inFlight -= 1;
+      this.#inFlightCount -= 1;
     });
-    const { onThrown = answerThrown, onUnsent } = this.#options;
-    response.on("error", (error) => onUnsent?.(error));
+    const {
+      onHandlerError: onHandlerError = respondThrownError,
+      onResponseError: onResponseError,
+    } = this.#options;
+    response.on("error", (error) => onResponseError?.(error));
     if (this.#isDraining) response.setHeader("connection", "close");
     handler(request, response).catch((error: unknown) =>
-      onThrown(request, response, error)
+      onHandlerError(request, response, error)
     );
   }
 }
--- a/src/http_server/mod.ts
+++ b/src/http_server/mod.ts
@@ -8,8 +8,8 @@
  * ```
  * @module
  */
-export * from "./answer.ts";
+export * from "./respond.ts";
 export * from "./http_listener.ts";
 export * from "./parse_fields.ts";
-export * from "./read_bearer.ts";
+export * from "./read_bearer_token.ts";
 export * from "./read_body.ts";
--- a/src/http_server/read_body.ts
+++ b/src/http_server/read_body.ts
@@ -19,9 +19,9 @@
   request: http.IncomingMessage,
   limits: BodyLimits,
 ): Promise<results.Result<Buffer>> {
-  const declared = Number(request.headers["content-length"] ?? 0);
-  if (declared > limits.maxBodyBytes) {
-    return Promise.resolve(refuseSize(limits));
+  const declaredBytes = Number(request.headers["content-length"] ?? 0);
+  if (declaredBytes > limits.maxBodyBytes) {
+    return Promise.resolve(createSizeFailure(limits));
   }
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
@@ -37,7 +37,7 @@
     request.on("data", (chunk: Buffer) => {
       size += chunk.length;
       if (size <= limits.maxBodyBytes) chunks.push(chunk);
-      else resolve(refuseSize(limits));
+      else resolve(createSizeFailure(limits));
     });
     request.on("end", () => resolve(results.createOk(Buffer.concat(chunks))));
     request.on("close", () => {
@@ -52,7 +52,7 @@
   });
 }
 
-function refuseSize(limits: BodyLimits): results.Result<Buffer> {
+function createSizeFailure(limits: BodyLimits): results.Result<Buffer> {
   return results.createFailure(
     "bodyTooLarge",
     `Cannot read the request: its body is over ${limits.maxBodyBytes} bytes`,
--- a/src/http_server/answer.ts
+++ b/src/http_server/respond.ts
@@ -36,7 +36,7 @@
  * @param status HTTP status.
  * @param value The body.
  */
-export function answerJson(
+export function respondJson(
   response: http.ServerResponse,
   status: number,
   value: unknown,
@@ -57,7 +57,7 @@
  * @param response Where to.
  * @param failure The failure.
  */
-export function answerFailure(
+export function respondFailure(
   response: http.ServerResponse,
   failure: results.Failure,
 ): void {
@@ -75,5 +75,5 @@
   if (failure.code === "bodyTooLarge" || failure.code === "senderTooSlow") {
     response.setHeader("connection", "close");
   }
-  answerJson(response, entry.httpStatus, createFailureBody(failure));
+  respondJson(response, entry.httpStatus, createFailureBody(failure));
 }
--- a/src/item_run/item_run_test.ts
+++ b/src/item_run/item_run_test.ts
@@ -19,7 +19,7 @@
   versionField: "version",
   createForwardHeaders: (
     headers: dialects.HeaderMap,
-    marks: dialects.ForwardMarks,
+    marks: dialects.ForwardMetadata,
   ) => ({ ...headers, id: marks.requestId, after: String(marks.lastEventId) }),
   parseAnswerHead: (headers: dialects.HeaderMap) => ({
     requestId: headers["id"],
@@ -48,9 +48,9 @@
 
 describe("run of an item", () => {
   let script: Script = () => {};
-  let asked: http.IncomingHttpHeaders = {};
+  let receivedHeaders: http.IncomingHttpHeaders = {};
   const engine = http.createServer((request, response) => {
-    asked = request.headers;
+    receivedHeaders = request.headers;
     script(request, response);
   });
 
@@ -66,7 +66,7 @@
   function run(
     progress: textProgresses.TextProgress,
     changes: Partial<runItem.RunItemOptions> = {},
-  ): Promise<runItem.RunEnd> {
+  ): Promise<runItem.RunOutcome> {
     return runItem.runItem({
       clock: new clocks.SystemClock(),
       dialect: DIALECT,
@@ -79,7 +79,7 @@
       minimumVersion: 2,
       isSingleVersion: false,
       progress,
-      stallMs: 10_000,
+      stallTimeoutMs: 10_000,
       cancellation: new csp.Cancellation(),
       onEvent: () => {},
       onVersion: () => {},
@@ -121,7 +121,7 @@
       };
       const progress = new textProgresses.TextProgress();
       const shown: number[] = [];
-      const listener = { onVersion: (told: number) => shown.push(told) };
+      const listener = { onVersion: (version: number) => shown.push(version) };
       const end = await run(progress, listener);
       chai.expect(end.kind).to.equal("broken");
       chai.expect(shown).to.deep.equal([3]);
@@ -138,8 +138,8 @@
     chai.expect(await run(progress)).to.deep.equal({ kind: "finished" });
     chai.expect(progress.getText()).to.equal("a\nb");
     chai.expect(progress.listVersions()).to.deep.equal([3, 4]);
-    chai.expect(asked["x-kept"]).to.equal("yes");
-    chai.expect(asked["after"]).to.equal("undefined");
+    chai.expect(receivedHeaders["x-kept"]).to.equal("yes");
+    chai.expect(receivedHeaders["after"]).to.equal("undefined");
   });
 
   it("goes on after the last event, at whatever point the stream broke", async () => {
@@ -154,11 +154,11 @@
       response.end();
     };
     chai.expect((await run(progress)).kind).to.equal("finished");
-    chai.expect(asked["after"]).to.equal("2");
+    chai.expect(receivedHeaders["after"]).to.equal("2");
     chai.expect(progress.getText()).to.equal("a\nb\nc");
   });
 
-  const lies: Readonly<Record<string, Script>> = {
+  const invalidStreams: Readonly<Record<string, Script>> = {
     "an event is missing": (_request, response) => {
       writeEvents(response, ["id: 1\ndata: a", "id: 3\ndata: c"]);
       response.end();
@@ -176,9 +176,9 @@
       response.end();
     },
   };
-  for (const [reason, lie] of Object.entries(lies)) {
+  for (const [reason, invalidStream] of Object.entries(invalidStreams)) {
     it(`is no whole text when ${reason}`, async () => {
-      script = lie;
+      script = invalidStream;
       const end = await run(new textProgresses.TextProgress());
       chai.expect(end.kind).to.equal("broken");
       chai.expect("reason" in end ? end.reason : "").to.contain(reason);
@@ -220,12 +220,12 @@
     const closed = new Promise((resolve) => {
       script = (request) => {
         request.socket.once("close", resolve);
-        clock.extendBy(60);
+        clock.advance(60);
       };
     });
     const end = await run(new textProgresses.TextProgress(), {
       clock,
-      stallMs: 50,
+      stallTimeoutMs: 50,
     });
     chai.expect(end.kind).to.equal("broken");
     await closed;
@@ -236,18 +236,18 @@
     for (let id = 1; id <= 4; id += 1) {
       progress.add({ id, data: `e${id}`, version: 2 });
     }
-    progress.setKept(3);
-    chai.expect(progress.getUnkeptText()).to.equal("e4");
-    chai.expect(progress.countUnkept()).to.equal(1);
+    progress.markStored(3);
+    chai.expect(progress.getUnstoredText()).to.equal("e4");
+    chai.expect(progress.countUnstoredEvents()).to.equal(1);
     const later = new textProgresses.TextProgress();
     later.restore({ text: "e1\ne2\ne3", lastId: 3, versions: [2] });
-    later.setKept(3);
+    later.markStored(3);
     later.add({ id: 4, data: "e4", version: 3 });
-    chai.expect(later.getUnkeptText()).to.equal("e4");
+    chai.expect(later.getUnstoredText()).to.equal("e4");
     chai.expect(later.getText()).to.equal("e1\ne2\ne3\ne4");
     chai.expect(later.listVersions()).to.deep.equal([2, 3]);
     progress.reset();
-    chai.expect(progress.getKeptLastId()).to.equal(undefined);
-    chai.expect(progress.countBeginnings()).to.equal(1);
+    chai.expect(progress.getStoredLastId()).to.equal(undefined);
+    chai.expect(progress.countResets()).to.equal(1);
   });
 });
--- a/src/item_run/run_item.ts
+++ b/src/item_run/run_item.ts
@@ -9,13 +9,13 @@
 import type * as textProgresses from "./text_progress.ts";
 
 /** Longest run of an item, in ms; the longest seen takes some 7 s. */
-const MAX_RUN_MS = 60_000;
+const RUN_TIMEOUT_MS = 60_000;
 /** Time for a connection to be made, in ms. */
-const CONNECT_MS = 250;
+const CONNECT_TIMEOUT_MS = 250;
 const FAILED_STATUS = 500;
 const IMPOSSIBLE_STATUS = 422;
-const OTHER_SERVER_STATUS = 421;
-const DONE_STATUS = 200;
+const WRONG_SERVER_STATUS = 421;
+const OK_STATUS = 200;
 
 /** One run of an item at an engine. */
 export interface RunItemOptions {
@@ -32,7 +32,7 @@
   /** What earlier runs brought; this run adds to it. */
   readonly progress: textProgresses.TextProgress;
   /** Silence after which the run is given up, in ms. */
-  readonly stallMs: number;
+  readonly stallTimeoutMs: number;
   readonly cancellation: csp.Cancellation;
   /** Told of each event that was added. */
   readonly onEvent: () => void;
@@ -41,7 +41,7 @@
 }
 
 /** How a run ended. */
-export type RunEnd =
+export type RunOutcome =
   | { readonly kind: "finished" }
   /** The engine answered that this attempt failed. */
   | { readonly kind: "failed" }
@@ -52,7 +52,7 @@
     readonly kind: "notRun";
     readonly reason: string;
     /** Whether another server than the engine answered at its address. */
-    readonly isOther: boolean;
+    readonly isWrongServer: boolean;
   }
   /** The stream broke off; a further run may go on from there. */
   | {
@@ -63,24 +63,24 @@
   };
 
 /** Follows the stream of one run. */
-class ItemStream implements httpClient.ExchangeListener {
+class ItemRun implements httpClient.ExchangeListener {
   readonly #options: RunItemOptions;
-  readonly #resolve: (end: RunEnd) => void;
+  readonly #resolve: (outcome: RunOutcome) => void;
   readonly #parser: eventSource.EventSourceParser;
   readonly #decoder = new TextDecoder();
   #exchange: httpClient.Exchange | undefined;
-  #cancelStall: clocks.CancelTimer = () => {};
+  #cancelStallTimer: clocks.CancelTimer = () => {};
   #status = 0;
   #isNotRun = false;
   #version: number | undefined;
   #isSettled = false;
 
-  constructor(options: RunItemOptions, resolve: (end: RunEnd) => void) {
+  constructor(options: RunItemOptions, resolve: (end: RunOutcome) => void) {
     this.#options = options;
     this.#resolve = resolve;
     this.#parser = eventSource.createParser({
-      onEvent: (event) => this.#takeEvent(event),
-      onError: (error) => this.#takeField(error),
+      onEvent: (event) => this.#handleEvent(event),
+      onError: (error) => this.#handleUnknownField(error),
     });
   }
 
@@ -99,38 +99,38 @@
         lastEventId === undefined ? marks : { ...marks, lastEventId },
       ),
       body: Buffer.from(item.body, "base64"),
-      timeoutMs: MAX_RUN_MS,
-      connectTimeoutMs: CONNECT_MS,
+      timeoutMs: RUN_TIMEOUT_MS,
+      connectTimeoutMs: CONNECT_TIMEOUT_MS,
       cancellation,
     }, this);
-    this.#scheduleStall();
+    this.#restartStallTimer();
   }
 
-  onHead(head: httpClient.HttpHead): void {
+  onHead(head: httpClient.ResponseHead): void {
     const parsed = this.#options.dialect.parseAnswerHead(head.headers);
     this.#status = head.status;
-    this.#isNotRun = parsed.isNotRun || head.status === OTHER_SERVER_STATUS;
-    if (head.status !== DONE_STATUS) return;
+    this.#isNotRun = parsed.isNotRun || head.status === WRONG_SERVER_STATUS;
+    if (head.status !== OK_STATUS) return;
     if (parsed.requestId !== this.#options.item.id) {
-      return this.#stop("the answer belongs to another request");
+      return this.#abort("the answer belongs to another request");
     }
     this.#version = parsed.weightVersion;
     if (this.#version === undefined) {
-      return this.#stop("the answer names no weight version");
+      return this.#abort("the answer names no weight version");
     }
     this.#checkVersion(this.#version);
   }
 
   onData(chunk: Buffer): void {
     if (this.#isSettled) return;
-    this.#scheduleStall();
-    if (this.#status !== DONE_STATUS) return;
+    this.#restartStallTimer();
+    if (this.#status !== OK_STATUS) return;
     this.#parser.feed(this.#decoder.decode(chunk, { stream: true }));
   }
 
   onEnd(): void {
     switch (this.#status) {
-      case DONE_STATUS:
+      case OK_STATUS:
         return this.#settle({ kind: "finished" });
       case FAILED_STATUS:
         return this.#settle({ kind: "failed" });
@@ -138,10 +138,10 @@
         return this.#settle({ kind: "impossible" });
     }
     const reason = `the engine answered ${this.#status}`;
-    const isOther = this.#status === OTHER_SERVER_STATUS;
+    const isOther = this.#status === WRONG_SERVER_STATUS;
     this.#settle(
       this.#isNotRun
-        ? { kind: "notRun", reason, isOther }
+        ? { kind: "notRun", reason, isWrongServer: isOther }
         : { kind: "broken", reason, isClosed: false },
     );
   }
@@ -150,15 +150,15 @@
     this.#settle(
       isSent
         ? { kind: "broken", reason: message, isClosed }
-        : { kind: "notRun", reason: message, isOther: false },
+        : { kind: "notRun", reason: message, isWrongServer: false },
     );
   }
 
   /** A field that event streams do not define may tell a new version. */
-  #takeField(error: eventSource.ParseError): void {
+  #handleUnknownField(error: eventSource.ParseError): void {
     const isVersion = error.type === "unknown-field" &&
       error.field === this.#options.dialect.versionField;
-    if (!isVersion) return this.#stop("the stream can't be read");
+    if (!isVersion) return this.#abort("the stream can't be read");
     // A number of no characters would be 0.
     this.#version = error.value === "" ? Number.NaN : Number(error.value);
     this.#checkVersion(this.#version);
@@ -169,54 +169,57 @@
     const { minimumVersion, isSingleVersion, progress, onVersion } =
       this.#options;
     if (!Number.isSafeInteger(version) || version < 0) {
-      return this.#stop("a weight version can't be read");
+      return this.#abort("a weight version can't be read");
     }
     onVersion(version);
     if (version < minimumVersion) {
-      return this.#stop(`version ${version} is older than ${minimumVersion}`);
+      return this.#abort(`version ${version} is older than ${minimumVersion}`);
     }
-    const made = progress.listVersions();
-    if (!isSingleVersion || made.length === 0 || made.includes(version)) return;
+    const textVersions = progress.listVersions();
+    if (
+      !isSingleVersion || textVersions.length === 0 ||
+      textVersions.includes(version)
+    ) return;
     progress.reset();
-    this.#stop("another version would go on with the text");
+    this.#abort("another version would go on with the text");
   }
 
-  #takeEvent(event: eventSource.EventSourceMessage): void {
+  #handleEvent(event: eventSource.EventSourceMessage): void {
     if (this.#isSettled || this.#version === undefined) return;
     const { progress, onEvent } = this.#options;
     const id = Number(event.id);
     if (event.id === undefined || !Number.isInteger(id)) {
-      return this.#stop("an event has no number");
+      return this.#abort("an event has no number");
     }
     const isNext = progress.add({
       id,
       data: event.data,
       version: this.#version,
     });
-    if (!isNext) return this.#stop("an event is missing");
+    if (!isNext) return this.#abort("an event is missing");
     onEvent();
   }
 
-  #scheduleStall(): void {
-    const { clock, stallMs } = this.#options;
-    this.#cancelStall();
+  #restartStallTimer(): void {
+    const { clock, stallTimeoutMs: stallMs } = this.#options;
+    this.#cancelStallTimer();
     if (this.#isSettled) return;
-    this.#cancelStall = clock.startTimer(
+    this.#cancelStallTimer = clock.startTimer(
       stallMs,
-      () => this.#stop("no event came for long"),
+      () => this.#abort("no event came for long"),
     );
   }
 
-  #stop(reason: string): void {
+  #abort(reason: string): void {
     this.#exchange?.cancel();
     this.#settle({ kind: "broken", reason, isClosed: false });
   }
 
-  #settle(end: RunEnd): void {
+  #settle(outcome: RunOutcome): void {
     if (this.#isSettled) return;
     this.#isSettled = true;
-    this.#cancelStall();
-    this.#resolve(end);
+    this.#cancelStallTimer();
+    this.#resolve(outcome);
   }
 }
 
@@ -226,8 +229,8 @@
  * @param options The item, the engine and the progress to add to.
  * @returns How the run ended; it never throws.
  */
-export function runItem(options: RunItemOptions): Promise<RunEnd> {
+export function runItem(options: RunItemOptions): Promise<RunOutcome> {
   return new Promise((resolve) => {
-    new ItemStream(options, resolve).start();
+    new ItemRun(options, resolve).start();
   });
 }
--- a/src/item_run/text_progress.ts
+++ b/src/item_run/text_progress.ts
@@ -13,15 +13,15 @@
   #lastId: number | undefined;
   #versions: ReadonlySet<number> = new Set();
   /** Events at the front that the stores keep already. */
-  #keptEvents = 0;
-  #keptLastId: number | undefined;
-  #beginnings = 0;
+  #storedEvents = 0;
+  #storedLastId: number | undefined;
+  #resets = 0;
 
   /** Begins with a text that was kept. */
-  restore(kept: submissions.KeptText): void {
-    this.#data = [kept.text];
-    this.#lastId = kept.lastId;
-    this.#versions = new Set(kept.versions);
+  restore(stored: submissions.StoredText): void {
+    this.#data = [stored.text];
+    this.#lastId = stored.lastId;
+    this.#versions = new Set(stored.versions);
   }
 
   /** Adds the next event; false when it does not follow the last one. */
@@ -43,12 +43,12 @@
   }
 
   /** Events, or kept parts, that this process holds. */
-  countEvents(): number {
+  countLocalEvents(): number {
     return this.#data.length;
   }
 
   /** Events that all runs made so far, those of a kept text among them. */
-  countMade(): number {
+  countGeneratedEvents(): number {
     return Math.max(this.#lastId ?? 0, this.#data.length);
   }
 
@@ -62,31 +62,31 @@
   }
 
   /** Id of the last event that the stores keep; undefined for none. */
-  getKeptLastId(): number | undefined {
-    return this.#keptLastId;
+  getStoredLastId(): number | undefined {
+    return this.#storedLastId;
   }
 
   /** Events that the stores do not keep yet. */
-  countUnkept(): number {
-    return this.#data.length - this.#keptEvents;
+  countUnstoredEvents(): number {
+    return this.#data.length - this.#storedEvents;
   }
 
   /** The text after what the stores keep. */
-  getUnkeptText(): string {
-    return this.#data.slice(this.#keptEvents).join("\n");
+  getUnstoredText(): string {
+    return this.#data.slice(this.#storedEvents).join("\n");
   }
 
   /** Notes that the stores keep the text up to an event. */
-  setKept(lastId: number): void {
+  markStored(lastId: number): void {
     if (this.#lastId === undefined || lastId > this.#lastId) return;
-    this.#keptEvents = this.#data.length - (this.#lastId - lastId);
-    this.#keptLastId = lastId;
+    this.#storedEvents = this.#data.length - (this.#lastId - lastId);
+    this.#storedLastId = lastId;
   }
 
   /** Has the whole text kept anew, where the stores keep another part of it. */
-  forgetKept(): void {
-    this.#keptEvents = 0;
-    this.#keptLastId = undefined;
+  clearStored(): void {
+    this.#storedEvents = 0;
+    this.#storedLastId = undefined;
   }
 
   /** Drops everything, for a text that must begin anew. */
@@ -94,13 +94,13 @@
     this.#data = [];
     this.#lastId = undefined;
     this.#versions = new Set();
-    this.#keptEvents = 0;
-    this.#keptLastId = undefined;
-    this.#beginnings += 1;
+    this.#storedEvents = 0;
+    this.#storedLastId = undefined;
+    this.#resets += 1;
   }
 
   /** How often the text began anew; what was kept before then is another. */
-  countBeginnings(): number {
-    return this.#beginnings;
+  countResets(): number {
+    return this.#resets;
   }
 }
--- a/src/log/line_buffer.ts
+++ b/src/log/line_buffer.ts
@@ -1,39 +1,39 @@
 import * as fs from "node:fs";
 
 /** Between two writes, in ms; one system call then carries many lines. */
-const FLUSH_MS = 200;
+const FLUSH_INTERVAL_MS = 200;
 /** Most text that waits for a slow reader, in characters. */
-const MAX_WAITING = 512 * 1024;
-const STANDARD_OUTPUT = 1;
+const MAX_BUFFERED_CHARS = 512 * 1024;
+const STDOUT_FD = 1;
 
 /** Gathers log lines and writes them without ever waiting for the reader. */
 export class LineBuffer {
   readonly #write: (text: string, done: () => void) => void;
   #lines: string[] = [];
-  #size = 0;
-  #lost = 0;
+  #bufferedChars = 0;
+  #droppedCount = 0;
   #isWriting = false;
   #timer: NodeJS.Timeout | undefined;
 
   /** @param write Writes a text and tells when it is done. */
-  constructor(write = writeOutput) {
+  constructor(write = writeStdout) {
     this.#write = write;
   }
 
   /** Adds a line with its newline; dropped when too much waits. */
   add(line: string): void {
-    if (this.#size + line.length > MAX_WAITING) {
-      this.#lost += 1;
+    if (this.#bufferedChars + line.length > MAX_BUFFERED_CHARS) {
+      this.#droppedCount += 1;
       return;
     }
     this.#lines.push(line);
-    this.#size += line.length;
-    this.#timer ??= setTimeout(() => this.flush(), FLUSH_MS).unref();
+    this.#bufferedChars += line.length;
+    this.#timer ??= setTimeout(() => this.flush(), FLUSH_INTERVAL_MS).unref();
   }
 
   /** Lines that were dropped so far. */
-  getLost(): number {
-    return this.#lost;
+  getDroppedCount(): number {
+    return this.#droppedCount;
   }
 
   /** Writes what waits now, unless a write is under way. */
@@ -43,7 +43,7 @@
     if (this.#isWriting || this.#lines.length === 0) return;
     const text = this.#lines.join("");
     this.#lines = [];
-    this.#size = 0;
+    this.#bufferedChars = 0;
     this.#isWriting = true;
     this.#write(text, () => {
       this.#isWriting = false;
@@ -52,6 +52,6 @@
   }
 }
 
-function writeOutput(text: string, done: () => void): void {
-  fs.write(STANDARD_OUTPUT, text, () => done());
+function writeStdout(text: string, done: () => void): void {
+  fs.write(STDOUT_FD, text, () => done());
 }
--- a/src/log/log.ts
+++ b/src/log/log.ts
@@ -14,7 +14,7 @@
 /** A log level. */
 export type LogLevel = typeof LOG_LEVELS[number];
 
-const HIDDEN_FIELDS = new Set([
+const OMITTED_FIELDS = new Set([
   "v",
   "hostname",
   "name",
@@ -32,11 +32,11 @@
 function formatLine(record: Readonly<Record<string, unknown>>): string {
   const time = (record["time"] as Date).toISOString();
   const level = bunyan.nameFromLevel[record["level"] as number];
-  const head = `time=${time} level=${level} event=${record["msg"]}`;
-  const rest = Object.entries(record)
-    .filter(([key, value]) => !HIDDEN_FIELDS.has(key) && value !== undefined)
+  const prefix = `time=${time} level=${level} event=${record["msg"]}`;
+  const fields = Object.entries(record)
+    .filter(([key, value]) => !OMITTED_FIELDS.has(key) && value !== undefined)
     .map(([key, value]) => ` ${key}=${formatValue(value)}`);
-  return `${head}${rest.join("")}\n`;
+  return `${prefix}${fields.join("")}\n`;
 }
 
 /** Writes one line of key=value pairs an event. */
--- a/src/metrics/fleet_metrics.ts
+++ b/src/metrics/fleet_metrics.ts
@@ -23,30 +23,30 @@
   readonly #registry = new prometheus.Registry();
   /** Figures of the replica groups. */
   readonly replicas = new replicaMetrics.ReplicaMetrics(this.#registry);
-  readonly #requests: prometheus.Histogram<"route" | "outcome">;
-  readonly #items: prometheus.Counter<"outcome">;
+  readonly #requestMs: prometheus.Histogram<"route" | "outcome">;
+  readonly #itemRuns: prometheus.Counter<"outcome">;
   readonly #itemMs: prometheus.Histogram<string>;
   readonly #plannedGroups: prometheus.Gauge<"trainer" | "standing">;
   readonly #orders: prometheus.Counter<"outcome">;
-  readonly #keysRefused: prometheus.Counter<"reason">;
+  readonly #refusedKeys: prometheus.Counter<"reason">;
   readonly #refusedReports: prometheus.Counter<"reason">;
-  readonly #claims: prometheus.Counter<"outcome">;
-  readonly #unreported: prometheus.Gauge<string>;
+  readonly #dutyClaims: prometheus.Counter<"outcome">;
+  readonly #unreportedUsageMs: prometheus.Gauge<string>;
   readonly #capacityOrders: prometheus.Counter<"outcome">;
-  readonly #crashes: prometheus.Counter<"event">;
-  readonly #logLost: prometheus.Gauge<string>;
+  readonly #crashEvents: prometheus.Counter<"event">;
+  readonly #droppedLogLines: prometheus.Gauge<string>;
   #server: http.Server | undefined;
 
   constructor() {
     const registers = [this.#registry];
-    this.#requests = new prometheus.Histogram({
+    this.#requestMs = new prometheus.Histogram({
       name: "hoistscale_request_ms",
       help: "Time from a caller's request to its answer",
       labelNames: ["route", "outcome"],
       buckets: BUCKETS_MS,
       registers,
     });
-    this.#items = new prometheus.Counter({
+    this.#itemRuns = new prometheus.Counter({
       name: "hoistscale_items_total",
       help: "Item runs at engines, by how they ended",
       labelNames: ["outcome"],
@@ -58,14 +58,14 @@
       buckets: BUCKETS_MS,
       registers,
     });
-    this.#plannedGroups = createPlannedGroups(registers);
+    this.#plannedGroups = createPlannedGroupsGauge(registers);
     this.#orders = new prometheus.Counter({
       name: "hoistscale_orders_total",
       help: "Orders to engines, by their answer",
       labelNames: ["outcome"],
       registers,
     });
-    this.#keysRefused = new prometheus.Counter({
+    this.#refusedKeys = new prometheus.Counter({
       name: "hoistscale_keys_refused_total",
       help: "Requests refused for their key, by reason",
       labelNames: ["reason"],
@@ -77,13 +77,13 @@
       labelNames: ["reason"],
       registers,
     });
-    this.#claims = new prometheus.Counter({
+    this.#dutyClaims = new prometheus.Counter({
       name: "hoistscale_duty_claims_total",
       help: "Times that this box asked to hold the duties, by outcome",
       labelNames: ["outcome"],
       registers,
     });
-    this.#unreported = new prometheus.Gauge({
+    this.#unreportedUsageMs = new prometheus.Gauge({
       name: "hoistscale_usage_unreported_ms",
       help: "Age of the oldest usage window that is agreed on and not reported",
       registers,
@@ -94,29 +94,29 @@
       labelNames: ["outcome"],
       registers,
     });
-    this.#crashes = new prometheus.Counter({
+    this.#crashEvents = new prometheus.Counter({
       name: "hoistscale_crashing_work_total",
       help: "What was noted, granted and held back of work that ends servers",
       labelNames: ["event"],
       registers,
     });
-    this.#logLost = new prometheus.Gauge({
+    this.#droppedLogLines = new prometheus.Gauge({
       name: "hoistscale_log_lines_lost",
       help: "Log lines dropped because the output was not read",
       registers,
     });
   }
 
-  recordRequest(route: string, outcome: string, tookMs: number): void {
-    this.#requests.observe({ route, outcome }, tookMs);
+  recordRequest(route: string, outcome: string, durationMs: number): void {
+    this.#requestMs.observe({ route, outcome }, durationMs);
   }
 
   countItemRun(outcome: string): void {
-    this.#items.inc({ outcome });
+    this.#itemRuns.inc({ outcome });
   }
 
-  recordItem(tookMs: number): void {
-    this.#itemMs.observe(tookMs);
+  recordItem(durationMs: number): void {
+    this.#itemMs.observe(durationMs);
   }
 
   /** Groups of a trainer by how the last plan sees them. */
@@ -134,36 +134,36 @@
   }
 
   countRefusedKey(reason: string): void {
-    this.#keysRefused.inc({ reason });
+    this.#refusedKeys.inc({ reason });
   }
 
   countRefusedReport(reason: string): void {
     this.#refusedReports.inc({ reason });
   }
 
-  countClaim(outcome: string): void {
-    this.#claims.inc({ outcome });
+  countDutyClaim(outcome: string): void {
+    this.#dutyClaims.inc({ outcome });
   }
 
   /** Age of the oldest window that is not reported, in ms; 0 for none. */
-  setUnreportedMs(ageMs: number): void {
-    this.#unreported.set(ageMs);
+  setUnreportedUsageMs(ageMs: number): void {
+    this.#unreportedUsageMs.set(ageMs);
   }
 
   countCapacityOrder(outcome: string): void {
     this.#capacityOrders.inc({ outcome });
   }
 
-  countCrash(event: string): void {
-    this.#crashes.inc({ event });
+  countCrashEvent(event: string): void {
+    this.#crashEvents.inc({ event });
   }
 
-  setLogLost(lines: number): void {
-    this.#logLost.set(lines);
+  setDroppedLogLines(lines: number): void {
+    this.#droppedLogLines.set(lines);
   }
 
   /** Names of all figures. */
-  listNames(): readonly string[] {
+  listMetricNames(): readonly string[] {
     return this.#registry.getMetricsAsArray().map((metric) => metric.name);
   }
 
@@ -183,7 +183,7 @@
   }
 }
 
-function createPlannedGroups(
+function createPlannedGroupsGauge(
   registers: prometheus.Registry[],
 ): prometheus.Gauge<"trainer" | "standing"> {
   return new prometheus.Gauge({
--- a/src/metrics/replica_metrics.ts
+++ b/src/metrics/replica_metrics.ts
@@ -1,15 +1,15 @@
 import * as prometheus from "prom-client";
 
 /** What a replica tells of its group. */
-export interface ReplicaFigures {
+export interface ReplicaStatistics {
   /** Time since a leader that may act was known, in ms. */
   readonly leaderlessMs: number;
   /** What a leader knows of its followers; undefined without the lead. */
-  readonly followers: FollowerFigures | undefined;
+  readonly followers: FollowerStatistics | undefined;
 }
 
 /** What a leader tells of its followers. */
-export interface FollowerFigures {
+export interface FollowerStatistics {
   /** Voters that answer and count in a quorum, the leader among them. */
   readonly presentVoters: number;
   readonly quorum: number;
@@ -19,15 +19,15 @@
 
 /** Figures of the replica groups that a box takes part in. */
 export class ReplicaMetrics {
-  readonly #present: prometheus.Gauge<"group">;
+  readonly #presentVoters: prometheus.Gauge<"group">;
   readonly #lossesLeft: prometheus.Gauge<"group">;
   readonly #fedMs: prometheus.Gauge<"group">;
   readonly #leaderlessMs: prometheus.Gauge<"group">;
-  readonly #refused: prometheus.Counter<"group" | "reason">;
+  readonly #refusedVotes: prometheus.Counter<"group" | "reason">;
 
   constructor(registry: prometheus.Registry) {
     const registers = [registry];
-    this.#present = new prometheus.Gauge({
+    this.#presentVoters = new prometheus.Gauge({
       name: "hoistscale_voters_present",
       help: "Voters that answer the leader and count; at the leader only",
       labelNames: ["group"],
@@ -51,7 +51,7 @@
       labelNames: ["group"],
       registers,
     });
-    this.#refused = new prometheus.Counter({
+    this.#refusedVotes = new prometheus.Counter({
       name: "hoistscale_votes_refused_total",
       help: "Votes refused to this replica, by reason",
       labelNames: ["group", "reason"],
@@ -60,22 +60,22 @@
   }
 
   /** Sets what a replica tells now; what only a leader tells goes with the lead. */
-  setFigures(group: string, figures: ReplicaFigures): void {
-    const { leaderlessMs, followers } = figures;
+  setStatistics(group: string, statistics: ReplicaStatistics): void {
+    const { leaderlessMs, followers } = statistics;
     this.#leaderlessMs.set({ group }, leaderlessMs);
     if (followers === undefined) {
-      this.#present.remove({ group });
+      this.#presentVoters.remove({ group });
       this.#lossesLeft.remove({ group });
       this.#fedMs.remove({ group });
       return;
     }
     const { presentVoters, quorum, fedMs } = followers;
-    this.#present.set({ group }, presentVoters);
+    this.#presentVoters.set({ group }, presentVoters);
     this.#lossesLeft.set({ group }, presentVoters - quorum);
     this.#fedMs.set({ group }, fedMs);
   }
 
   countRefusedVote(group: string, reason: string): void {
-    this.#refused.inc({ group, reason });
+    this.#refusedVotes.inc({ group, reason });
   }
 }
--- a/src/metrics/replica_metrics_test.ts
+++ b/src/metrics/replica_metrics_test.ts
@@ -20,7 +20,7 @@
   }
 
   it("tell how many voters may be lost, at the leader", async () => {
-    metrics.setFigures("stores", {
+    metrics.setStatistics("stores", {
       leaderlessMs: 0,
       followers: { presentVoters: 2, quorum: 2, fedMs: 1_500 },
     });
@@ -33,7 +33,7 @@
   });
 
   it("tell less than none left where the leader has no quorum", async () => {
-    metrics.setFigures("stores", {
+    metrics.setStatistics("stores", {
       leaderlessMs: 300,
       followers: { presentVoters: 1, quorum: 2, fedMs: 0 },
     });
@@ -43,11 +43,14 @@
   });
 
   it("tell nothing of voters once the lead is lost", async () => {
-    metrics.setFigures("stores", {
+    metrics.setStatistics("stores", {
       leaderlessMs: 0,
       followers: { presentVoters: 3, quorum: 2, fedMs: 0 },
     });
-    metrics.setFigures("stores", { leaderlessMs: 800, followers: undefined });
+    metrics.setStatistics("stores", {
+      leaderlessMs: 800,
+      followers: undefined,
+    });
     chai.expect(await listValues()).to.deep.equal([
       'hoistscale_leaderless_ms{group="stores"} 800',
     ]);
--- a/src/operator/check_access.ts
+++ b/src/operator/check_access.ts
@@ -23,7 +23,7 @@
   rootTokenSha256: string,
   view: control.ControlView,
 ): results.Result<Operator> {
-  const token = httpServer.readBearer(request);
+  const token = httpServer.readBearerToken(request);
   if (token === undefined) {
     return results.createFailure(
       "badToken",
--- a/src/operator/limit_status.ts
+++ b/src/operator/filter_status.ts
@@ -9,16 +9,16 @@
  *
  * @param status The whole status.
  * @param account The operator's client account.
- * @param all All rollout templates.
+ * @param allTemplates All rollout templates.
  * @returns The status without what belongs to others.
  */
-export function limitStatus(
+export function filterStatus(
   status: Status,
   account: string,
-  all: readonly templates.RolloutTemplate[],
+  allTemplates: readonly templates.RolloutTemplate[],
 ): Status {
   const own = new Set(
-    all.filter((template) => template.account === account)
+    allTemplates.filter((template) => template.account === account)
       .map((template) => template.parameters.model),
   );
   const models = status.models.filter((entry) => own.has(entry.model));
--- a/src/operator/limit_status_test.ts
+++ b/src/operator/filter_status_test.ts
@@ -1,7 +1,7 @@
 import * as chai from "chai";
 import type * as control from "../control/mod.ts";
 import * as templates from "../rollout_template/mod.ts";
-import * as limitStatus from "./limit_status.ts";
+import * as filterStatus from "./filter_status.ts";
 
 function createTemplate(
   account: string,
@@ -38,14 +38,14 @@
       }],
       roles: [{ server: "lm-1", role: "rollout", revision: 3 }],
     };
-    const all = [
+    const allTemplates = [
       createTemplate("cascade", "lm"),
       createTemplate("nordeste", "lm:other"),
     ];
-    const limited = limitStatus.limitStatus(status, "cascade", all);
-    chai.expect(limited.models.map((entry) => entry.model)).to.deep.equal([
+    const filtered = filterStatus.filterStatus(status, "cascade", allTemplates);
+    chai.expect(filtered.models.map((entry) => entry.model)).to.deep.equal([
       "lm",
     ]);
-    chai.expect(limited.roles).to.deep.equal([]);
+    chai.expect(filtered.roles).to.deep.equal([]);
   });
 });
--- a/src/operator/operator_listener.ts
+++ b/src/operator/operator_listener.ts
@@ -4,7 +4,7 @@
 import * as logs from "../log/mod.ts";
 import * as results from "../results/mod.ts";
 import type * as settings from "../settings/mod.ts";
-import * as accesses from "./check_access.ts";
+import * as accessChecks from "./check_access.ts";
 import * as operatorRoutes from "./operator_routes.ts";
 import type * as operatorServices from "./operator_service.ts";
 
@@ -53,28 +53,28 @@
       request.url ?? "/",
     );
     const { client, settings: { administration } } = this.#options;
-    const operator = accesses.findOperator(
+    const operator = accessChecks.findOperator(
       request,
       administration.rootTokenSha256,
       client.getView(),
     );
     if (operator.kind === "failure") {
-      return httpServer.answerFailure(response, operator.failure);
+      return httpServer.respondFailure(response, operator.failure);
     }
-    const access = accesses.checkAccess(operator.value, route);
+    const access = accessChecks.checkAccess(operator.value, route);
     if (access.kind === "failure") {
-      return httpServer.answerFailure(response, access.failure);
+      return httpServer.respondFailure(response, access.failure);
     }
     const answer = await this.#answer(request, operator.value, route);
     if (answer.kind === "failure") {
-      return httpServer.answerFailure(response, answer.failure);
+      return httpServer.respondFailure(response, answer.failure);
     }
-    httpServer.answerJson(response, 200, answer.value);
+    httpServer.respondJson(response, 200, answer.value);
   }
 
   async #answer(
     request: http.IncomingMessage,
-    operator: accesses.Operator,
+    operator: accessChecks.Operator,
     route: operatorRoutes.OperatorRoute,
   ): Promise<results.Result<object>> {
     const { service, onDrain } = this.#options;
@@ -109,7 +109,7 @@
 
   async #answerChange(
     request: http.IncomingMessage,
-    operator: accesses.Operator,
+    operator: accessChecks.Operator,
     route: Extract<
       operatorRoutes.OperatorRoute,
       { kind: "setAccount" | "setTemplate" | "setRole" | "logLevel" }
@@ -133,8 +133,8 @@
     }
   }
 
-  #setLogLevel(wanted: unknown): results.Result<object> {
-    const level = logs.LOG_LEVELS.find((candidate) => candidate === wanted);
+  #setLogLevel(requested: unknown): results.Result<object> {
+    const level = logs.LOG_LEVELS.find((candidate) => candidate === requested);
     if (level === undefined) {
       return results.createFailure(
         "badParameters",
--- a/src/operator/operator_routes.ts
+++ b/src/operator/operator_routes.ts
@@ -21,11 +21,13 @@
   | { readonly kind: "logLevel" }
   | { readonly kind: "unknown" };
 
-const NAME = "([a-z0-9][a-z0-9_.-]{0,62})";
-const SERVER_PATH = new RegExp(`^/v1/servers/${NAME}/role$`);
-const ACCOUNT_PATH = new RegExp(`^/v1/accounts/${NAME}$`);
-const TEMPLATES_PATH = new RegExp(`^/v1/accounts/${NAME}/templates$`);
-const TEMPLATE_PATH = new RegExp(`^/v1/accounts/${NAME}/templates/${NAME}$`);
+const NAME_PATTERN = "([a-z0-9][a-z0-9_.-]{0,62})";
+const SERVER_PATH = new RegExp(`^/v1/servers/${NAME_PATTERN}/role$`);
+const ACCOUNT_PATH = new RegExp(`^/v1/accounts/${NAME_PATTERN}$`);
+const TEMPLATES_PATH = new RegExp(`^/v1/accounts/${NAME_PATTERN}/templates$`);
+const TEMPLATE_PATH = new RegExp(
+  `^/v1/accounts/${NAME_PATTERN}/templates/${NAME_PATTERN}$`,
+);
 
 function findServerRoute(method: string, path: string): OperatorRoute {
   const server = SERVER_PATH.exec(path)?.[1];
@@ -46,9 +48,9 @@
   if (account !== undefined && method === "PUT") {
     return { kind: "setAccount", account };
   }
-  const listed = TEMPLATES_PATH.exec(path)?.[1];
-  if (listed !== undefined && method === "GET") {
-    return { kind: "listTemplates", account: listed };
+  const listedAccount = TEMPLATES_PATH.exec(path)?.[1];
+  if (listedAccount !== undefined && method === "GET") {
+    return { kind: "listTemplates", account: listedAccount };
   }
   const match = TEMPLATE_PATH.exec(path);
   const [, owner, template] = match ?? [];
--- a/src/operator/operator_service.ts
+++ b/src/operator/operator_service.ts
@@ -1,5 +1,5 @@
 import * as z from "zod";
-import * as backends from "../backend_server/mod.ts";
+import * as backendServers from "../backend_server/mod.ts";
 import * as accounts from "../client_account/mod.ts";
 import type * as clocks from "../clock/mod.ts";
 import * as control from "../control/mod.ts";
@@ -7,14 +7,14 @@
 import type * as replicated from "../replicated_state/mod.ts";
 import * as results from "../results/mod.ts";
 import * as templates from "../rollout_template/mod.ts";
-import type * as accesses from "./check_access.ts";
-import * as limitStatus from "./limit_status.ts";
+import type * as accessChecks from "./check_access.ts";
+import * as filterStatus from "./filter_status.ts";
 
 const PROPOSE_TIMEOUT_MS = 8_000;
 const READ_TIMEOUT_MS = 3_000;
 const DEFAULT_WAIT_MS = 10_000;
 /** Wait of one question to a leader, which may be cut off, in ms. */
-const IN_FORCE_TRY_MS = 500;
+const IN_FORCE_POLL_MS = 500;
 const DEFAULT_AUDIT_LIMIT = 100;
 
 const changeFields = {
@@ -37,7 +37,7 @@
 
 const roleChangeSchema = z.strictObject({
   ...changeFields,
-  role: z.enum(backends.SERVER_ROLES),
+  role: z.enum(backendServers.SERVER_ROLES),
 });
 
 const auditSchema = z.object({
@@ -103,7 +103,7 @@
   }
 
   async setTemplate(
-    operator: accesses.Operator,
+    operator: accessChecks.Operator,
     route: { readonly account: string; readonly template: string },
     body: Body,
   ): Promise<results.Result<object>> {
@@ -121,7 +121,7 @@
   }
 
   async setAccount(
-    operator: accesses.Operator,
+    operator: accessChecks.Operator,
     id: string,
     body: Body,
   ): Promise<results.Result<object>> {
@@ -143,12 +143,14 @@
     const read = await this.#readLeader(control.METHODS.readStatus, {});
     if (read.kind === "failure") return read;
     const { roles } = read.value as Status;
-    const known = roles.find((setting) => setting.server === server);
-    return results.createOk(known ?? { server, role: "mixed", revision: 0 });
+    const roleSetting = roles.find((setting) => setting.server === server);
+    return results.createOk(
+      roleSetting ?? { server, role: "mixed", revision: 0 },
+    );
   }
 
   async setRole(
-    operator: accesses.Operator,
+    operator: accessChecks.Operator,
     server: string,
     body: Body,
   ): Promise<results.Result<object>> {
@@ -166,7 +168,7 @@
   }
 
   async readAudit(
-    operator: accesses.Operator,
+    operator: accessChecks.Operator,
     query: URLSearchParams,
   ): Promise<results.Result<object>> {
     const parsed = httpServer.parseFields(
@@ -187,14 +189,14 @@
 
   /** Reads the leader's view, limited to what the operator may see. */
   async readStatus(
-    operator: accesses.Operator,
+    operator: accessChecks.Operator,
   ): Promise<results.Result<object>> {
     const read = await this.#readLeader(control.METHODS.readStatus, {});
     if (read.kind === "failure" || operator.kind === "root") return read;
     const all = [...this.#client.getView().templates.values()];
     const status = read.value as Status;
     return results.createOk(
-      limitStatus.limitStatus(status, operator.account, all),
+      filterStatus.filterStatus(status, operator.account, all),
     );
   }
 
@@ -212,7 +214,7 @@
   }
 
   #createOrigin(
-    operator: accesses.Operator,
+    operator: accessChecks.Operator,
     requestId: string,
   ): replicated.ChangeOrigin {
     const name = operator.kind === "root" ? "root" : operator.account;
@@ -242,24 +244,24 @@
     }
     const startMs = this.#clock.getMonotonicMs();
     for (;;) {
-      const isInForce = await this.#askInForce(revision);
-      const tookMs = Math.round(this.#clock.getMonotonicMs() - startMs);
-      if (isInForce) return { revision, isInForce, inForceMs: tookMs };
-      if (tookMs >= waitMs) {
+      const isInForce = await this.#pollInForce(revision);
+      const elapsedMs = Math.round(this.#clock.getMonotonicMs() - startMs);
+      if (isInForce) return { revision, isInForce, inForceMs: elapsedMs };
+      if (elapsedMs >= waitMs) {
         return { revision, isInForce, inForceMs: undefined };
       }
     }
   }
 
-  async #askInForce(revision: number): Promise<boolean> {
+  async #pollInForce(revision: number): Promise<boolean> {
     const request: control.InForceRequest = {
       revision,
-      timeoutMs: IN_FORCE_TRY_MS,
+      timeoutMs: IN_FORCE_POLL_MS,
     };
     const waited = await this.#client.callLeader<control.InForceReply>(
       control.METHODS.awaitInForce,
       request,
-      2 * IN_FORCE_TRY_MS,
+      2 * IN_FORCE_POLL_MS,
     );
     return waited.kind === "ok" && waited.value.kind === "waited" &&
       waited.value.isInForce;
--- a/src/operator/operator_test.ts
+++ b/src/operator/operator_test.ts
@@ -48,14 +48,14 @@
       [
         await box.send("GET", "/v1/accounts/nobody", {
           port: 8081,
-          token: oneBoxes.ROOT,
+          token: oneBoxes.ROOT_TOKEN,
         }),
         "unknownAccount",
       ],
       [
         await box.send("PUT", "/v1/accounts/nobody/templates/notes", {
           port: 8081,
-          token: oneBoxes.ROOT,
+          token: oneBoxes.ROOT_TOKEN,
           json: valid,
         }),
         "unknownAccount",
@@ -109,7 +109,7 @@
     }
     const audit = await box.send("GET", "/v1/audit", {
       port: 8081,
-      token: oneBoxes.ROOT,
+      token: oneBoxes.ROOT_TOKEN,
     });
     const { records } = audit.json as unknown as {
       readonly records: readonly unknown[];
@@ -123,7 +123,7 @@
       port: 8081,
       method: "PUT",
       path: "/v1/accounts/cascade/templates/notes",
-      headers: { authorization: `Bearer ${oneBoxes.TOKEN}` },
+      headers: { authorization: `Bearer ${oneBoxes.ACCOUNT_TOKEN}` },
       body: '{"baseRevision": 0,',
       timeoutMs: 5_000,
     });
@@ -134,7 +134,7 @@
   });
 
   it("changes the log level of a running box, and only to one that exists", async () => {
-    const change = { port: 8081, token: oneBoxes.ROOT };
+    const change = { port: 8081, token: oneBoxes.ROOT_TOKEN };
     const set = await box.send("PUT", "/v1/log-level", {
       ...change,
       json: { level: "error" },
--- a/src/registry/registry_test.ts
+++ b/src/registry/registry_test.ts
@@ -95,17 +95,17 @@
 
   it("excludes a silent server unless there is no other", () => {
     servers.merge(report({}));
-    clock.extendBy(3 * HEARTBEAT_MS);
+    clock.advance(3 * HEARTBEAT_MS);
     servers.merge(report({ id: "i-2" }));
     chai.expect(servers.listReady("lm").map((item) => item.id)).to.deep.equal([
       "i-2",
     ]);
-    clock.extendBy(3 * HEARTBEAT_MS);
+    clock.advance(3 * HEARTBEAT_MS);
     chai.expect(servers.listReady("lm").map((item) => item.id)).to.deep.equal([
       "i-1",
       "i-2",
     ]);
-    clock.extendBy(30_000);
+    clock.advance(30_000);
     chai.expect(servers.listReady("lm")).to.deep.equal([]);
   });
 
@@ -126,7 +126,7 @@
     it("ignores late reports of the former lifetime", () => {
       servers.merge(FIRST);
       servers.merge(LATER);
-      clock.extendBy(2 * HEARTBEAT_MS);
+      clock.advance(2 * HEARTBEAT_MS);
       for (const phase of ["ready", "draining", "gone"] as const) {
         const late = report({ born: 1_000, sequence: 900, phase });
         chai.expect(servers.merge(late)).to.equal("old");
@@ -134,7 +134,7 @@
       chai.expect(servers.listReady("lm").map((item) => item.born)).to.deep
         .equal([2_000]);
       // The late reports do not count as signs of life of the later lifetime.
-      clock.extendBy(HEARTBEAT_MS);
+      clock.advance(HEARTBEAT_MS);
       servers.merge(report({ id: "i-2" }));
       chai.expect(servers.listReady("lm").map((item) => item.id)).to.deep
         .equal(["i-2"]);
@@ -302,7 +302,7 @@
       chai.expect(lines.length).to.be.lessThan(40);
       chai.expect(Math.max(...lines.map((line) => line.length))).to.be
         .lessThan(250);
-      clock.extendBy(10_000);
+      clock.advance(10_000);
       refused.record(refusal);
       chai.expect(lines.at(-1)).to.contain("server=i-1 ");
     });
--- a/src/replica_group/_founder.ts
+++ b/src/replica_group/_bootstrap_client.ts
@@ -2,22 +2,22 @@
 import * as consensus from "../consensus/mod.ts";
 import type * as fleet from "../fleet/mod.ts";
 import type * as logs from "../log/mod.ts";
-import * as desks from "./founding_desk.ts";
+import * as bootstrapServices from "./bootstrap_service.ts";
 
 /** Between two applications to found the set, in ms. */
-const APPLY_MS = 250;
+const RETRY_INTERVAL_MS = 250;
 /** Time after which an unreachable seed is passed over, in ms. */
-const SEED_PATIENCE_MS = 4_000;
-const CALL_MS = 1_000;
+const SEED_TIMEOUT_MS = 4_000;
+const CALL_TIMEOUT_MS = 1_000;
 
 /** What a founder needs; see `ReplicaGroupOptions`. */
-export interface FounderOptions {
+export interface BootstrapClientOptions {
   readonly name: string;
   readonly id: string;
   readonly failureDomain: string;
   readonly dataFolder: string;
-  readonly wanted: number;
-  readonly least: number;
+  readonly maxVoters: number;
+  readonly minVoters: number;
   readonly seeds: readonly string[];
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
@@ -25,11 +25,11 @@
 }
 
 /** Founds the first set of replicas together with the other boxes. */
-export class Founder {
-  readonly #options: FounderOptions;
+export class BootstrapClient {
+  readonly #options: BootstrapClientOptions;
   #isStopped = false;
 
-  constructor(options: FounderOptions) {
+  constructor(options: BootstrapClientOptions) {
     this.#options = options;
   }
 
@@ -38,45 +38,54 @@
   }
 
   /** Makes the data folder of a founding voter; others get none. */
-  async found(): Promise<void> {
+  async initializeDataFolder(): Promise<void> {
     const { dataFolder, id, clock, log, name } = this.#options;
-    const voters = await this.#awaitFounders();
+    const voters = await this.#awaitInitialVoters();
     if (voters === undefined || !voters.includes(id)) return;
-    const made = await consensus.makeDataFolder({
+    const initialized = await consensus.initializeDataFolder({
       folder: dataFolder,
       owner: id,
       wallMs: clock.getWallMs(),
       voters,
     });
-    if (made.kind === "failure") {
+    if (initialized.kind === "failure") {
       log.write("error", "group.notFounded", {
         group: name,
-        message: made.failure.message,
+        message: initialized.failure.message,
       });
     }
   }
 
   /** Applies at the first seed that answers until the founders are known. */
-  async #awaitFounders(): Promise<readonly string[] | undefined> {
+  async #awaitInitialVoters(): Promise<readonly string[] | undefined> {
     const { clock, seeds } = this.#options;
     const startMs = clock.getMonotonicMs();
     while (!this.#isStopped) {
       const elapsedMs = clock.getMonotonicMs() - startMs;
-      const reachable = 1 + Math.floor(elapsedMs / SEED_PATIENCE_MS);
-      for (const seed of seeds.slice(0, reachable)) {
-        const reply = await this.#applyAt(seed);
+      const seedCount = 1 + Math.floor(elapsedMs / SEED_TIMEOUT_MS);
+      for (const seed of seeds.slice(0, seedCount)) {
+        const reply = await this.#sendRequest(seed);
         if (reply?.kind === "founded") return reply.voters;
         if (reply?.kind === "wait") break;
       }
-      await clocks.sleep(clock, APPLY_MS);
+      await clocks.sleep(clock, RETRY_INTERVAL_MS);
     }
     return undefined;
   }
 
-  async #applyAt(seed: string): Promise<desks.FoundingReply | undefined> {
-    const { name, id, failureDomain, wanted, least, peers, log } =
-      this.#options;
-    const applicant: desks.Applicant = {
+  async #sendRequest(
+    seed: string,
+  ): Promise<bootstrapServices.BootstrapReply | undefined> {
+    const {
+      name,
+      id,
+      failureDomain,
+      maxVoters: wanted,
+      minVoters: least,
+      peers,
+      log,
+    } = this.#options;
+    const request: bootstrapServices.BootstrapRequest = {
       group: name,
       id,
       failureDomain,
@@ -84,10 +93,10 @@
       least,
     };
     try {
-      return await peers.get(seed).call<desks.FoundingReply>(
-        desks.FOUNDING_METHOD,
-        applicant,
-        CALL_MS,
+      return await peers.get(seed).call<bootstrapServices.BootstrapReply>(
+        bootstrapServices.BOOTSTRAP_METHOD,
+        request,
+        CALL_TIMEOUT_MS,
       );
     } catch (error) {
       log.write("debug", "group.seedUnreachable", {
--- a/src/replica_group/_create_seed.ts
+++ b/src/replica_group/_create_election_seed.ts
@@ -9,7 +9,7 @@
  * @param startMs When its process started, in ms.
  * @returns A whole number of 32 bits.
  */
-export function createSeed(id: string, startMs: number): number {
+export function createElectionSeed(id: string, startMs: number): number {
   return crypto.createHash("sha1").update(`${id} ${startMs}`).digest()
     .readInt32BE(0);
 }
--- a/src/replica_group/_describe_notice.ts
+++ b/src/replica_group/_describe_notice.ts
@@ -7,7 +7,7 @@
 >;
 
 /** Says how loud a notice is told: without a leader no call is served. */
-export function chooseLevel(notice: consensus.ReplicaNotice): logs.LogLevel {
+export function chooseLogLevel(notice: consensus.ReplicaNotice): logs.LogLevel {
   return notice.kind === "leaderless" ? "warn" : "info";
 }
 
@@ -26,7 +26,7 @@
         isAdmitted: notice.identity.isAdmitted,
         term: notice.term,
         votedFor: notice.votedFor,
-        ...describeSet(notice.set),
+        ...describeVoterSet(notice.set),
         snapshotIndex: notice.snapshotIndex,
         lastIndex: notice.lastIndex,
         lastTerm: notice.lastTerm,
@@ -47,10 +47,10 @@
         hasAuthority: notice.hasAuthority,
         term: notice.term,
         lastIndex: notice.lastIndex,
-        silent: notice.silent.map(describeVoter).join(","),
+        silent: notice.silent.map(describeSilentVoter).join(","),
       };
     case "voters":
-      return { term: notice.term, ...describeSet(notice.set) };
+      return { term: notice.term, ...describeVoterSet(notice.set) };
     case "feeding":
       return {
         term: notice.term,
@@ -66,8 +66,8 @@
         lastIndex: notice.lastIndex,
         lastTerm: notice.lastTerm,
         commitIndex: notice.commitIndex,
-        ...describeSet(notice.set),
-        asked: notice.asked.map(describeAsked).join(","),
+        ...describeVoterSet(notice.set),
+        asked: notice.asked.map(describePolledVoter).join(","),
         writingMs: notice.writingMs,
       };
     case "voteRefused":
@@ -83,7 +83,7 @@
   }
 }
 
-function describeSet(
+function describeVoterSet(
   { voters, index, isCommitted }: consensus.VoterSet,
 ): NoticeFields {
   return {
@@ -93,13 +93,13 @@
   };
 }
 
-function describeVoter(voter: consensus.SilentVoter): string {
+function describeSilentVoter(voter: consensus.SilentVoter): string {
   const { id, silentMs, isAdmitted, lag } = voter;
-  const shown = Number.isFinite(silentMs) ? `${silentMs}ms` : "never";
-  return `${id}:${shown}:lag${lag}${isAdmitted ? "" : ":notAdmitted"}`;
+  const silence = Number.isFinite(silentMs) ? `${silentMs}ms` : "never";
+  return `${id}:${silence}:lag${lag}${isAdmitted ? "" : ":notAdmitted"}`;
 }
 
-function describeFollower(follower: consensus.FeedingFollower): string {
+function describeFollower(follower: consensus.UnadmittedFollower): string {
   const { kind, id, isVoter } = follower;
   const name = isVoter ? id : `${id}:spare`;
   switch (kind) {
@@ -112,19 +112,21 @@
   }
 }
 
-function describeAsked({ id, answer }: consensus.AskedVoter): string {
+function describePolledVoter({ id, answer }: consensus.PolledVoter): string {
   switch (answer.kind) {
     case "none":
       return `${id}:none`;
     case "granted":
-      return `${id}:${nameVote(answer.isPreVote)}Granted:${answer.ageMs}ms`;
+      return `${id}:${
+        describeVoteKind(answer.isPreVote)
+      }Granted:${answer.ageMs}ms`;
     case "refused": {
       const { isPreVote, reason = "noReason", ageMs } = answer;
-      return `${id}:${nameVote(isPreVote)}Refused:${reason}:${ageMs}ms`;
+      return `${id}:${describeVoteKind(isPreVote)}Refused:${reason}:${ageMs}ms`;
     }
   }
 }
 
-function nameVote(isPreVote: boolean): string {
+function describeVoteKind(isPreVote: boolean): string {
   return isPreVote ? "preVote" : "vote";
 }
--- a/src/replica_group/founding_desk.ts
+++ b/src/replica_group/bootstrap_service.ts
@@ -3,15 +3,15 @@
 import type * as rpc from "../rpc/mod.ts";
 
 /** Name of the call that asks for the founders of a replica set. */
-export const FOUNDING_METHOD = "group.applyForFounding";
+export const BOOTSTRAP_METHOD = "group.applyForFounding";
 
 /** Time without a new applicant after which founders are chosen, in ms. */
-const QUIET_MS = 1_000;
+const SETTLE_MS = 1_000;
 /** Longest wait for as many applicants as losses need, in ms. */
-const PATIENCE_MS = 6_000;
+const MAX_WAIT_MS = 6_000;
 
 /** A box with an empty disk that could found a replica set. */
-export interface Applicant {
+export interface BootstrapRequest {
   readonly group: string;
   readonly id: string;
   readonly failureDomain: string;
@@ -22,34 +22,34 @@
 }
 
 /** Answers an applicant. */
-export type FoundingReply =
+export type BootstrapReply =
   | { readonly kind: "wait" }
   | { readonly kind: "founded"; readonly voters: readonly string[] }
   /** This box does not choose founders; its process is not a first one. */
   | { readonly kind: "refused" };
 
-interface GroupDesk {
-  readonly applicants: readonly Applicant[];
-  readonly firstAtMs: number;
-  readonly lastAtMs: number;
+interface BootstrapState {
+  readonly requests: readonly BootstrapRequest[];
+  readonly firstRequestMs: number;
+  readonly lastRequestMs: number;
   readonly voters: readonly string[] | undefined;
 }
 
 /**
  * Chooses founders over as many failure domains as there are.
  *
- * @param applicants All applicants of a group.
+ * @param requests All applicants of a group.
  * @returns Ids of the founders: an odd number, at most as many as wanted.
  */
-export function chooseFounders(
-  applicants: readonly Applicant[],
+export function chooseInitialVoters(
+  requests: readonly BootstrapRequest[],
 ): readonly string[] {
-  const sorted = [...applicants].sort((a, b) => a.id < b.id ? -1 : 1);
-  const seen = new Map<string, number>();
-  const ranked = sorted.map((applicant) => {
-    const rank = seen.get(applicant.failureDomain) ?? 0;
-    seen.set(applicant.failureDomain, rank + 1);
-    return { id: applicant.id, rank };
+  const sorted = [...requests].sort((a, b) => a.id < b.id ? -1 : 1);
+  const domainCounts = new Map<string, number>();
+  const ranked = sorted.map((request) => {
+    const rank = domainCounts.get(request.failureDomain) ?? 0;
+    domainCounts.set(request.failureDomain, rank + 1);
+    return { id: request.id, rank };
   }).sort((a, b) => a.rank - b.rank);
   const wanted = sorted[0]?.wanted ?? 0;
   const count = Math.min(wanted, ranked.length);
@@ -61,68 +61,70 @@
  * Chooses once who founds each replica set of a deployment. It works only in
  * the first process of a box, so a restart never chooses a second time.
  */
-export class FoundingDesk {
+export class BootstrapService {
   readonly #clock: clocks.Clock;
   readonly #log: logs.Log;
   readonly #isFirstStart: boolean;
-  readonly #groups = new Map<string, GroupDesk>();
+  readonly #groups = new Map<string, BootstrapState>();
 
   constructor(options: {
     readonly clock: clocks.Clock;
     readonly log: logs.Log;
-    readonly server: rpc.MethodTable;
+    readonly server: rpc.MethodRegistry;
     readonly isFirstStart: boolean;
   }) {
     this.#clock = options.clock;
     this.#log = options.log;
     this.#isFirstStart = options.isFirstStart;
     options.server.add(
-      FOUNDING_METHOD,
-      (applicant: Applicant) => this.apply(applicant),
+      BOOTSTRAP_METHOD,
+      (request: BootstrapRequest) => this.handleRequest(request),
     );
   }
 
   /** Takes an application, which is repeated until founders are chosen. */
-  apply(applicant: Applicant): FoundingReply {
+  handleRequest(request: BootstrapRequest): BootstrapReply {
     if (!this.#isFirstStart) return { kind: "refused" };
     const nowMs = this.#clock.getMonotonicMs();
-    const desk = this.#enter(applicant, nowMs);
-    if (desk.voters !== undefined) {
-      return { kind: "founded", voters: desk.voters };
+    const state = this.#recordRequest(request, nowMs);
+    if (state.voters !== undefined) {
+      return { kind: "founded", voters: state.voters };
     }
-    const isEnough = desk.applicants.length >= applicant.least ||
-      nowMs - desk.firstAtMs > PATIENCE_MS;
-    if (!isEnough || nowMs - desk.lastAtMs < QUIET_MS) return { kind: "wait" };
-    const voters = chooseFounders(desk.applicants);
-    this.#groups.set(applicant.group, { ...desk, voters });
+    const hasEnough = state.requests.length >= request.least ||
+      nowMs - state.firstRequestMs > MAX_WAIT_MS;
+    if (!hasEnough || nowMs - state.lastRequestMs < SETTLE_MS) {
+      return { kind: "wait" };
+    }
+    const voters = chooseInitialVoters(state.requests);
+    this.#groups.set(request.group, { ...state, voters });
     this.#log.write("info", "group.founded", {
-      group: applicant.group,
+      group: request.group,
       voters: voters.join(","),
     });
     return { kind: "founded", voters };
   }
 
-  #enter(applicant: Applicant, nowMs: number): GroupDesk {
-    const known = this.#groups.get(applicant.group);
-    if (known === undefined) {
-      const desk: GroupDesk = {
-        applicants: [applicant],
-        firstAtMs: nowMs,
-        lastAtMs: nowMs,
+  #recordRequest(request: BootstrapRequest, nowMs: number): BootstrapState {
+    const previous = this.#groups.get(request.group);
+    if (previous === undefined) {
+      const created: BootstrapState = {
+        requests: [request],
+        firstRequestMs: nowMs,
+        lastRequestMs: nowMs,
         voters: undefined,
       };
-      this.#groups.set(applicant.group, desk);
-      return desk;
+      this.#groups.set(request.group, created);
+      return created;
     }
-    if (known.applicants.some((other) => other.id === applicant.id)) {
-      return known;
+    if (previous.requests.some((other) => other.id === request.id)) {
+      return previous;
     }
-    const desk: GroupDesk = {
-      ...known,
-      applicants: [...known.applicants, applicant],
-      lastAtMs: nowMs,
+    const updated: BootstrapState = {
+      ...previous,
+      requests: [...previous.requests, request],
+      lastRequestMs: nowMs,
     };
-    this.#groups.set(applicant.group, desk);
-    return desk;
+    this.#groups.set(request.group, updated);
+    return updated;
   }
 }
--- a/src/replica_group/describe_notice_test.ts
+++ b/src/replica_group/describe_notice_test.ts
@@ -17,7 +17,7 @@
       line = text;
     });
     const fields = describeNotice.describeNotice(notice);
-    const level = describeNotice.chooseLevel(notice);
+    const level = describeNotice.chooseLogLevel(notice);
     log.write(level, `replica.${notice.kind}`, fields);
     return line.replace(/^time=\S+ /, "").trim();
   }
--- a/src/replica_group/fault_schedule_test.ts
+++ b/src/replica_group/fault_schedule_test.ts
@@ -120,59 +120,61 @@
   "slowDisk",
 ];
 const DIRECTIONS = ["out", "in", "both"] as const;
-const BOXES = 5;
-const MIN_START_MS = 300;
-const MAX_START_MS = 4_000;
-const MAX_AFTER_MS = 5_000;
-const MAX_LASTING_MS = 6_000;
-const MAX_CLOCK_MS = 20_000;
+const BOX_COUNT = 5;
+const MIN_START_DELAY_MS = 300;
+const MAX_START_DELAY_MS = 4_000;
+const MAX_INTERVAL_MS = 5_000;
+const MAX_DURATION_MS = 6_000;
+const MAX_CLOCK_STEP_MS = 20_000;
 
 /** Draws the parts of a schedule from a seed. */
-class ScheduleDraw {
+class ScheduleGenerator {
   readonly #random: ReturnType<typeof generator.xoroshiro128plus>;
 
   constructor(seed: number) {
     this.#random = generator.xoroshiro128plus(seed);
   }
 
-  drawFrom(min: number, max: number): number {
+  drawInteger(min: number, max: number): number {
     return uniform.uniformInt(this.#random, min, max);
   }
 
   pick<T>(items: readonly T[]): T {
-    return items[this.drawFrom(0, items.length - 1)] as T;
+    return items[this.drawInteger(0, items.length - 1)] as T;
   }
 
-  drawStart(): number {
-    const isFast = this.drawFrom(0, 1) === 0;
-    return isFast ? MIN_START_MS : this.drawFrom(MIN_START_MS, MAX_START_MS);
+  drawStartDelay(): number {
+    const isFast = this.drawInteger(0, 1) === 0;
+    return isFast
+      ? MIN_START_DELAY_MS
+      : this.drawInteger(MIN_START_DELAY_MS, MAX_START_DELAY_MS);
   }
 
-  drawStarts(): readonly number[] {
-    const isSame = this.drawFrom(0, 1) === 0;
-    const first = this.drawStart();
+  drawStartDelays(): readonly number[] {
+    const isSame = this.drawInteger(0, 1) === 0;
+    const first = this.drawStartDelay();
     return Array.from(
-      { length: BOXES },
-      () => isSame ? first : this.drawStart(),
+      { length: BOX_COUNT },
+      () => isSame ? first : this.drawStartDelay(),
     );
   }
 
   drawFault(): Fault {
     const kind = this.pick(KINDS);
     const target = this.pick(TARGETS);
-    const startMs = this.drawStart();
-    const ms = this.drawFrom(100, MAX_LASTING_MS);
+    const startMs = this.drawStartDelay();
+    const ms = this.drawInteger(100, MAX_DURATION_MS);
     switch (kind) {
       case "powerOfAll":
         return {
           kind,
-          startMs: this.drawStarts(),
-          keptWrites: this.drawFrom(0, 1),
+          startMs: this.drawStartDelays(),
+          keptWrites: this.drawInteger(0, 1),
         };
       case "diskAndPowerOfAll":
-        return { kind, target, startMs: this.drawStarts() };
+        return { kind, target, startMs: this.drawStartDelays() };
       case "powerOfOne":
-        return { kind, target, startMs, keptWrites: this.drawFrom(0, 1) };
+        return { kind, target, startMs, keptWrites: this.drawInteger(0, 1) };
       case "disk":
       case "gone":
       case "restart":
@@ -187,7 +189,7 @@
         return {
           kind,
           target,
-          byMs: this.drawFrom(-MAX_CLOCK_MS, MAX_CLOCK_MS),
+          byMs: this.drawInteger(-MAX_CLOCK_STEP_MS, MAX_CLOCK_STEP_MS),
         };
       case "slowDisk":
         return { kind, target, ms, factor: this.pick([2, 4, 10]) };
@@ -198,7 +200,7 @@
     return {
       kind: "diskAndPowerOfAll",
       target: this.pick(TARGETS.filter((target) => target !== "lost")),
-      startMs: this.drawStarts(),
+      startMs: this.drawStartDelays(),
     };
   }
 
@@ -248,10 +250,15 @@
   load: Load,
   count: number,
 ): Schedule {
-  const draw = new ScheduleDraw(seed);
+  const scheduleGenerator = new ScheduleGenerator(seed);
   const faults = Array.from({ length: count }, () => ({
-    afterMs: draw.drawFrom(0, MAX_AFTER_MS),
-    fault: draw.drawFault(),
+    afterMs: scheduleGenerator.drawInteger(0, MAX_INTERVAL_MS),
+    fault: scheduleGenerator.drawFault(),
   }));
-  return { load, ...draw.drawLoad(load), faults, last: draw.drawLast() };
+  return {
+    load,
+    ...scheduleGenerator.drawLoad(load),
+    faults,
+    last: scheduleGenerator.drawLast(),
+  };
 }
