--- a/src/replica_group/fault_search_test.ts
+++ b/src/replica_group/fault_search_test.ts
@@ -1,6 +1,6 @@
 import * as chai from "chai";
 import * as faultSchedules from "./fault_schedule_test.ts";
-import * as scheduleRuns from "./schedule_run_test.ts";
+import * as scheduleRunners from "./schedule_runner_test.ts";
 
 /*
  * Random faults on four stores, one loss to be borne at a time: once a lost box
@@ -13,29 +13,31 @@
  */
 
 /** Whether a search was started by hand; it shortens what it finds. */
-const IS_LONG = process.env["HOISTSCALE_SCHEDULES"] !== undefined;
-const SCHEDULES = readNumber("HOISTSCALE_SCHEDULES", 3);
+const IS_MANUAL_SEARCH = process.env["HOISTSCALE_SCHEDULES"] !== undefined;
+const SCHEDULE_COUNT = readNumber("HOISTSCALE_SCHEDULES", 3);
 const FIRST_SEED = readNumber("HOISTSCALE_FIRST_SEED", 1);
-const FAULTS = readNumber("HOISTSCALE_FAULTS", 6);
+const FAULT_COUNT = readNumber("HOISTSCALE_FAULTS", 6);
 
-function readNumber(name: string, usual: number): number {
-  return Number(process.env[name] ?? usual);
+function readNumber(name: string, defaultValue: number): number {
+  return Number(process.env[name] ?? defaultValue);
 }
 
 /** Describes the first schedule that breaks something. */
 async function findViolation(
   load: faultSchedules.Load,
 ): Promise<string | undefined> {
-  for (let seed = FIRST_SEED; seed < FIRST_SEED + SCHEDULES; seed += 1) {
-    const schedule = faultSchedules.drawSchedule(seed, load, FAULTS);
-    const found = await scheduleRuns.runSchedule(schedule);
-    if (found.violation === undefined) continue;
-    const short = IS_LONG ? await scheduleRuns.cutSchedule(schedule) : schedule;
-    const outcome = await scheduleRuns.runSchedule(short);
+  for (let seed = FIRST_SEED; seed < FIRST_SEED + SCHEDULE_COUNT; seed += 1) {
+    const schedule = faultSchedules.drawSchedule(seed, load, FAULT_COUNT);
+    const firstOutcome = await scheduleRunners.runSchedule(schedule);
+    if (firstOutcome.violation === undefined) continue;
+    const trimmed = IS_MANUAL_SEARCH
+      ? await scheduleRunners.trimSchedule(schedule)
+      : schedule;
+    const outcome = await scheduleRunners.runSchedule(trimmed);
     return [
       `seed ${seed}: ${outcome.violation}`,
-      ...outcome.story,
-      JSON.stringify(short),
+      ...outcome.events,
+      JSON.stringify(trimmed),
     ].join("\n");
   }
   return undefined;
--- a/src/replica_group/group_machine_test.ts
+++ b/src/replica_group/group_state_machine_test.ts
@@ -8,20 +8,20 @@
   | { readonly kind: "load" };
 
 /** The first part of a saved state. */
-interface SavedHead {
+interface SnapshotHeader {
   readonly holder: string | undefined;
   readonly retiring: readonly string[];
-  readonly loaded: number;
+  readonly loadCount: number;
 }
 
 /** Commands for each part of a saved state. */
-const LOADS_A_PART = 10;
+const COMMANDS_PER_PART = 10;
 
 /** Knows who holds the duties and who is to be emptied; counts the rest. */
-export class GroupMachine implements consensus.Machine {
+export class GroupStateMachine implements consensus.StateMachine {
   #holder: string | undefined;
   #retiring: readonly string[] = [];
-  #loaded = 0;
+  #loadCount = 0;
 
   getHolder(): string | undefined {
     return this.#holder;
@@ -31,20 +31,20 @@
     return this.#retiring;
   }
 
-  countLoaded(): number {
-    return this.#loaded;
+  getLoadCount(): number {
+    return this.#loadCount;
   }
 
   apply(command: unknown): unknown {
     const { kind } = command as { readonly kind: string };
-    const known = command as GroupCommand;
+    const groupCommand = command as GroupCommand;
     if (kind === "noteHolder" || kind === "retireBox" || kind === "load") {
-      this.#apply(known);
+      this.#applyCommand(groupCommand);
     }
     return { isKnown: true };
   }
 
-  #apply(command: GroupCommand): void {
+  #applyCommand(command: GroupCommand): void {
     switch (command.kind) {
       case "noteHolder":
         this.#holder = command.box;
@@ -53,24 +53,24 @@
         this.#retiring = [...new Set([...this.#retiring, command.box])];
         return;
       case "load":
-        this.#loaded += 1;
+        this.#loadCount += 1;
     }
   }
 
   save(): readonly unknown[] {
-    const head: SavedHead = {
+    const header: SnapshotHeader = {
       holder: this.#holder,
       retiring: this.#retiring,
-      loaded: this.#loaded,
+      loadCount: this.#loadCount,
     };
-    const parts = Math.ceil(this.#loaded / LOADS_A_PART);
-    return [head, ...Array.from({ length: parts }, (_, part) => part)];
+    const parts = Math.ceil(this.#loadCount / COMMANDS_PER_PART);
+    return [header, ...Array.from({ length: parts }, (_, part) => part)];
   }
 
   restore(parts: readonly unknown[]): void {
-    const head = parts[0] as SavedHead;
-    this.#holder = head.holder;
-    this.#retiring = head.retiring;
-    this.#loaded = head.loaded;
+    const header = parts[0] as SnapshotHeader;
+    this.#holder = header.holder;
+    this.#retiring = header.retiring;
+    this.#loadCount = header.loadCount;
   }
 }
--- a/src/replica_group/leader_caller.ts
+++ b/src/replica_group/leader_caller.ts
@@ -5,21 +5,21 @@
 import * as notLeaders from "./not_leader.ts";
 
 /** Pause between two tries, in ms; an election takes some hundred. */
-const RETRY_MS = 40;
+const RETRY_INTERVAL_MS = 40;
 
 /** Tries that the log tells of a call without an answer. */
-const TOLD_TRIES = 4;
+const MAX_LOGGED_ATTEMPTS = 4;
 /** Replicas of which the log tells what they said last. */
-const TOLD_REPLICAS = 12;
+const MAX_LOGGED_REPLICAS = 12;
 
 /** The answer of a leader whose change no quorum confirmed in time. */
-export interface Unsure {
+export interface UnconfirmedChange {
   readonly kind: "unsure";
   readonly mayHaveRun: boolean;
 }
 
 /** An answer after which the call is tried again. */
-type NotDone = notLeaders.NotLeader | Unsure;
+type RetryableAnswer = notLeaders.NotLeader | UnconfirmedChange;
 
 /** What a leader caller needs. */
 export interface LeaderCallerOptions {
@@ -33,7 +33,7 @@
 }
 
 /** How long a call is tried. */
-export interface CallTimes {
+export interface CallTimeouts {
   /** For all tries together, in ms. */
   readonly totalMs: number;
   /** For one replica, which may be frozen, in ms. */
@@ -42,18 +42,18 @@
 
 interface CallState {
   readonly mayHaveRun: boolean;
-  readonly tries: number;
+  readonly attempts: number;
   /** Replicas that were asked last, in order, with what they said. */
-  readonly lastTried: readonly string[];
+  readonly lastAttempts: readonly string[];
   /** What each of the replicas asked last said, the one asked last at the end. */
-  readonly said: ReadonlyMap<string, string>;
+  readonly lastAnswers: ReadonlyMap<string, string>;
 }
 
-const NO_TRIES: CallState = {
+const INITIAL_CALL_STATE: CallState = {
   mayHaveRun: false,
-  tries: 0,
-  lastTried: [],
-  said: new Map(),
+  attempts: 0,
+  lastAttempts: [],
+  lastAnswers: new Map(),
 };
 
 /** Calls the leader of a replica group, whichever replica that is. */
@@ -61,9 +61,9 @@
   readonly #options: LeaderCallerOptions;
   #leader: string | undefined;
   /** Replica that was asked last and did not take the call. */
-  #doubted: string | undefined;
+  #lastNonLeader: string | undefined;
   /** Turns of the round; asks that a name steered are none. */
-  #turn = 0;
+  #nextReplicaIndex = 0;
 
   constructor(options: LeaderCallerOptions) {
     this.#options = options;
@@ -79,36 +79,38 @@
   async call<T extends { readonly kind: string }>(
     method: string,
     params: object,
-    times: CallTimes,
-  ): Promise<results.Result<Exclude<T, NotDone>>> {
+    timeouts: CallTimeouts,
+  ): Promise<results.Result<Exclude<T, RetryableAnswer>>> {
     const { clock } = this.#options;
-    const endMs = clock.getMonotonicMs() + times.totalMs;
-    let state = NO_TRIES;
+    const deadlineMs = clock.getMonotonicMs() + timeouts.totalMs;
+    let state = INITIAL_CALL_STATE;
     for (;;) {
-      const leftMs = endMs - clock.getMonotonicMs();
-      if (leftMs <= 0) return this.#giveUp(method, state);
+      const remainingMs = deadlineMs - clock.getMonotonicMs();
+      if (remainingMs <= 0) return this.#reportFailure(method, state);
       const replica = this.#pickReplica();
       const answer = await this.#callOnce<T>(replica, method, params, {
-        timeoutMs: Math.min(times.tryMs, leftMs),
+        timeoutMs: Math.min(timeouts.tryMs, remainingMs),
       });
-      if (answer.kind === "ok" && isDone(answer.value)) {
-        return results.createOk(answer.value as Exclude<T, NotDone>);
+      if (answer.kind === "ok" && isFinal(answer.value)) {
+        return results.createOk(answer.value as Exclude<T, RetryableAnswer>);
       }
-      state = noteTry(state, replica, answer);
-      await clocks.sleep(clock, RETRY_MS);
+      state = recordAttempt(state, replica, answer);
+      await clocks.sleep(clock, RETRY_INTERVAL_MS);
     }
   }
 
-  #giveUp(
+  #reportFailure(
     method: string,
     state: CallState,
   ): { readonly kind: "failure"; readonly failure: results.Failure } {
     this.#options.log.write("warn", "leader.unfound", {
       method,
       replicas: this.#options.listReplicas().length,
-      tries: state.tries,
-      lastTried: state.lastTried.join(","),
-      said: [...state.said].map(([id, text]) => `${id}:${text}`).join(","),
+      tries: state.attempts,
+      lastTried: state.lastAttempts.join(","),
+      said: [...state.lastAnswers].map(([id, text]) => `${id}:${text}`).join(
+        ",",
+      ),
     });
     return createCallFailure(method, state);
   }
@@ -118,21 +120,25 @@
     method: string,
     params: object,
     { timeoutMs }: { readonly timeoutMs: number },
-  ): Promise<results.Result<T | NotDone>> {
+  ): Promise<results.Result<T | RetryableAnswer>> {
     if (id === undefined) {
       return results.createFailure("noLeader", "Cannot find any replica");
     }
-    const isTurn = id === this.#findTurn();
+    const isNextReplica = id === this.#getNextReplica();
     try {
       const client = this.#options.getClient(id);
-      const reply = await client.call<T | NotDone>(method, params, timeoutMs);
+      const reply = await client.call<T | RetryableAnswer>(
+        method,
+        params,
+        timeoutMs,
+      );
       if (reply.kind === "notLeader") {
         const { leader } = reply as notLeaders.NotLeader;
-        this.#noteLeader(id, leader, isTurn);
+        this.#updateLeader(id, leader, isNextReplica);
       } else this.#leader = id;
       return results.createOk(reply);
     } catch (error) {
-      this.#noteLeader(id, undefined, isTurn);
+      this.#updateLeader(id, undefined, isNextReplica);
       return { kind: "failure", failure: results.toFailure(error) };
     }
   }
@@ -145,63 +151,66 @@
    */
   #pickReplica(): string | undefined {
     if (this.#leader !== undefined) return this.#leader;
-    const told = this.#options.findLeader();
-    if (told !== undefined && told !== this.#doubted) return told;
-    return this.#findTurn();
+    const reported = this.#options.findLeader();
+    if (reported !== undefined && reported !== this.#lastNonLeader) {
+      return reported;
+    }
+    return this.#getNextReplica();
   }
 
   /** The replica whose turn it is in the round of all. */
-  #findTurn(): string | undefined {
+  #getNextReplica(): string | undefined {
     const ids = this.#options.listReplicas();
-    return ids[this.#turn % Math.max(1, ids.length)];
+    return ids[this.#nextReplicaIndex % Math.max(1, ids.length)];
   }
 
-  #noteLeader(
-    asked: string,
-    told: string | undefined,
-    isTurn: boolean,
+  #updateLeader(
+    replica: string,
+    reported: string | undefined,
+    isNextReplica: boolean,
   ): void {
-    if (isTurn) this.#turn += 1;
-    this.#doubted = asked;
-    this.#leader = told === asked ? undefined : told;
+    if (isNextReplica) this.#nextReplicaIndex += 1;
+    this.#lastNonLeader = replica;
+    this.#leader = reported === replica ? undefined : reported;
   }
 }
 
-function isDone(reply: { readonly kind: string }): boolean {
+function isFinal(reply: { readonly kind: string }): boolean {
   return reply.kind !== "notLeader" && reply.kind !== "unsure";
 }
 
 /** Tells whether a try may have been carried out without a clear answer. */
-function hasMaybeRun(
-  tried: results.Result<{ readonly kind: string }>,
+function hasUnknownOutcome(
+  answer: results.Result<{ readonly kind: string }>,
 ): boolean {
-  if (tried.kind === "failure") return tried.failure.outcome !== "notRun";
-  return tried.value.kind === "unsure" && (tried.value as Unsure).mayHaveRun;
+  if (answer.kind === "failure") return answer.failure.outcome !== "notRun";
+  return answer.value.kind === "unsure" &&
+    (answer.value as UnconfirmedChange).mayHaveRun;
 }
 
 /** Adds a try that did not end its call to what is known of the call. */
-function noteTry(
+function recordAttempt(
   state: CallState,
   replica: string | undefined,
   answer: results.Result<{ readonly kind: string }>,
 ): CallState {
-  const name = replica ?? "none";
-  const others = [...state.said].filter(([id]) => id !== name);
+  const key = replica ?? "none";
+  const others = [...state.lastAnswers].filter(([id]) => id !== key);
   return {
-    mayHaveRun: state.mayHaveRun || hasMaybeRun(answer),
-    tries: state.tries + 1,
-    lastTried: [
-      ...state.lastTried.slice(1 - TOLD_TRIES),
-      `${replica}:${nameAnswer(answer)}`,
+    mayHaveRun: state.mayHaveRun || hasUnknownOutcome(answer),
+    attempts: state.attempts + 1,
+    lastAttempts: [
+      ...state.lastAttempts.slice(1 - MAX_LOGGED_ATTEMPTS),
+      `${replica}:${getAnswerCode(answer)}`,
     ],
-    said: new Map([
-      ...others.slice(1 - TOLD_REPLICAS),
-      [name, describeAnswer(answer)],
+    lastAnswers: new Map([
+      ...others.slice(1 - MAX_LOGGED_REPLICAS),
+      [key, describeAnswer(answer)],
     ]),
   };
 }
 
-function nameAnswer(
+function getAnswerCode(
   answer: results.Result<{ readonly kind: string }>,
 ): string {
   return answer.kind === "ok" ? answer.value.kind : answer.failure.code;
@@ -214,7 +223,7 @@
   if (answer.kind === "ok" && answer.value.kind === "notLeader") {
     return notLeaders.describeNotLeader(answer.value as notLeaders.NotLeader);
   }
-  return nameAnswer(answer);
+  return getAnswerCode(answer);
 }
 
 function createCallFailure(
--- a/src/replica_group/leader_caller_test.ts
+++ b/src/replica_group/leader_caller_test.ts
@@ -5,8 +5,8 @@
 import type * as notLeaders from "./not_leader.ts";
 import * as leaderCallers from "./leader_caller.ts";
 
-const TIMES = { totalMs: 2_000, tryMs: 500 };
-const STEP_MS = 20;
+const TIMEOUTS = { totalMs: 2_000, tryMs: 500 };
+const CLOCK_STEP_MS = 20;
 
 interface DoneReply {
   readonly kind: "done";
@@ -18,38 +18,42 @@
   const stores = Array.from({ length: 30 }, (_, index) => `s${index}`);
   let replicas = stores;
   let clock = new clocks.FakeClock(1_000);
-  let asked: string[] = [];
+  let called: string[] = [];
   let leader = "s29";
-  let told: string | undefined;
-  let dead: readonly string[] = [];
+  let reportedLeader: string | undefined;
+  let unreachable: readonly string[] = [];
   /** Leaders that replicas name, and why they don't lead. */
-  let named: Readonly<Record<string, string>> = {};
+  let namedLeaders: Readonly<Record<string, string>> = {};
   let reasons: Readonly<Record<string, notLeaders.NotLeaderReason>> = {};
   let lines: string[] = [];
 
   beforeEach(() => {
     clock = new clocks.FakeClock(1_000);
-    asked = [];
+    called = [];
     leader = "s29";
-    told = undefined;
-    dead = [];
+    reportedLeader = undefined;
+    unreachable = [];
     replicas = stores;
-    named = {};
+    namedLeaders = {};
     reasons = {};
     lines = [];
   });
 
   function getClient(id: string): rpc.Peer {
     return {
-      tell: () => {},
+      notify: () => {},
       call: <T>() => {
-        asked.push(id);
-        if (dead.includes(id)) {
+        called.push(id);
+        if (unreachable.includes(id)) {
           return Promise.reject(new Error("the connection was not made"));
         }
         const reply = id === leader
           ? { kind: "done", by: id }
-          : { kind: "notLeader", leader: named[id], reason: reasons[id] };
+          : {
+            kind: "notLeader",
+            leader: namedLeaders[id],
+            reason: reasons[id],
+          };
         return Promise.resolve(reply as T);
       },
     };
@@ -60,7 +64,7 @@
       clock,
       log: new logs.Log("box", "warn", (line) => lines.push(line)),
       listReplicas: () => replicas,
-      findLeader: () => told,
+      findLeader: () => reportedLeader,
       getClient,
     });
   }
@@ -69,56 +73,56 @@
     caller: leaderCallers.LeaderCaller,
   ): Promise<string> {
     let answer: string | undefined;
-    void caller.call<DoneReply>("read", {}, TIMES).then((result) => {
+    void caller.call<DoneReply>("read", {}, TIMEOUTS).then((result) => {
       answer = result.kind === "ok" ? result.value.by : result.failure.code;
     });
     for (;;) {
       await new Promise((resolve) => setImmediate(resolve));
       if (answer !== undefined) return answer;
-      clock.extendBy(STEP_MS);
+      clock.advance(CLOCK_STEP_MS);
     }
   }
 
   it("asks the box that the news name first, before any spare", async () => {
-    told = "s29";
+    reportedLeader = "s29";
     chai.expect(await callOnce(createCaller())).to.equal("s29");
-    chai.expect(asked).to.deep.equal(["s29"]);
+    chai.expect(called).to.deep.equal(["s29"]);
   });
 
   it("asks the others too where the news are old", async () => {
-    told = "s3";
+    reportedLeader = "s3";
     leader = "s1";
     chai.expect(await callOnce(createCaller())).to.equal("s1");
-    chai.expect(asked[0]).to.equal("s3");
-    chai.expect(asked.length).to.be.lessThan(6);
+    chai.expect(called[0]).to.equal("s3");
+    chai.expect(called.length).to.be.lessThan(6);
   });
 
   it("asks a new leader as soon as the news name it", async () => {
-    told = "s3";
-    dead = ["s3"];
+    reportedLeader = "s3";
+    unreachable = ["s3"];
     const caller = createCaller();
     const calling = callOnce(caller);
-    told = "s29";
+    reportedLeader = "s29";
     chai.expect(await calling).to.equal("s29");
-    chai.expect(asked.length).to.be.lessThan(4);
+    chai.expect(called.length).to.be.lessThan(4);
   });
 
   it("keeps to a leader that answered", async () => {
-    told = "s29";
+    reportedLeader = "s29";
     const caller = createCaller();
     await callOnce(caller);
-    told = "s3";
+    reportedLeader = "s3";
     chai.expect(await callOnce(caller)).to.equal("s29");
-    chai.expect(asked).to.deep.equal(["s29", "s29"]);
+    chai.expect(called).to.deep.equal(["s29", "s29"]);
   });
 
   it("keeps to the fixed round of the replicas while none names another", async () => {
     replicas = ["s0", "s1", "s2", "s3"];
     leader = "none";
     chai.expect(await callOnce(createCaller())).to.equal("noLeader");
-    chai.expect(asked.length).to.be.greaterThan(8);
-    chai.expect(asked).to.deep.equal(
-      asked.map((_, turn) => replicas[turn % replicas.length]),
+    chai.expect(called.length).to.be.greaterThan(8);
+    chai.expect(called).to.deep.equal(
+      called.map((_, index) => replicas[index % replicas.length]),
     );
   });
 
@@ -129,8 +133,8 @@
     const first = callOnce(caller);
     await new Promise((resolve) => setImmediate(resolve));
     await Promise.all([first, callOnce(caller)]);
-    const told = lines.map((line) => /lastTried=(\S+)/.exec(line)?.[1]);
-    chai.expect(told.toSorted()).to.deep.equal([
+    const lastTried = lines.map((line) => /lastTried=(\S+)/.exec(line)?.[1]);
+    chai.expect(lastTried.toSorted()).to.deep.equal([
       "s0:notLeader,s2:notLeader,s0:notLeader,s2:notLeader",
       "s1:notLeader,s3:notLeader,s1:notLeader,s3:notLeader",
     ]);
@@ -139,20 +143,20 @@
   it("leaves the round for a replica that another one follows", async () => {
     replicas = ["s0", "s1", "s2", "s3"];
     leader = "none";
-    named = { s1: "s3", s3: "s3" };
+    namedLeaders = { s1: "s3", s3: "s3" };
     await callOnce(createCaller());
-    chai.expect(asked.slice(0, 4)).to.deep.equal(["s0", "s1", "s3", "s2"]);
-    chai.expect(asked.filter((id) => id === "s1").length).to.be.lessThan(
-      asked.filter((id) => id === "s3").length,
+    chai.expect(called.slice(0, 4)).to.deep.equal(["s0", "s1", "s3", "s2"]);
+    chai.expect(called.filter((id) => id === "s1").length).to.be.lessThan(
+      called.filter((id) => id === "s3").length,
     );
   });
 
   it("leaves the round for a replica that the news name, again and again", async () => {
     replicas = ["s0", "s1", "s2", "s3"];
     leader = "none";
-    told = "s3";
+    reportedLeader = "s3";
     await callOnce(createCaller());
-    chai.expect(asked.slice(0, 4)).to.deep.equal(["s3", "s0", "s3", "s1"]);
+    chai.expect(called.slice(0, 4)).to.deep.equal(["s3", "s0", "s3", "s1"]);
   });
 
   // A replica that is no longer fed named the leader that it had followed, and each
@@ -161,18 +165,18 @@
   it("asks each replica in turn though one names a leader that is gone", async () => {
     for (const [stale, former, real] of [[1, 3, 2], [0, 3, 1], [1, 0, 2]]) {
       replicas = ["s0", "s1", "s2", "s3"];
-      named = { [`s${stale}`]: `s${former}` };
+      namedLeaders = { [`s${stale}`]: `s${former}` };
       leader = `s${real}`;
-      asked = [];
+      called = [];
       const answer = await callOnce(createCaller());
-      chai.expect(answer, asked.slice(0, 9).join(" ")).to.equal(leader);
+      chai.expect(answer, called.slice(0, 9).join(" ")).to.equal(leader);
     }
   });
 
   it("tells of a call without a leader what each replica said last, once", async () => {
     replicas = ["s0", "s1", "s2"];
     leader = "none";
-    dead = ["s2"];
+    unreachable = ["s2"];
     reasons = {
       s0: {
         kind: "leaderless",
@@ -189,8 +193,8 @@
     };
     await callOnce(createCaller());
     chai.expect(lines).to.have.length(1);
-    const said = /said=(\S+)/.exec(lines[0] ?? "")?.[1]?.split(",");
-    chai.expect(said?.toSorted()).to.deep.equal([
+    const lastAnswers = /said=(\S+)/.exec(lines[0] ?? "")?.[1]?.split(",");
+    chai.expect(lastAnswers?.toSorted()).to.deep.equal([
       "s0:preCandidate:term5:since900ms:last7:voters3",
       "s1:notStarted",
       "s2:internal",
@@ -200,8 +204,9 @@
   it("tells of at most twelve replicas, those asked last", async () => {
     leader = "none";
     await callOnce(createCaller());
-    const said = /said=(\S+)/.exec(lines[0] ?? "")?.[1]?.split(",") ?? [];
-    const last = asked.slice(-12).map((id) => `${id}:notLeader`);
-    chai.expect(said).to.deep.equal(last);
+    const lastAnswers = /said=(\S+)/.exec(lines[0] ?? "")?.[1]?.split(",") ??
+      [];
+    const last = called.slice(-12).map((id) => `${id}:notLeader`);
+    chai.expect(lastAnswers).to.deep.equal(last);
   });
 });
--- a/src/replica_group/loss_term_test.ts
+++ b/src/replica_group/loss_tracker_test.ts
@@ -2,9 +2,9 @@
  * Which boxes count as lost: those that are down, frozen or cut, and those that
  * came back less than a while ago. One box may be lost at a time.
  */
-export class LossTerm {
+export class LossTracker {
   readonly #catchUpMs: number;
-  readonly #untilMs = new Map<string, number>();
+  readonly #lostUntilMs = new Map<string, number>();
 
   /** @param catchUpMs Time for which a box that is back still counts, in ms. */
   constructor(catchUpMs: number) {
@@ -12,24 +12,27 @@
   }
 
   /** Counts a box as lost until some time after its return. */
-  add(id: string, backAtMs: number): void {
-    const untilMs = backAtMs + this.#catchUpMs;
-    this.#untilMs.set(id, Math.max(untilMs, this.#untilMs.get(id) ?? 0));
+  add(id: string, returnMs: number): void {
+    const untilMs = returnMs + this.#catchUpMs;
+    this.#lostUntilMs.set(
+      id,
+      Math.max(untilMs, this.#lostUntilMs.get(id) ?? 0),
+    );
   }
 
   /** Forgets a box that was replaced; its successor counts instead. */
   remove(id: string): void {
-    this.#untilMs.delete(id);
+    this.#lostUntilMs.delete(id);
   }
 
   /** Boxes that count as lost now. */
-  list(nowMs: number): readonly string[] {
-    return [...this.#untilMs].filter(([, untilMs]) => untilMs > nowMs)
+  listLost(nowMs: number): readonly string[] {
+    return [...this.#lostUntilMs].filter(([, untilMs]) => untilMs > nowMs)
       .map(([id]) => id);
   }
 
   /** Whether a box may be lost now: no other one is. */
   canLose(id: string, nowMs: number): boolean {
-    return this.list(nowMs).every((other) => other === id);
+    return this.listLost(nowMs).every((other) => other === id);
   }
 }
--- a/src/replica_group/mod.ts
+++ b/src/replica_group/mod.ts
@@ -10,7 +10,7 @@
  * ```
  * @module
  */
-export * from "./founding_desk.ts";
+export * from "./bootstrap_service.ts";
 export * from "./leader_caller.ts";
 export * from "./not_leader.ts";
 export * from "./plan_voters.ts";
--- a/src/replica_group/not_leader_test.ts
+++ b/src/replica_group/not_leader_test.ts
@@ -17,7 +17,7 @@
 };
 
 /** What the log shows of a replica that does not lead. */
-function showAnswer(health: consensus.ReplicaHealth | undefined): string {
+function describeHealth(health: consensus.ReplicaHealth | undefined): string {
   return notLeaders.describeNotLeader({
     kind: "notLeader",
     leader: health?.leader,
@@ -27,23 +27,25 @@
 
 describe("a replica that does not lead", () => {
   it("tells that it has not started", () => {
-    chai.expect(showAnswer(undefined)).to.equal("notStarted");
+    chai.expect(describeHealth(undefined)).to.equal("notStarted");
   });
 
   it("tells whom it follows, and when it heard that one", () => {
     const follower = { ...HEALTH, role: "follower" as const, leader: "b" };
-    chai.expect(showAnswer(follower)).to.equal("follows:b:term5:heard2100ms");
+    chai.expect(describeHealth(follower)).to.equal(
+      "follows:b:term5:heard2100ms",
+    );
   });
 
   it("tells its role, its log's end and how many vote without a leader", () => {
-    chai.expect(showAnswer(HEALTH)).to.equal(
+    chai.expect(describeHealth(HEALTH)).to.equal(
       "preCandidate:term5:since2100ms:last90:voters3",
     );
   });
 
   it("tells that it does not count, does not vote, or waits for its disk", () => {
-    const emptied = { ...HEALTH, isAdmitted: false, isInSet: false };
-    chai.expect(showAnswer({ ...emptied, writingMs: 700 })).to.equal(
+    const unadmitted = { ...HEALTH, isAdmitted: false, isInSet: false };
+    chai.expect(describeHealth({ ...unadmitted, writingMs: 700 })).to.equal(
       "preCandidate:term5:since2100ms:last90:voters3:notInSet:notAdmitted:writing700ms",
     );
   });
@@ -55,7 +57,7 @@
       leader: "a",
       followers: { presentVoters: 1, quorum: 2, fedMs: 0 },
     };
-    chai.expect(showAnswer(leader)).to.equal(
+    chai.expect(describeHealth(leader)).to.equal(
       "unsureLead:term5:since2100ms:present1of2",
     );
   });
--- a/src/replica_group/plan_emptied_voter_test.ts
+++ b/src/replica_group/plan_unadmitted_voter_test.ts
@@ -26,42 +26,42 @@
   };
 }
 
-const EMPTIED = createFollower("b", { matchIndex: 0, isAdmitted: false });
+const UNADMITTED = createFollower("b", { matchIndex: 0, isAdmitted: false });
 
-const SITUATION: planVoters.VoterSituation = {
+const INPUT: planVoters.VoterPlanInput = {
   self: "a",
   voters: ["a", "b", "c"],
   wanted: 3,
   commitIndex: COMMIT_INDEX,
-  reignMs: 60_000,
-  followers: [EMPTIED, createFollower("c"), createFollower("d")],
+  leadershipMs: 60_000,
+  followers: [UNADMITTED, createFollower("c"), createFollower("d")],
   candidates: ["a", "b", "c", "d"],
   failureDomains: new Map([..."abcd"].map((id) => [id, `of ${id}`])),
   retiring: [],
-  deadMs: 3_000,
+  failureTimeoutMs: 3_000,
 };
 
 describe("plan of voters with an emptied one that answers", () => {
   it("drops the emptied one of four, not a whole one that was quiet 20 ms longer", () => {
-    const planned = planVoters.planVoters({
-      ...SITUATION,
+    const plannedVoters = planVoters.planVoters({
+      ...INPUT,
       voters: ["a", "b", "c", "d"],
       followers: [
-        EMPTIED,
+        UNADMITTED,
         createFollower("c", { silentMs: 30 }),
         createFollower("d"),
       ],
     });
-    chai.expect(planned).to.deep.equal(["a", "c", "d"]);
+    chai.expect(plannedVoters).to.deep.equal(["a", "c", "d"]);
   });
 
   it("feeds and adds a spare for a voter that answers but is not admitted", () => {
     const learners = planVoters.chooseLearners({
-      ...SITUATION,
-      followers: [EMPTIED, createFollower("c")],
+      ...INPUT,
+      followers: [UNADMITTED, createFollower("c")],
     });
     chai.expect(learners, "fed").to.deep.equal(["d"]);
-    const planned = planVoters.planVoters(SITUATION);
-    chai.expect(planned, "planned").to.deep.equal(["a", "b", "c", "d"]);
+    const plannedVoters = planVoters.planVoters(INPUT);
+    chai.expect(plannedVoters, "planned").to.deep.equal(["a", "b", "c", "d"]);
   });
 });
--- a/src/replica_group/plan_voters.ts
+++ b/src/replica_group/plan_voters.ts
@@ -1,13 +1,13 @@
 import * as consensus from "../consensus/mod.ts";
 
 /** Silence of a voter after which a spare is fed to replace it, in ms. */
-const DOUBT_MS = 800;
+const SUSPECT_MS = 800;
 
 /** Silence of a spare up to which it is worth feeding, in ms. */
-const RESPONSIVE_MS = 1_500;
+const MAX_LEARNER_SILENCE_MS = 1_500;
 
 /** What a leader weighs when it plans its voters. */
-export interface VoterSituation {
+export interface VoterPlanInput {
   /** Id of the leader. */
   readonly self: string;
   readonly voters: readonly string[];
@@ -15,7 +15,7 @@
   readonly wanted: number;
   readonly commitIndex: number;
   /** How long the leader has led in its term, in ms. */
-  readonly reignMs: number;
+  readonly leadershipMs: number;
   readonly followers: readonly consensus.FollowerStatus[];
   /** Boxes that could vote: heard lately, with a disk, not to be emptied. */
   readonly candidates: readonly string[];
@@ -24,54 +24,54 @@
   /** Boxes that are to be emptied. */
   readonly retiring: readonly string[];
   /** Silence after which a voter is replaced, in ms. */
-  readonly deadMs: number;
+  readonly failureTimeoutMs: number;
 }
 
 /**
  * Says how many voters there should be: an odd number, so that one half of the
  * boxes alone never has a quorum, and never fewer than losses need.
  *
- * @param least Voters that losses need.
- * @param most Voters at most.
- * @param boxes Boxes that could vote.
+ * @param minVoters Voters that losses need.
+ * @param maxVoters Voters at most.
+ * @param candidates Boxes that could vote.
  * @returns The number of voters.
  */
-export function countWanted(
-  least: number,
-  most: number,
-  boxes: number,
+export function countTargetVoters(
+  minVoters: number,
+  maxVoters: number,
+  candidates: number,
 ): number {
-  const few = Math.min(most, boxes);
-  const odd = few % 2 === 0 ? few - 1 : few;
-  return Math.max(least, odd);
+  const available = Math.min(maxVoters, candidates);
+  const odd = available % 2 === 0 ? available - 1 : available;
+  return Math.max(minVoters, odd);
 }
 
 /**
  * Plans the next single change of the voters.
  *
- * @param situation What the leader knows.
+ * @param input What the leader knows.
  * @returns The voters after the change, or undefined when none is due; a
  * leader that is to be emptied plans nothing and hands over instead.
  */
 export function planVoters(
-  situation: VoterSituation,
+  input: VoterPlanInput,
 ): readonly string[] | undefined {
-  const { voters, wanted, retiring, self, reignMs } = situation;
-  if (retiring.includes(self) || reignMs < DOUBT_MS) return undefined;
+  const { voters, wanted, retiring, self, leadershipMs: leadershipMs } = input;
+  if (retiring.includes(self) || leadershipMs < SUSPECT_MS) return undefined;
   const others = voters.filter((id) => id !== self);
-  const dead = others.filter((id) => isDead(id, situation));
-  const leaving = others.filter((id) => retiring.includes(id));
-  const emptied = others.filter((id) => isEmptied(id, situation));
-  const unwanted = [...dead, ...leaving, ...emptied];
-  const fresh = findFresh(situation);
+  const failed = others.filter((id) => hasFailed(id, input));
+  const retiringVoters = others.filter((id) => retiring.includes(id));
+  const unadmitted = others.filter((id) => isUnadmitted(id, input));
+  const replaceable = [...failed, ...retiringVoters, ...unadmitted];
+  const promotable = findPromotable(input);
   if (voters.length > wanted) {
     const isEven = voters.length % 2 === 0;
-    const extra = unwanted[0] ??
-      (isEven ? findQuietest(situation, others) : undefined);
-    return extra === undefined ? undefined : dropVoter(voters, extra);
+    const surplus = replaceable[0] ??
+      (isEven ? findMostSilent(input, others) : undefined);
+    return surplus === undefined ? undefined : removeVoter(voters, surplus);
   }
-  const isShort = voters.length < wanted || unwanted.length > 0;
-  if (isShort && fresh !== undefined) return [...voters, fresh];
+  const needsVoter = voters.length < wanted || replaceable.length > 0;
+  if (needsVoter && promotable !== undefined) return [...voters, promotable];
   return undefined;
 }
 
@@ -81,57 +81,59 @@
  * with few voters, then those that hold most. A spare that nobody needs is not
  * fed: each copy has its price, and many at once would make all of them late.
  *
- * @param situation What the leader knows.
+ * @param input What the leader knows.
  * @returns Their ids.
  */
 export function chooseLearners(
-  situation: VoterSituation,
+  input: VoterPlanInput,
 ): readonly string[] {
-  const { voters, wanted, retiring, candidates, self } = situation;
+  const { voters, wanted, retiring, candidates, self } = input;
   const others = voters.filter((id) => id !== self);
-  const doubtful = others.filter((id) =>
-    retiring.includes(id) || isEmptied(id, situation) ||
-    isDead(id, { ...situation, deadMs: DOUBT_MS })
+  const replaceable = others.filter((id) =>
+    retiring.includes(id) || isUnadmitted(id, input) ||
+    hasFailed(id, { ...input, failureTimeoutMs: SUSPECT_MS })
   );
   const missing = Math.max(0, wanted - voters.length);
-  const leaving = doubtful.length + (retiring.includes(self) ? 1 : 0);
-  const lasting = voters.filter((id) => !doubtful.includes(id));
+  const replacements = replaceable.length + (retiring.includes(self) ? 1 : 0);
+  const retained = voters.filter((id) => !replaceable.includes(id));
   return candidates.filter((id) => !voters.includes(id))
-    .map((id) => describeSpare(id, lasting, situation))
-    .toSorted(compareSpares)
-    .slice(0, missing + leaving)
-    .map((spare) => spare.id);
+    .map((id) => describeCandidate(id, retained, input))
+    .toSorted(compareCandidates)
+    .slice(0, missing + replacements)
+    .map((candidate) => candidate.id);
 }
 
 /** What speaks for feeding a spare. */
-interface Spare {
+interface LearnerCandidate {
   readonly id: string;
   /** Whether it is known not to answer. */
   readonly isSilent: boolean;
   /** Voters in its failure domain that are not in doubt. */
-  readonly neighbours: number;
+  readonly domainVoters: number;
   readonly matchIndex: number;
 }
 
-function describeSpare(
+function describeCandidate(
   id: string,
-  lasting: readonly string[],
-  { followers, failureDomains }: VoterSituation,
-): Spare {
+  retained: readonly string[],
+  { followers, failureDomains }: VoterPlanInput,
+): LearnerCandidate {
   const follower = followers.find((item) => item.id === id);
   const domain = failureDomains.get(id);
   return {
     id,
-    isSilent: follower !== undefined && follower.silentMs > RESPONSIVE_MS,
-    neighbours: lasting.filter((other) => failureDomains.get(other) === domain)
-      .length,
+    isSilent: follower !== undefined &&
+      follower.silentMs > MAX_LEARNER_SILENCE_MS,
+    domainVoters:
+      retained.filter((other) => failureDomains.get(other) === domain)
+        .length,
     matchIndex: follower?.matchIndex ?? 0,
   };
 }
 
-function compareSpares(a: Spare, b: Spare): number {
+function compareCandidates(a: LearnerCandidate, b: LearnerCandidate): number {
   return Number(a.isSilent) - Number(b.isSilent) ||
-    a.neighbours - b.neighbours ||
+    a.domainVoters - b.domainVoters ||
     b.matchIndex - a.matchIndex ||
     (a.id < b.id ? -1 : 1);
 }
@@ -139,15 +141,17 @@
 /** How long a follower is silent; a leader hears nothing before it leads. */
 function getSilenceMs(
   follower: consensus.FollowerStatus,
-  situation: VoterSituation,
+  input: VoterPlanInput,
 ): number {
-  return Math.min(follower.silentMs, situation.reignMs);
+  return Math.min(follower.silentMs, input.leadershipMs);
 }
 
-function isDead(id: string, situation: VoterSituation): boolean {
-  const follower = situation.followers.find((item) => item.id === id);
-  if (follower === undefined) return situation.reignMs > situation.deadMs;
-  return getSilenceMs(follower, situation) > situation.deadMs;
+function hasFailed(id: string, input: VoterPlanInput): boolean {
+  const follower = input.followers.find((item) => item.id === id);
+  if (follower === undefined) {
+    return input.leadershipMs > input.failureTimeoutMs;
+  }
+  return getSilenceMs(follower, input) > input.failureTimeoutMs;
 }
 
 /**
@@ -155,8 +159,8 @@
  * whole one, it stayed in the set in the place of a whole one that was silent for
  * 20 ms longer; one disk more then left one voter of three that counts.
  */
-function isEmptied(id: string, situation: VoterSituation): boolean {
-  const follower = situation.followers.find((item) => item.id === id);
+function isUnadmitted(id: string, input: VoterPlanInput): boolean {
+  const follower = input.followers.find((item) => item.id === id);
   return follower !== undefined && Number.isFinite(follower.silentMs) &&
     !follower.isAdmitted;
 }
@@ -167,26 +171,27 @@
  * the others' and commands came (50 a second, 20 ms a sync against 1 ms: in none of
  * 28 s), and a voter that was gone for good stayed.
  */
-function findFresh(situation: VoterSituation): string | undefined {
-  const { candidates, voters, followers, commitIndex } = situation;
+function findPromotable(input: VoterPlanInput): string | undefined {
+  const { candidates, voters, followers, commitIndex } = input;
   return candidates.find((id) => {
     if (voters.includes(id)) return false;
     const follower = followers.find((item) => item.id === id);
     return follower !== undefined && follower.isAdmitted &&
-      commitIndex - follower.matchIndex <= consensus.NEAR_ENTRIES &&
-      !isDead(id, situation);
+      commitIndex - follower.matchIndex <=
+        consensus.MAX_CAUGHT_UP_LAG_ENTRIES &&
+      !hasFailed(id, input);
   });
 }
 
-function findQuietest(
-  situation: VoterSituation,
+function findMostSilent(
+  input: VoterPlanInput,
   others: readonly string[],
 ): string | undefined {
-  return situation.followers.filter((item) => others.includes(item.id))
+  return input.followers.filter((item) => others.includes(item.id))
     .toSorted((a, b) => b.silentMs - a.silentMs)[0]?.id;
 }
 
-function dropVoter(
+function removeVoter(
   voters: readonly string[],
   removed: string,
 ): readonly string[] {
--- a/src/replica_group/plan_voters_test.ts
+++ b/src/replica_group/plan_voters_test.ts
@@ -1,35 +1,35 @@
 import * as chai from "chai";
 import * as consensus from "../consensus/mod.ts";
-import * as foundingDesks from "./founding_desk.ts";
+import * as bootstrapServices from "./bootstrap_service.ts";
 import * as planVoters from "./plan_voters.ts";
 
 function createFollower(id: string, silentMs = 10, matchIndex = 100) {
   return { id, matchIndex, silentMs, isAdmitted: true };
 }
 
-const SITUATION: planVoters.VoterSituation = {
+const INPUT: planVoters.VoterPlanInput = {
   self: "a",
   voters: ["a", "b", "c"],
   wanted: 3,
   commitIndex: 100,
-  reignMs: 60_000,
+  leadershipMs: 60_000,
   followers: [createFollower("b"), createFollower("c"), createFollower("d")],
   candidates: ["a", "b", "c", "d"],
   failureDomains: new Map([..."abcdefg"].map((id) => [id, `of ${id}`])),
   retiring: [],
-  deadMs: 3_000,
+  failureTimeoutMs: 3_000,
 };
 
 function plan(
-  changes: Partial<planVoters.VoterSituation>,
+  changes: Partial<planVoters.VoterPlanInput>,
 ): readonly string[] | undefined {
-  return planVoters.planVoters({ ...SITUATION, ...changes });
+  return planVoters.planVoters({ ...INPUT, ...changes });
 }
 
 describe("plan of voters", () => {
   it("changes nothing while all is well, and feeds no spare", () => {
     chai.expect(plan({})).to.equal(undefined);
-    chai.expect(planVoters.chooseLearners(SITUATION)).to.deep.equal([]);
+    chai.expect(planVoters.chooseLearners(INPUT)).to.deep.equal([]);
   });
 
   it("adds a spare for a silent voter first, and removes that one then", () => {
@@ -38,14 +38,16 @@
       createFollower("c"),
       createFollower("d"),
     ];
-    const added = plan({ followers });
-    chai.expect(added).to.deep.equal(["a", "b", "c", "d"]);
-    chai.expect(plan({ followers, voters: added ?? [] })).to.deep.equal([
-      "a",
-      "c",
-      "d",
-    ]);
-    chai.expect(planVoters.chooseLearners({ ...SITUATION, followers })).to.deep
+    const plannedVoters = plan({ followers });
+    chai.expect(plannedVoters).to.deep.equal(["a", "b", "c", "d"]);
+    chai.expect(plan({ followers, voters: plannedVoters ?? [] })).to.deep.equal(
+      [
+        "a",
+        "c",
+        "d",
+      ],
+    );
+    chai.expect(planVoters.chooseLearners({ ...INPUT, followers })).to.deep
       .equal(["d"]);
   });
 
@@ -58,13 +60,16 @@
       createFollower("f", 9_000, 90),
     ];
     const candidates = ["a", "b", "c", "d", "e", "f", "g"];
-    const situation = { ...SITUATION, followers, candidates };
-    chai.expect(planVoters.chooseLearners(situation)).to.deep.equal(["e"]);
-    const two = { ...situation, wanted: 4 };
-    chai.expect(planVoters.chooseLearners(two)).to.deep.equal(["e", "d"]);
+    const input = { ...INPUT, followers, candidates };
+    chai.expect(planVoters.chooseLearners(input)).to.deep.equal(["e"]);
+    const fourVoters = { ...input, wanted: 4 };
+    chai.expect(planVoters.chooseLearners(fourVoters)).to.deep.equal([
+      "e",
+      "d",
+    ]);
     // A spare that does not answer is fed only where no other is left.
-    const three = { ...situation, wanted: 5 };
-    chai.expect(planVoters.chooseLearners(three)).to.deep.equal([
+    const fiveVoters = { ...input, wanted: 5 };
+    chai.expect(planVoters.chooseLearners(fiveVoters)).to.deep.equal([
       "e",
       "d",
       "g",
@@ -87,7 +92,7 @@
     ]);
     const candidates = ["a", "b", "c", "d", "e"];
     chai.expect(planVoters.chooseLearners({
-      ...SITUATION,
+      ...INPUT,
       followers,
       failureDomains,
       candidates,
@@ -95,13 +100,17 @@
   });
 
   it("adds a spare that lacks only what is under way, and none that lacks more or is not admitted", () => {
-    const silent = createFollower("b", 4_000);
+    const failedVoter = createFollower("b", 4_000);
     const commitIndex = 1_000;
-    function planWith(spare: consensus.FollowerStatus) {
-      const followers = [silent, createFollower("c", 10, commitIndex), spare];
+    function planWith(candidate: consensus.FollowerStatus) {
+      const followers = [
+        failedVoter,
+        createFollower("c", 10, commitIndex),
+        candidate,
+      ];
       return plan({ commitIndex, followers });
     }
-    const nearIndex = commitIndex - consensus.NEAR_ENTRIES;
+    const nearIndex = commitIndex - consensus.MAX_CAUGHT_UP_LAG_ENTRIES;
     chai.expect(planWith(createFollower("d", 10, nearIndex))).to.deep.equal(
       ["a", "b", "c", "d"],
     );
@@ -125,21 +134,21 @@
   });
 
   it("wants an odd number, and never fewer than losses need", () => {
-    chai.expect(planVoters.countWanted(3, 9, 2)).to.equal(3);
-    chai.expect(planVoters.countWanted(3, 9, 4)).to.equal(3);
-    chai.expect(planVoters.countWanted(3, 9, 8)).to.equal(7);
-    chai.expect(planVoters.countWanted(3, 9, 20)).to.equal(9);
+    chai.expect(planVoters.countTargetVoters(3, 9, 2)).to.equal(3);
+    chai.expect(planVoters.countTargetVoters(3, 9, 4)).to.equal(3);
+    chai.expect(planVoters.countTargetVoters(3, 9, 8)).to.equal(7);
+    chai.expect(planVoters.countTargetVoters(3, 9, 20)).to.equal(9);
   });
 
   it("founds over as many failure domains as there are, with an odd number", () => {
-    const applicants = ["n1", "n2", "n3", "s1", "e1"].map((id) => ({
+    const requests = ["n1", "n2", "n3", "s1", "e1"].map((id) => ({
       group: "g",
       id,
       failureDomain: id[0] ?? "",
       wanted: 4,
       least: 3,
     }));
-    chai.expect(foundingDesks.chooseFounders(applicants)).to.deep.equal([
+    chai.expect(bootstrapServices.chooseInitialVoters(requests)).to.deep.equal([
       "e1",
       "n1",
       "s1",
--- a/src/replica_group/explained_loss_test.ts
+++ b/src/replica_group/quorum_loss_log_test.ts
@@ -16,7 +16,7 @@
 const POLL_MS = 20;
 const METHOD = "stores.consensus";
 
-type Handler = Parameters<rpc.MethodTable["add"]>[1];
+type Handler = Parameters<rpc.MethodRegistry["add"]>[1];
 
 /** A box with a replica, which keeps its log lines over restarts. */
 class StoreBox {
@@ -30,7 +30,7 @@
   }
 
   /** Lines of an event, in order. */
-  list(event: string): readonly string[] {
+  listLines(event: string): readonly string[] {
     return this.lines.filter((line) => line.includes(` event=${event} `));
   }
 }
@@ -53,7 +53,7 @@
 
   function getPeer(id: string): rpc.Peer {
     return {
-      tell: (method, params) => {
+      notify: (method, params) => {
         const handle = getBox(id).handlers.get(method);
         setImmediate(() => handle?.(params as never));
       },
@@ -70,14 +70,14 @@
       failureDomain: id,
       dataFolder: box.folder,
       isFirstStart: false,
-      wanted: IDS.length,
-      least: IDS.length,
+      maxVoters: IDS.length,
+      minVoters: IDS.length,
       snapshotEntries: 4_096,
       seeds: [],
       clock,
       log: new logs.Log(id, "info", (line) => box.lines.push(line)),
       metrics: new metricTypes.FleetMetrics(),
-      machine: { apply: () => 0, save: () => [], restore: () => {} },
+      stateMachine: { apply: () => 0, save: () => [], restore: () => {} },
       directory: {
         listAlive: () => [],
         listAll: () => [],
@@ -122,29 +122,31 @@
     for (;;) {
       const leader = await waitForLeader();
       const term = leader.group?.getLeadTerm();
-      const [emptied] = [...boxes.values()].filter((box) => box !== leader);
-      chai.assert(emptied !== undefined);
-      const before = emptied.list("replica.admitted").length;
-      await stopBox(emptied.id);
-      fs.rmSync(emptied.folder, { recursive: true, force: true });
-      await startBox(emptied.id);
+      const [wiped] = [...boxes.values()].filter((box) => box !== leader);
+      chai.assert(wiped !== undefined);
+      const previousCount = wiped.listLines("replica.admitted").length;
+      await stopBox(wiped.id);
+      fs.rmSync(wiped.folder, { recursive: true, force: true });
+      await startBox(wiped.id);
       const admitted = await waitFor(() =>
-        emptied.list("replica.admitted")[before]
+        wiped.listLines("replica.admitted")[previousCount]
       );
       const incarnation = /incarnation=(\d+)/.exec(admitted)?.[1];
-      const fed = `event=replica.followerAdmitted box=${leader.id} ` +
-        `group=stores id=${emptied.id} incarnation=${incarnation} term=${term}`;
-      const isTold = await waitFor(() => {
-        if (leader.lines.some((line) => line.includes(fed))) return true;
+      const admittedLine = `event=replica.followerAdmitted box=${leader.id} ` +
+        `group=stores id=${wiped.id} incarnation=${incarnation} term=${term}`;
+      const isLogged = await waitFor(() => {
+        if (leader.lines.some((line) => line.includes(admittedLine))) {
+          return true;
+        }
         return leader.group?.getLeadTerm() === term ? undefined : false;
       });
-      if (isTold) return emptied;
+      if (isLogged) return wiped;
     }
   }
 
   it("tells of an emptied voter until it counts, and then why none leads", async () => {
     for (const id of IDS) {
-      await consensus.makeDataFolder({
+      await consensus.initializeDataFolder({
         folder: getBox(id).folder,
         owner: id,
         wallMs: 1,
@@ -153,28 +155,30 @@
       await startBox(id);
     }
     const leader = await waitForLeader();
-    for (let at = 0; at < COMMANDS; at += 1) {
-      await leader.group?.propose(`command ${at}`, 5_000);
+    for (let index = 0; index < COMMANDS; index += 1) {
+      await leader.group?.propose(`command ${index}`, 5_000);
     }
-    const emptied = await wipeFollower();
-    chai.expect(emptied.list("replica.opened").at(-1)).to.match(
+    const wiped = await wipeFollower();
+    chai.expect(wiped.listLines("replica.opened").at(-1)).to.match(
       / isAdmitted=false .* voters="" setIndex=0 .* lastIndex=0 /,
     );
 
-    for (const id of IDS) if (id !== emptied.id) await stopBox(id);
-    const before = emptied.list("replica.leaderless").length;
-    const alone = await waitFor(() =>
-      emptied.list("replica.leaderless")[before]
+    for (const id of IDS) if (id !== wiped.id) await stopBox(id);
+    const previousCount = wiped.listLines("replica.leaderless").length;
+    const leaderlessLine = await waitFor(() =>
+      wiped.listLines("replica.leaderless")[previousCount]
     );
-    chai.expect(alone).to.match(
+    chai.expect(leaderlessLine).to.match(
       / level=warn .* isAdmitted=true .* voters=a,b,c setIndex=1 isSetCommitted=true /,
     );
-    chai.expect(alone).to.match(/ asked=\S+ writingMs=/);
+    chai.expect(leaderlessLine).to.match(/ asked=\S+ writingMs=/);
     await waitFor(() => {
-      const answer = emptied.group?.createNotLeader();
+      const answer = wiped.group?.createNotLeader();
       if (answer === undefined) return undefined;
-      const shown = notLeaders.describeNotLeader(answer);
-      return /^preCandidate:term\d+:since\d+ms:last\d+:voters3$/.exec(shown) ??
+      const description = notLeaders.describeNotLeader(answer);
+      return /^preCandidate:term\d+:since\d+ms:last\d+:voters3$/.exec(
+        description,
+      ) ??
         undefined;
     });
   });
--- a/src/replica_group/read_barrier.ts
+++ b/src/replica_group/read_barrier.ts
@@ -22,11 +22,11 @@
   /** Woken when the replica's state changed. */
   readonly changed: csp.Signal;
   readonly peers: fleet.Peers;
-  readonly server: rpc.MethodTable;
+  readonly server: rpc.MethodRegistry;
 }
 
 /** How far the leader's state is. */
-type IndexReply =
+type ReadIndexReply =
   | notLeaders.NotLeader
   | { readonly kind: "index"; readonly index: number };
 
@@ -40,7 +40,7 @@
 
   constructor(options: ReadBarrierOptions) {
     this.#options = options;
-    options.server.add(this.#getMethod(), () => this.#answer());
+    options.server.add(this.#getMethod(), () => this.#handleRequest());
   }
 
   /**
@@ -52,13 +52,13 @@
    */
   async awaitLeaderState(timeoutMs: number): Promise<boolean> {
     const { clock, replica, changed } = this.#options;
-    const endMs = clock.getMonotonicMs() + timeoutMs;
-    const index = await this.#askIndex(timeoutMs);
+    const deadlineMs = clock.getMonotonicMs() + timeoutMs;
+    const index = await this.#fetchReadIndex(timeoutMs);
     if (index === undefined) return false;
     while (replica.getAppliedIndex() < index) {
-      const leftMs = endMs - clock.getMonotonicMs();
-      if (leftMs <= 0) return false;
-      await changed.wait(clock, leftMs);
+      const remainingMs = deadlineMs - clock.getMonotonicMs();
+      if (remainingMs <= 0) return false;
+      await changed.wait(clock, remainingMs);
     }
     return true;
   }
@@ -67,19 +67,19 @@
     return `${this.#options.name}.readIndex`;
   }
 
-  #answer(): IndexReply {
+  #handleRequest(): ReadIndexReply {
     const { replica } = this.#options;
     return replica.hasAuthority()
       ? { kind: "index", index: replica.getAppliedIndex() }
       : { kind: "notLeader", leader: replica.getLeader() };
   }
 
-  async #askIndex(timeoutMs: number): Promise<number | undefined> {
+  async #fetchReadIndex(timeoutMs: number): Promise<number | undefined> {
     const { replica, peers } = this.#options;
     const leader = replica.getLeader();
     if (leader === undefined) return undefined;
     try {
-      const reply = await peers.get(leader).call<IndexReply>(
+      const reply = await peers.get(leader).call<ReadIndexReply>(
         this.#getMethod(),
         {},
         timeoutMs,
--- a/src/replica_group/read_barrier_test.ts
+++ b/src/replica_group/read_barrier_test.ts
@@ -12,7 +12,7 @@
 class FakeReplica implements readBarriers.BarrierReplica {
   isLeading = false;
   leader: string | undefined = LEADER;
-  applied = 0;
+  appliedIndex = 0;
 
   hasAuthority(): boolean {
     return this.isLeading;
@@ -23,7 +23,7 @@
   }
 
   getAppliedIndex(): number {
-    return this.applied;
+    return this.appliedIndex;
   }
 }
 
@@ -49,15 +49,15 @@
   function createBarrier(
     replica: FakeReplica,
     signal: csp.Signal,
-    own: Map<string, () => unknown>,
-    others: ReadonlyMap<string, () => unknown> = own,
+    ownHandlers: Map<string, () => unknown>,
+    peerHandlers: ReadonlyMap<string, () => unknown> = ownHandlers,
   ): readBarriers.ReadBarrier {
     const peer: rpc.Peer = {
-      tell: () => {},
+      notify: () => {},
       call: async <T>(method: string) => {
         await Promise.resolve();
         if (isLeaderDown) throw new Error("the connection closed");
-        return others.get(method)?.() as T;
+        return peerHandlers.get(method)?.() as T;
       },
     };
     return new readBarriers.ReadBarrier({
@@ -66,7 +66,9 @@
       replica,
       changed: signal,
       peers: { get: () => peer },
-      server: { add: (method, handler) => own.set(method, handler as never) },
+      server: {
+        add: (method, handler) => ownHandlers.set(method, handler as never),
+      },
     });
   }
 
@@ -75,35 +77,35 @@
   }
 
   it("passes at once where the replica holds what its leader holds", async () => {
-    leader.applied = 7;
-    follower.applied = 7;
+    leader.appliedIndex = 7;
+    follower.appliedIndex = 7;
     chai.expect(await barrier.awaitLeaderState(TIMEOUT_MS)).to.equal(true);
   });
 
   it("waits for what was acknowledged before the read, and for no more", async () => {
-    leader.applied = 7;
-    follower.applied = 5;
-    let passed: boolean | undefined;
+    leader.appliedIndex = 7;
+    follower.appliedIndex = 5;
+    let hasPassed: boolean | undefined;
     const passing = barrier.awaitLeaderState(TIMEOUT_MS).then((is) =>
-      passed = is
+      hasPassed = is
     );
     await settle();
-    leader.applied = 9;
-    follower.applied = 6;
+    leader.appliedIndex = 9;
+    follower.appliedIndex = 6;
     changed.notify();
     await settle();
-    chai.expect(passed).to.equal(undefined);
-    follower.applied = 7;
+    chai.expect(hasPassed).to.equal(undefined);
+    follower.appliedIndex = 7;
     changed.notify();
     await passing;
-    chai.expect(passed).to.equal(true);
+    chai.expect(hasPassed).to.equal(true);
   });
 
   it("does not pass where the replica does not catch up in time", async () => {
-    leader.applied = 7;
+    leader.appliedIndex = 7;
     const passing = barrier.awaitLeaderState(TIMEOUT_MS);
     await settle();
-    clock.extendBy(TIMEOUT_MS);
+    clock.advance(TIMEOUT_MS);
     chai.expect(await passing).to.equal(false);
   });
 
--- a/src/replica_group/found_schedules_fixture_test.ts
+++ b/src/replica_group/regression_schedules_fixture_test.ts
@@ -1,7 +1,7 @@
 import type * as faultSchedules from "./fault_schedule_test.ts";
 
 /** A schedule that a random search found, as short as it could be made. */
-export interface FoundSchedule {
+export interface RegressionSchedule {
   readonly name: string;
   readonly schedule: faultSchedules.Schedule;
 }
@@ -10,7 +10,7 @@
  * Where the while after a return counts from the time that a process runs. The
  * first one never heals while its leader leads.
  */
-export const FOUND: readonly FoundSchedule[] = [
+export const SCHEDULES: readonly RegressionSchedule[] = [
   {
     name:
       "a spare loses its disk while it takes a snapshot, then a voter is gone",
--- a/src/replica_group/found_schedules_test.ts
+++ b/src/replica_group/regression_schedules_test.ts
@@ -1,7 +1,7 @@
 import * as chai from "chai";
-import * as fixtures from "./found_schedules_fixture_test.ts";
-import * as strictFixtures from "./found_strict_schedules_fixture_test.ts";
-import * as scheduleRuns from "./schedule_run_test.ts";
+import * as fixtures from "./regression_schedules_fixture_test.ts";
+import * as strictFixtures from "./strict_regression_schedules_fixture_test.ts";
+import * as scheduleRunners from "./schedule_runner_test.ts";
 
 /*
  * Schedules that left the stores with a disk whose loss no leader would have
@@ -14,24 +14,24 @@
  */
 
 async function listViolations(
-  found: readonly fixtures.FoundSchedule[],
+  schedules: readonly fixtures.RegressionSchedule[],
 ): Promise<readonly string[]> {
-  const all: string[] = [];
-  for (const { name, schedule } of found) {
-    const { violation } = await scheduleRuns.runSchedule(schedule);
-    if (violation !== undefined) all.push(`${name}: ${violation}`);
+  const violations: string[] = [];
+  for (const { name, schedule } of schedules) {
+    const { violation } = await scheduleRunners.runSchedule(schedule);
+    if (violation !== undefined) violations.push(`${name}: ${violation}`);
   }
-  return all;
+  return violations;
 }
 
 describe("schedules that left stores one disk from the end", () => {
   it("are borne once each box has run for 5.1 s", async () => {
-    const violations = await listViolations(fixtures.FOUND);
+    const violations = await listViolations(fixtures.SCHEDULES);
     chai.expect(violations, violations.join("\n")).to.deep.equal([]);
   });
 
   it("are borne 5.1 s after the launch of each process", async () => {
-    const violations = await listViolations(strictFixtures.FOUND_STRICT);
+    const violations = await listViolations(strictFixtures.STRICT_SCHEDULES);
     chai.expect(violations, violations.join("\n")).to.deep.equal([]);
   });
 });
--- a/src/replica_group/replica_group.ts
+++ b/src/replica_group/replica_group.ts
@@ -7,9 +7,9 @@
 import * as results from "../results/mod.ts";
 import * as rpc from "../rpc/mod.ts";
 import * as storage from "../storage/mod.ts";
-import * as createSeed from "./_create_seed.ts";
+import * as createElectionSeed from "./_create_election_seed.ts";
 import * as describeNotice from "./_describe_notice.ts";
-import * as founders from "./_founder.ts";
+import * as bootstrapClients from "./_bootstrap_client.ts";
 import * as notLeaders from "./not_leader.ts";
 import * as planVoters from "./plan_voters.ts";
 
@@ -18,14 +18,14 @@
  * the slowest sync (60 ms on a slow disk) and pause (100 ms without processor)
  * that were seen.
  */
-const ELECTION_MS = 450;
-const HEARTBEAT_MS = 90;
+const ELECTION_TIMEOUT_MS = 450;
+const HEARTBEAT_INTERVAL_MS = 90;
 /** Entries a message; a submission with its bodies takes some 300 KB. */
 const MAX_BATCH_ENTRIES = 24;
 /** Entries a message from which it is bulk: a replica is catching up. */
-const BULK_ENTRIES = 8;
+const MIN_BULK_ENTRIES = 8;
 /** Between two looks at the voters, in ms; a replacement takes two of them. */
-const PLAN_MS = 100;
+const PLAN_INTERVAL_MS = 100;
 /**
  * Silence after which a voter is replaced by a spare, in ms. A voter that is gone
  * for good must be replaced before the next one may be lost, some 5 s after its
@@ -33,11 +33,11 @@
  * none counted in the first 3 s of a leader, the set was whole 6.4 s after that
  * start (fake clock).
  */
-const DEAD_MS = 2_000;
+const VOTER_FAILURE_TIMEOUT_MS = 2_000;
 /** Between two tries to open a data folder on a full disk, in ms. */
-const DISK_FULL_MS = 500;
-const RESIGN_TRIES = 20;
-const RESIGN_PAUSE_MS = 20;
+const DISK_FULL_RETRY_MS = 500;
+const MAX_RESIGN_ATTEMPTS = 20;
+const RESIGN_RETRY_MS = 20;
 
 /** What a replica group needs. */
 export interface ReplicaGroupOptions {
@@ -48,18 +48,18 @@
   readonly dataFolder: string;
   readonly isFirstStart: boolean;
   /** Voters that the group should have, if there are so many boxes. */
-  readonly wanted: number;
+  readonly maxVoters: number;
   /** Boxes that must apply before the group is founded in a hurry. */
-  readonly least: number;
+  readonly minVoters: number;
   readonly snapshotEntries: number;
   readonly seeds: readonly string[];
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
   readonly metrics: metricTypes.FleetMetrics;
-  readonly machine: consensus.Machine;
+  readonly stateMachine: consensus.StateMachine;
   readonly directory: fleet.BoxDirectory;
   readonly peers: fleet.Peers;
-  readonly server: rpc.MethodTable;
+  readonly server: rpc.MethodRegistry;
   /** Whether a box may keep a replica of this group. */
   readonly canVote: (box: fleet.BoxRecord) => boolean;
   /** Ids of boxes that are to be emptied. */
@@ -85,14 +85,14 @@
     consensus.DriverMessage,
     ConsensusEnvelope
   >();
-  readonly #founder: founders.Founder;
+  readonly #bootstrapClient: bootstrapClients.BootstrapClient;
   #isStopped = false;
   /** Term that this replica led last, and since when, in monotonic ms. */
-  #reign = { term: 0, sinceMs: 0 };
+  #leadership = { term: 0, sinceMs: 0 };
 
   constructor(options: ReplicaGroupOptions) {
     this.#options = options;
-    this.#founder = new founders.Founder(options);
+    this.#bootstrapClient = new bootstrapClients.BootstrapClient(options);
     options.server.add(
       this.#getMethod(),
       (envelope: ConsensusEnvelope) =>
@@ -105,30 +105,32 @@
     const { isFirstStart, dataFolder } = this.#options;
     fs.mkdirSync(dataFolder, { recursive: true });
     const isEmpty = fs.readdirSync(dataFolder).length === 0;
-    if (isFirstStart && isEmpty) await this.#founder.found();
+    if (isFirstStart && isEmpty) {
+      await this.#bootstrapClient.initializeDataFolder();
+    }
     if (this.#isStopped) return;
-    this.#driver = await this.#openWhenPossible();
-    this.#runPlan();
+    this.#driver = await this.#openWithRetry();
+    this.#runPlanner();
   }
 
   async stop(): Promise<void> {
     this.#isStopped = true;
-    this.#founder.stop();
+    this.#bootstrapClient.stop();
     await this.#driver?.stop();
   }
 
   /** Hands leadership over before a planned stop, within a bounded time. */
   async resign(): Promise<void> {
-    for (let turn = 0; turn < RESIGN_TRIES; turn += 1) {
+    for (let attempt = 0; attempt < MAX_RESIGN_ATTEMPTS; attempt += 1) {
       if (this.#driver?.getStatus().role !== "leader") return;
-      this.#driver.transfer();
-      await clocks.sleep(this.#options.clock, RESIGN_PAUSE_MS);
+      this.#driver.transferLeadership();
+      await clocks.sleep(this.#options.clock, RESIGN_RETRY_MS);
     }
   }
 
   /** Hands leadership to a voter, if it has every entry by now. */
   transferTo(to: string): void {
-    this.#driver?.transfer(to);
+    this.#driver?.transferLeadership(to);
   }
 
   /** Whether this replica may act as leader now. */
@@ -140,8 +142,10 @@
   getReignMs(): number {
     const nowMs = this.#options.clock.getMonotonicMs();
     const term = this.getTerm();
-    if (this.#reign.term !== term) this.#reign = { term, sinceMs: nowMs };
-    return nowMs - this.#reign.sinceMs;
+    if (this.#leadership.term !== term) {
+      this.#leadership = { term, sinceMs: nowMs };
+    }
+    return nowMs - this.#leadership.sinceMs;
   }
 
   getTerm(): number {
@@ -202,7 +206,7 @@
   }
 
   /** Opens the data folder, again and again while its disk is full. */
-  async #openWhenPossible(): Promise<consensus.ReplicaDriver> {
+  async #openWithRetry(): Promise<consensus.ReplicaDriver> {
     const { clock, log, name } = this.#options;
     for (;;) {
       try {
@@ -211,28 +215,35 @@
         if (!storage.isDiskFull(error)) throw error;
       }
       log.write("warn", "group.diskFull", { group: name });
-      await clocks.sleep(clock, DISK_FULL_MS);
+      await clocks.sleep(clock, DISK_FULL_RETRY_MS);
     }
   }
 
   #openDriver(): Promise<consensus.ReplicaDriver> {
-    const { id, clock, dataFolder, machine, snapshotEntries, onFatal, peers } =
-      this.#options;
+    const {
+      id,
+      clock,
+      dataFolder,
+      stateMachine: stateMachine,
+      snapshotEntries,
+      onFatal,
+      peers,
+    } = this.#options;
     return consensus.ReplicaDriver.open({
       config: {
         id,
         voters: [],
-        electionTimeoutMs: ELECTION_MS,
-        heartbeatMs: HEARTBEAT_MS,
+        electionTimeoutMs: ELECTION_TIMEOUT_MS,
+        heartbeatMs: HEARTBEAT_INTERVAL_MS,
         maxBatchEntries: MAX_BATCH_ENTRIES,
-        seed: createSeed.createSeed(id, clock.getWallMs()),
+        seed: createElectionSeed.createElectionSeed(id, clock.getWallMs()),
       },
       clock,
       dataFolder,
-      machine,
+      stateMachine: stateMachine,
       snapshotEntries,
       send: (to, message) =>
-        peers.get(to).tell(this.#getMethod(), this.#wrap(message)),
+        peers.get(to).notify(this.#getMethod(), this.#wrapMessage(message)),
       onNotice: (notice) => this.#writeNotice(notice),
       onFatal,
     });
@@ -243,51 +254,59 @@
     if (notice.kind === "voteRefused") {
       metrics.replicas.countRefusedVote(name, notice.reason);
     }
-    const level = describeNotice.chooseLevel(notice);
+    const level = describeNotice.chooseLogLevel(notice);
     log.write(level, `replica.${notice.kind}`, {
       group: name,
       ...describeNotice.describeNotice(notice),
     });
   }
 
-  #wrap(message: consensus.DriverMessage): ConsensusEnvelope {
-    const known = this.#envelopes.get(message);
-    if (known !== undefined) return known;
+  #wrapMessage(message: consensus.DriverMessage): ConsensusEnvelope {
+    const cached = this.#envelopes.get(message);
+    if (cached !== undefined) return cached;
     const envelope: ConsensusEnvelope = { from: this.#options.id, message };
     this.#envelopes.set(message, envelope);
-    if (isBulk(message)) rpc.markPlain(envelope);
+    if (isBulk(message)) rpc.disableCompression(envelope);
     return envelope;
   }
 
-  #runPlan(): void {
+  #runPlanner(): void {
     if (this.#isStopped) return;
-    this.#plan();
-    this.#measure();
-    this.#options.clock.startTimer(PLAN_MS, () => this.#runPlan());
+    this.#updateVoters();
+    this.#updateMetrics();
+    this.#options.clock.startTimer(PLAN_INTERVAL_MS, () => this.#runPlanner());
   }
 
-  #measure(): void {
+  #updateMetrics(): void {
     const { metrics, name } = this.#options;
     const health = this.#driver?.getHealth();
-    if (health !== undefined) metrics.replicas.setFigures(name, health);
+    if (health !== undefined) metrics.replicas.setStatistics(name, health);
   }
 
-  #plan(): void {
+  #updateVoters(): void {
     const driver = this.#driver;
     if (driver === undefined || !driver.hasAuthority()) return;
-    const situation = this.#describeVoters(driver);
-    driver.setLearners(planVoters.chooseLearners(situation));
-    const planned = planVoters.planVoters(situation);
+    const input = this.#createPlanInput(driver);
+    driver.setLearners(planVoters.chooseLearners(input));
+    const planned = planVoters.planVoters(input);
     if (planned !== undefined) return this.#changeVoters(driver, planned);
-    const { retiring, self, voters } = situation;
-    if (retiring.includes(self) && voters.length > 1) driver.transfer();
+    const { retiring, self, voters } = input;
+    if (retiring.includes(self) && voters.length > 1) {
+      driver.transferLeadership();
+    }
   }
 
-  #describeVoters(
+  #createPlanInput(
     driver: consensus.ReplicaDriver,
-  ): planVoters.VoterSituation {
-    const { id, wanted, least, directory, canVote, listRetiring } =
-      this.#options;
+  ): planVoters.VoterPlanInput {
+    const {
+      id,
+      maxVoters: maxVoters,
+      minVoters: minVoters,
+      directory,
+      canVote,
+      listRetiring,
+    } = this.#options;
     const retiring = listRetiring();
     const candidates = directory.listAlive()
       .filter((box) =>
@@ -298,16 +317,20 @@
     return {
       self: id,
       voters: driver.listVoters(),
-      wanted: planVoters.countWanted(least, wanted, candidates.length),
+      wanted: planVoters.countTargetVoters(
+        minVoters,
+        maxVoters,
+        candidates.length,
+      ),
       commitIndex,
-      reignMs: this.getReignMs(),
+      leadershipMs: this.getReignMs(),
       followers,
       candidates,
       failureDomains: new Map(
         directory.listAll().map((box) => [box.id, box.failureDomain]),
       ),
       retiring,
-      deadMs: DEAD_MS,
+      failureTimeoutMs: VOTER_FAILURE_TIMEOUT_MS,
     };
   }
 
@@ -329,5 +352,5 @@
 function isBulk(message: consensus.DriverMessage): boolean {
   if (message.kind === "snapshotPart") return true;
   return message.kind === "appendRequest" &&
-    message.entries.length >= BULK_ENTRIES;
+    message.entries.length >= MIN_BULK_ENTRIES;
 }
--- a/src/replica_group/retire_answer_test.ts
+++ b/src/replica_group/retire_answer_test.ts
@@ -1,7 +1,7 @@
 import * as chai from "chai";
 import * as electionChecks from "./election_check_test.ts";
 import * as simulatedCases from "./simulated_cases_test.ts";
-import type * as simulatedStores from "./simulated_stores_test.ts";
+import type * as simulatedClusters from "./simulated_cluster_test.ts";
 
 /*
  * A box is told as emptied by the newest set in the leader's log, as soon as the
@@ -11,40 +11,40 @@
  * left, and no store leads again.
  */
 
-const START_MS = 300;
-const LONG_MS = 60_000;
+const START_DELAY_MS = 300;
+const TIMEOUT_MS = 60_000;
 
 describe("the answer that a box is emptied", () => {
-  let stores: simulatedStores.SimulatedStores;
+  let cluster: simulatedClusters.SimulatedCluster;
 
-  afterEach(() => stores.close());
+  afterEach(() => cluster.close());
 
   it("comes once the box is needed no more, whatever is lost next", async () => {
-    stores = await simulatedCases.createStores({
+    cluster = await simulatedCases.createCluster({
       syncMs: 10,
       entries: 100,
       commandsPerS: 0,
     });
-    const { leader, followers } = simulatedCases.listRoles(stores);
-    const [retired = "", next = ""] = followers;
+    const { leader, followers } = simulatedCases.listRoles(cluster);
+    const [retiring = "", wiped = ""] = followers;
     await Promise.all([
-      stores.get(leader).getGroup()?.propose(
-        { kind: "retireBox", box: retired },
-        LONG_MS,
+      cluster.get(leader).getGroup()?.propose(
+        { kind: "retireBox", box: retiring },
+        TIMEOUT_MS,
       ),
-      stores.run(1_000),
+      cluster.run(1_000),
     ]);
-    const isTold = await stores.run(
-      LONG_MS,
-      () => simulatedCases.isEmptied(stores, retired),
+    const isRetired = await cluster.run(
+      TIMEOUT_MS,
+      () => simulatedCases.isRetired(cluster, retiring),
     );
-    chai.expect(isTold, "told as emptied").to.equal(true);
-    stores.cutPower(stores.listIds());
-    stores.removeBox(retired);
-    stores.get(next).disk.wipe();
-    const held = electionChecks.describeDisks(stores.getDisks());
-    stores.start(stores.listIds(), START_MS);
-    await stores.run(LONG_MS, () => stores.findLeader() !== undefined);
-    chai.expect(stores.findLeader(), held).to.not.equal(undefined);
+    chai.expect(isRetired, "told as emptied").to.equal(true);
+    cluster.cutPower(cluster.listIds());
+    cluster.removeBox(retiring);
+    cluster.get(wiped).disk.wipe();
+    const summary = electionChecks.describeDisks(cluster.getDisks());
+    cluster.start(cluster.listIds(), START_DELAY_MS);
+    await cluster.run(TIMEOUT_MS, () => cluster.findLeader() !== undefined);
+    chai.expect(cluster.findLeader(), summary).to.not.equal(undefined);
   });
 });
--- a/src/replica_group/retire_leader_test.ts
+++ b/src/replica_group/retire_leader_test.ts
@@ -1,7 +1,7 @@
 import * as chai from "chai";
 import * as electionChecks from "./election_check_test.ts";
 import * as simulatedCases from "./simulated_cases_test.ts";
-import type * as simulatedStores from "./simulated_stores_test.ts";
+import type * as simulatedClusters from "./simulated_cluster_test.ts";
 
 /*
  * A leader that is to be emptied plans no voters and hands its lead over to a
@@ -11,52 +11,57 @@
  * meanwhile stays in the set, though a spare stands by.
  */
 
-const RETIRE_MS = 20_000;
+const RETIRE_TIMEOUT_MS = 20_000;
 
 describe("stores whose leader is to be emptied under load", () => {
-  let stores: simulatedStores.SimulatedStores;
+  let cluster: simulatedClusters.SimulatedCluster;
 
-  afterEach(() => stores.close());
+  afterEach(() => cluster.close());
 
   for (const syncMs of [1, 10, 40]) {
     it(`tell it as emptied within 20 s, ${syncMs} ms a sync`, async () => {
-      stores = await simulatedCases.createStores({
+      cluster = await simulatedCases.createCluster({
         syncMs,
         entries: 200,
         commandsPerS: 200,
       });
-      const { leader } = simulatedCases.listRoles(stores);
-      void stores.get(leader).getGroup()?.propose(
+      const { leader } = simulatedCases.listRoles(cluster);
+      void cluster.get(leader).getGroup()?.propose(
         { kind: "retireBox", box: leader },
-        RETIRE_MS,
+        RETIRE_TIMEOUT_MS,
       );
-      await stores.run(
-        RETIRE_MS,
-        () => simulatedCases.isEmptied(stores, leader),
+      await cluster.run(
+        RETIRE_TIMEOUT_MS,
+        () => simulatedCases.isRetired(cluster, leader),
       );
-      chai.expect(simulatedCases.isEmptied(stores, leader), stores.findLeader())
+      chai.expect(
+        simulatedCases.isRetired(cluster, leader),
+        cluster.findLeader(),
+      )
         .to.equal(true);
     });
   }
 
   it("replace a voter that is gone meanwhile", async () => {
-    stores = await simulatedCases.createStores({
+    cluster = await simulatedCases.createCluster({
       syncMs: 40,
       entries: 200,
       commandsPerS: 200,
     });
-    const { leader, followers } = simulatedCases.listRoles(stores);
-    void stores.get(leader).getGroup()?.propose(
+    const { leader, followers } = simulatedCases.listRoles(cluster);
+    void cluster.get(leader).getGroup()?.propose(
       { kind: "retireBox", box: leader },
-      RETIRE_MS,
+      RETIRE_TIMEOUT_MS,
     );
-    await stores.run(simulatedCases.CATCH_UP_MS);
-    stores.removeBox(followers[0] ?? "");
-    stores.addBox("e");
-    stores.start(["e"], simulatedCases.SUCCESSOR_MS);
-    await stores.run(simulatedCases.SUCCESSOR_MS + simulatedCases.CATCH_UP_MS);
-    const held = electionChecks.describeDisks(stores.getDisks());
-    const fatal = electionChecks.findFatalLoss(stores.getDisks());
-    chai.expect(fatal, held).to.equal(undefined);
+    await cluster.run(simulatedCases.CATCH_UP_MS);
+    cluster.removeBox(followers[0] ?? "");
+    cluster.addBox("e");
+    cluster.start(["e"], simulatedCases.REPLACEMENT_DELAY_MS);
+    await cluster.run(
+      simulatedCases.REPLACEMENT_DELAY_MS + simulatedCases.CATCH_UP_MS,
+    );
+    const summary = electionChecks.describeDisks(cluster.getDisks());
+    const fatalLoss = electionChecks.findFatalLoss(cluster.getDisks());
+    chai.expect(fatalLoss, summary).to.equal(undefined);
   });
 });
--- a/src/replica_group/simulated_stores_test.ts
+++ b/src/replica_group/simulated_cluster_test.ts
@@ -13,10 +13,10 @@
 import * as simulatedStores from "./simulated_store_test.ts";
 
 /** What a deployment of stores is like. */
-export interface StoresOptions {
+export interface ClusterOptions {
   /** Ids of the boxes; the first ones, as many as are wanted, found the set. */
   readonly ids: readonly string[];
-  readonly wanted: number;
+  readonly maxVoters: number;
   readonly syncMs: number;
   /** Processor time for an entry that is sent or taken, in ms. */
   readonly entryMs: number;
@@ -28,7 +28,7 @@
 }
 
 /** A line of the log of a store. */
-export interface TraceLine {
+export interface LogRecord {
   readonly atMs: number;
   readonly id: string;
   readonly event: string;
@@ -38,55 +38,55 @@
 /** Way of a message, in ms, unless a test has it longer. */
 const LATENCY_MS = 1;
 /** Way of what boxes tell of themselves, through a relay, in ms. */
-const NEWS_MS = 200;
+const GOSSIP_LATENCY_MS = 200;
 /** Processor time for a message, in ms. */
-const MESSAGE_MS = 0.05;
-const COMMIT_MS = 900;
-const MS_A_SECOND = 1_000;
+const MESSAGE_COST_MS = 0.05;
+const COMMIT_TIMEOUT_MS = 900;
+const MS_PER_SECOND = 1_000;
 /** Time in which each process has its share of a processor once, in ms. */
-const TURN_MS = 100;
+const TIME_SLICE_MS = 100;
 /** Time by which the turns of two processes lie apart, in ms. */
-const TURN_SHIFT_MS = 31;
+const SLICE_OFFSET_MS = 31;
 const LOAD_SEED = 7;
 /** Turns of the event loop until all promises that can settle have settled. */
-const TURNS = 4;
+const EVENT_LOOP_TURNS = 4;
 
 /**
  * Stores with real replica groups on a fake clock, fake disks and a fake
  * network. Nothing but what a test does to it changes its course.
  */
-export class SimulatedStores {
+export class SimulatedCluster {
   readonly clock = new clocks.FakeClock(1_000_000);
-  readonly lines: TraceLine[] = [];
+  readonly logRecords: LogRecord[] = [];
   commandsPerS: number;
   entryMs: number;
   latencyMs = LATENCY_MS;
   /** Share of a processor that each process gets, in turns. */
   processorShare = 1;
-  readonly #options: StoresOptions;
+  readonly #options: ClusterOptions;
   readonly #stores = new Map<string, simulatedStores.SimulatedStore>();
-  readonly #cuts = new Set<string>();
+  readonly #cutLinks = new Set<string>();
   readonly #folder: string;
-  readonly #openFile = storage.DurableLog.open;
+  readonly #openRealLog = storage.DurableLog.open;
   #syncMs: number;
   readonly #random = generator.xoroshiro128plus(LOAD_SEED);
   #committed = 0;
 
-  constructor(options: StoresOptions) {
+  constructor(options: ClusterOptions) {
     this.#options = options;
     this.#syncMs = options.syncMs;
     this.commandsPerS = options.commandsPerS;
     this.entryMs = options.entryMs;
     this.#folder = fs.mkdtempSync(path.join(os.tmpdir(), "hoistscale-sim-"));
-    storage.DurableLog.open = (folder, owner) => this.#open(folder, owner);
-    const founders = options.ids.slice(0, options.wanted);
+    storage.DurableLog.open = (folder, owner) => this.#openLog(folder, owner);
+    const initialVoters = options.ids.slice(0, options.maxVoters);
     for (const id of options.ids) this.addBox(id);
-    for (const id of founders) this.get(id).disk.found(founders);
+    for (const id of initialVoters) this.get(id).disk.initialize(initialVoters);
   }
 
   /** Puts the real disks back. */
   close(): void {
-    storage.DurableLog.open = this.#openFile;
+    storage.DurableLog.open = this.#openRealLog;
     for (const store of this.#stores.values()) store.end();
     fs.rmSync(this.#folder, { recursive: true, force: true });
   }
@@ -117,7 +117,12 @@
       getPeer: (from, to) => this.#createPeer(from, to),
       publish: (record) => this.#publish(record),
       trace: (from, event, fields) =>
-        this.lines.push({ atMs: this.getNowMs(), id: from, event, fields }),
+        this.logRecords.push({
+          atMs: this.getNowMs(),
+          id: from,
+          event,
+          fields,
+        }),
     });
     this.#stores.set(id, store);
   }
@@ -148,33 +153,33 @@
   }
 
   /** Takes power and disk from a box. */
-  wipeDisk(id: string): void {
+  cutPowerAndWipe(id: string): void {
     this.cutPower([id]);
     this.get(id).disk.wipe();
   }
 
   /** Has a sync take so long on all disks, in ms. */
-  setSync(syncMs: number): void {
+  setSyncMs(syncMs: number): void {
     this.#syncMs = syncMs;
     for (const store of this.#stores.values()) store.disk.syncMs = syncMs;
   }
 
   /** Cuts the way from one box to another. */
-  cut(from: string, to: string): void {
-    this.#cuts.add(`${from}>${to}`);
+  cutLink(from: string, to: string): void {
+    this.#cutLinks.add(`${from}>${to}`);
   }
 
   /** Cuts a box from all others, both ways. */
   cutOff(id: string): void {
     for (const other of this.listIds()) {
-      this.cut(id, other);
-      this.cut(other, id);
+      this.cutLink(id, other);
+      this.cutLink(other, id);
     }
   }
 
   /** Ends all cuts. */
   restoreLinks(): void {
-    this.#cuts.clear();
+    this.#cutLinks.clear();
   }
 
   /** Id of the box that leads with authority, if one does. */
@@ -199,12 +204,12 @@
 
   /** Lets time pass, until something holds where it is given. */
   async run(ms: number, isDone: () => boolean = () => false): Promise<boolean> {
-    for (let left = ms; left > 0; left -= 1) {
+    for (let remainingMs = ms; remainingMs > 0; remainingMs -= 1) {
       if (isDone()) return true;
-      this.clock.extendBy(1);
-      this.#limitProcesses();
-      this.#propose();
-      for (let turn = 0; turn < TURNS; turn += 1) {
+      this.clock.advance(1);
+      this.#throttleProcesses();
+      this.#proposeLoad();
+      for (let turn = 0; turn < EVENT_LOOP_TURNS; turn += 1) {
         await new Promise((resolve) => setImmediate(resolve));
       }
     }
@@ -212,34 +217,36 @@
   }
 
   /** Takes the processor from each process for a part of each turn. */
-  #limitProcesses(): void {
+  #throttleProcesses(): void {
     if (this.processorShare >= 1) return;
     [...this.#stores.keys()].forEach((id, index) => {
-      const atMs = this.getNowMs() + index * TURN_SHIFT_MS;
-      if (atMs % TURN_MS !== 0) return;
-      this.get(id).getProcess()?.use(TURN_MS * (1 - this.processorShare));
+      const atMs = this.getNowMs() + index * SLICE_OFFSET_MS;
+      if (atMs % TIME_SLICE_MS !== 0) return;
+      this.get(id).getProcess()?.useProcessor(
+        TIME_SLICE_MS * (1 - this.processorShare),
+      );
     });
   }
 
   /** Proposes at random times, as a steady beat may keep step with others. */
-  #propose(): void {
-    const draw = uniform.uniformInt(this.#random, 0, MS_A_SECOND - 1);
+  #proposeLoad(): void {
+    const draw = uniform.uniformInt(this.#random, 0, MS_PER_SECOND - 1);
     if (draw >= this.commandsPerS) return;
     const leader = this.findLeader();
     if (leader === undefined) return;
     const group = this.get(leader).getGroup();
-    void group?.propose({ kind: "load" }, COMMIT_MS).then((result) => {
+    void group?.propose({ kind: "load" }, COMMIT_TIMEOUT_MS).then((result) => {
       if (result.kind === "ok") this.#committed += 1;
     });
   }
 
-  #open(folder: string, owner: string): Promise<storage.OpenedLog> {
+  #openLog(folder: string, owner: string): Promise<storage.OpenedLog> {
     const store = folder.startsWith(this.#folder)
       ? this.#stores.get(owner)
       : undefined;
     const process = store?.getProcess();
     if (store === undefined || process === undefined) {
-      return this.#openFile(folder, owner);
+      return this.#openRealLog(folder, owner);
     }
     return Promise.resolve(store.disk.open(process));
   }
@@ -248,12 +255,12 @@
     for (const to of this.listIds()) {
       if (to === record.id) continue;
       this.clock.startTimer(
-        NEWS_MS,
+        GOSSIP_LATENCY_MS,
         () =>
-          this.#deliver(record.id, to, {
-            method: simulatedStores.NEWS_METHOD,
+          this.#deliverMessage(record.id, to, {
+            method: simulatedStores.GOSSIP_METHOD,
             params: record,
-            costMs: MESSAGE_MS,
+            costMs: MESSAGE_COST_MS,
           }),
       );
     }
@@ -261,31 +268,34 @@
 
   #createPeer(from: string, to: string): rpc.Peer {
     return {
-      tell: (method, params) => this.#tell(from, to, method, params),
+      notify: (method, params) => this.#sendMessage(from, to, method, params),
       call: () => Promise.reject(new Error("no calls here")),
     };
   }
 
-  #tell(from: string, to: string, method: string, params: object): void {
-    const costMs = MESSAGE_MS + this.entryMs * countEntries(params);
-    this.#stores.get(from)?.getProcess()?.use(costMs);
+  #sendMessage(from: string, to: string, method: string, params: object): void {
+    const costMs = MESSAGE_COST_MS + this.entryMs * countEntries(params);
+    this.#stores.get(from)?.getProcess()?.useProcessor(costMs);
     const target = this.#stores.get(to)?.getProcess();
     this.clock.startTimer(this.latencyMs, () => {
       // A connection ends with the process that it was made to.
       if (this.#stores.get(to)?.getProcess() !== target) return;
-      this.#deliver(from, to, { method, params, costMs });
+      this.#deliverMessage(from, to, { method, params, costMs });
     });
   }
 
-  #deliver(from: string, to: string, call: {
+  #deliverMessage(from: string, to: string, call: {
     readonly method: string;
     readonly params: object;
     readonly costMs: number;
   }): void {
-    if (this.#cuts.has(`${from}>${to}`)) return;
+    if (this.#cutLinks.has(`${from}>${to}`)) return;
     const store = this.#stores.get(to);
     const process = store?.getProcess();
-    process?.add(call.costMs, () => store?.receive(call.method, call.params));
+    process?.addTask(
+      call.costMs,
+      () => store?.receive(call.method, call.params),
+    );
   }
 }
 
--- a/src/replica_group/simulated_disk_test.ts
+++ b/src/replica_group/simulated_disk_test.ts
@@ -19,15 +19,15 @@
 }
 
 /** A log as the driver of a replica uses it; its real one writes files. */
-type UsedLog = Pick<
+type LogMethods = Pick<
   storage.DurableLog,
-  "append" | "compact" | "writeDraft" | "takeDraft" | "close"
+  "append" | "compact" | "writeSnapshotDraft" | "installSnapshotDraft" | "close"
 >;
 
 /** Syncs that replacing a log by a snapshot takes, during which a process waits. */
-const TAKE_SYNCS = 3;
+const REPLACE_SYNCS = 3;
 /** Parts of a snapshot that are written in a ms. */
-const PARTS_A_MS = 20;
+const PARTS_PER_MS = 20;
 
 /**
  * A disk on a fake clock. A write lasts once its sync has ended; what power
@@ -39,9 +39,9 @@
   #snapshot: storage.StoredSnapshot | undefined;
   #records: savedRecords.SavedRecord[] = [];
   #pending: readonly PendingWrite[] = [];
-  #freeAtMs = 0;
+  #busyUntilMs = 0;
   /** Rises with each power loss, after which earlier logs write nothing. */
-  #epoch = 0;
+  #powerLosses = 0;
   #summary: DiskSummary | undefined;
 
   constructor(clock: clocks.Clock, syncMs: number) {
@@ -50,19 +50,19 @@
   }
 
   /** Writes what a founding voter begins with. */
-  found(voters: readonly string[]): void {
-    this.#records = [...savedRecords.createFounding(voters, 0)];
+  initialize(voters: readonly string[]): void {
+    this.#records = [...savedRecords.createBootstrapRecords(voters, 0)];
     this.#summary = undefined;
   }
 
   /** Loses what was not synced, but for so many of the writes under way. */
   cutPower(keptWrites = 0): void {
     for (const write of this.#pending.slice(0, keptWrites)) {
-      this.#add(write.records);
+      this.#addRecords(write.records);
     }
     this.#pending = [];
-    this.#epoch += 1;
-    this.#freeAtMs = 0;
+    this.#powerLosses += 1;
+    this.#busyUntilMs = 0;
   }
 
   /** Loses everything. */
@@ -91,19 +91,19 @@
       tornBytes: 0,
     };
     let draft: storage.StoredSnapshot | undefined;
-    const log: UsedLog = {
+    const log: LogMethods = {
       append: (records) => this.#append(process, toSaved(records)),
-      writeDraft: async (snapshot) => {
-        const tookMs = snapshot.parts.length / PARTS_A_MS + this.syncMs;
-        await this.#finish(process, tookMs, () => {});
+      writeSnapshotDraft: async (snapshot) => {
+        const durationMs = snapshot.parts.length / PARTS_PER_MS + this.syncMs;
+        await this.#completeLater(process, durationMs, () => {});
         draft = snapshot;
       },
-      takeDraft: (records) => {
+      installSnapshotDraft: (records) => {
         if (draft === undefined) throw new Error("no draft was written");
-        return this.#swap(process, draft, toSaved(records));
+        return this.#installSnapshot(process, draft, toSaved(records));
       },
       compact: (snapshot, records) =>
-        this.#swap(process, snapshot, toSaved(records)),
+        this.#installSnapshot(process, snapshot, toSaved(records)),
       close: () => Promise.resolve(),
     };
     return { log: log as unknown as storage.DurableLog, loaded };
@@ -117,21 +117,21 @@
     const write: PendingWrite = { records };
     this.#pending = [...this.#pending, write];
     const nowMs = this.#clock.getMonotonicMs();
-    this.#freeAtMs = Math.max(nowMs, this.#freeAtMs) + this.syncMs;
-    await this.#finish(process, this.#freeAtMs - nowMs, () => {
+    this.#busyUntilMs = Math.max(nowMs, this.#busyUntilMs) + this.syncMs;
+    await this.#completeLater(process, this.#busyUntilMs - nowMs, () => {
       this.#pending = this.#pending.filter((other) => other !== write);
-      this.#add(records);
+      this.#addRecords(records);
     });
   }
 
-  async #swap(
+  async #installSnapshot(
     process: processes.SimulatedProcess,
     snapshot: storage.StoredSnapshot,
     records: readonly savedRecords.SavedRecord[],
   ): Promise<void> {
-    const tookMs = this.syncMs * TAKE_SYNCS;
-    process.use(tookMs);
-    await this.#finish(process, tookMs, () => {
+    const durationMs = this.syncMs * REPLACE_SYNCS;
+    process.useProcessor(durationMs);
+    await this.#completeLater(process, durationMs, () => {
       this.#snapshot = snapshot;
       this.#records = [...records];
       this.#summary = undefined;
@@ -139,28 +139,28 @@
   }
 
   /** Carries out a write unless power is lost before, then tells the process. */
-  #finish(
+  #completeLater(
     process: processes.SimulatedProcess,
     ms: number,
     write: () => void,
   ): Promise<void> {
-    const epoch = this.#epoch;
+    const powerLosses = this.#powerLosses;
     return new Promise((resolve) => {
       this.#clock.startTimer(Math.ceil(ms), () => {
-        if (epoch !== this.#epoch) return;
+        if (powerLosses !== this.#powerLosses) return;
         write();
-        process.add(0, resolve);
+        process.addTask(0, resolve);
       });
     });
   }
 
-  #add(records: readonly savedRecords.SavedRecord[]): void {
+  #addRecords(records: readonly savedRecords.SavedRecord[]): void {
     this.#records.push(...records);
-    for (const record of records) this.#note(record);
+    for (const record of records) this.#updateSummary(record);
   }
 
   /** Keeps the summary up to date, as reading all records anew is slow. */
-  #note(record: savedRecords.SavedRecord): void {
+  #updateSummary(record: savedRecords.SavedRecord): void {
     const summary = this.#summary;
     if (summary === undefined || record.kind === "vote") return;
     if (record.kind === "identity") {
--- a/src/replica_group/simulated_process_test.ts
+++ b/src/replica_group/simulated_process_test.ts
@@ -16,11 +16,11 @@
   readonly #wallOffsetMs: () => number;
   #tasks: Task[] = [];
   #busyUntilMs = 0;
-  #isWaking = false;
-  #isStopped = false;
+  #isWakeScheduled = false;
+  #isPaused = false;
   /** Since when its machine is suspended, and how long it was before, in ms. */
   #suspendedAtMs: number | undefined;
-  #lostMs = 0;
+  #suspendedMs = 0;
   #isEnded = false;
 
   /** @param getWallOffsetMs How far the wall clock of the box is ahead, in ms. */
@@ -36,7 +36,7 @@
   /** Stands while the machine is suspended, unlike the wall clock. */
   getMonotonicMs(): number {
     const trueMs = this.#clock.getMonotonicMs();
-    return Math.min(trueMs, this.#suspendedAtMs ?? trueMs) - this.#lostMs;
+    return Math.min(trueMs, this.#suspendedAtMs ?? trueMs) - this.#suspendedMs;
   }
 
   startTimer(delayMs: number, action: () => void): clocks.CancelTimer {
@@ -49,12 +49,15 @@
     let isCancelled = false;
     let cancel: clocks.CancelTimer = () => {};
     const delayMs = Math.ceil(dueMs - this.getMonotonicMs());
-    const cancelThis = this.#clock.startTimer(delayMs, () =>
-      this.add(0, () => {
-        if (isCancelled) return;
-        if (this.getMonotonicMs() >= dueMs) return action();
-        cancel = this.#startTimerUntil(dueMs, action);
-      }));
+    const cancelThis = this.#clock.startTimer(
+      delayMs,
+      () =>
+        this.addTask(0, () => {
+          if (isCancelled) return;
+          if (this.getMonotonicMs() >= dueMs) return action();
+          cancel = this.#startTimerUntil(dueMs, action);
+        }),
+    );
     return () => {
       isCancelled = true;
       cancelThis();
@@ -63,43 +66,43 @@
   }
 
   /** Has something done once the processor is free. */
-  add(costMs: number, run: () => void): void {
+  addTask(costMs: number, run: () => void): void {
     if (this.#isEnded) return;
     this.#tasks.push({ costMs, run });
     this.#runTasks();
   }
 
   /** Uses processor time, in ms, before the next task. */
-  use(ms: number): void {
+  useProcessor(ms: number): void {
     const nowMs = this.#clock.getMonotonicMs();
     this.#busyUntilMs = Math.max(nowMs, this.#busyUntilMs) + ms;
   }
 
   /** Stands still until it is resumed, as after SIGSTOP. */
-  stop(): void {
-    this.#isStopped = true;
+  pause(): void {
+    this.#isPaused = true;
   }
 
   resume(): void {
-    this.#isStopped = false;
+    this.#isPaused = false;
     this.#runTasks();
   }
 
   /** Suspends its machine, until it is woken. */
   suspend(): void {
-    this.stop();
+    this.pause();
     this.#suspendedAtMs = this.#clock.getMonotonicMs();
   }
 
   wake(): void {
     const nowMs = this.#clock.getMonotonicMs();
-    this.#lostMs += nowMs - (this.#suspendedAtMs ?? nowMs);
+    this.#suspendedMs += nowMs - (this.#suspendedAtMs ?? nowMs);
     this.#suspendedAtMs = undefined;
     this.resume();
   }
 
-  isStopped(): boolean {
-    return this.#isStopped;
+  isPaused(): boolean {
+    return this.#isPaused;
   }
 
   isEnded(): boolean {
@@ -114,21 +117,21 @@
 
   #runTasks(): void {
     const nowMs = this.#clock.getMonotonicMs();
-    while (!this.#isEnded && !this.#isStopped && this.#busyUntilMs <= nowMs) {
+    while (!this.#isEnded && !this.#isPaused && this.#busyUntilMs <= nowMs) {
       const task = this.#tasks.shift();
       if (task === undefined) return;
-      if (task.costMs > 0) this.use(task.costMs);
+      if (task.costMs > 0) this.useProcessor(task.costMs);
       task.run();
     }
-    if (this.#tasks.length > 0) this.#wakeLater(nowMs);
+    if (this.#tasks.length > 0) this.#scheduleWake(nowMs);
   }
 
-  #wakeLater(nowMs: number): void {
-    if (this.#isWaking || this.#isStopped) return;
-    this.#isWaking = true;
+  #scheduleWake(nowMs: number): void {
+    if (this.#isWakeScheduled || this.#isPaused) return;
+    this.#isWakeScheduled = true;
     const delayMs = Math.max(1, Math.ceil(this.#busyUntilMs - nowMs));
     this.#clock.startTimer(delayMs, () => {
-      this.#isWaking = false;
+      this.#isWakeScheduled = false;
       this.#runTasks();
     });
   }
--- a/src/replica_group/simulated_store_test.ts
+++ b/src/replica_group/simulated_store_test.ts
@@ -5,20 +5,20 @@
 import type * as logs from "../log/mod.ts";
 import * as metrics from "../metrics/mod.ts";
 import type * as rpc from "../rpc/mod.ts";
-import * as groupMachines from "./group_machine_test.ts";
+import * as groupStateMachines from "./group_state_machine_test.ts";
 import * as replicaGroups from "./replica_group.ts";
 import * as disks from "./simulated_disk_test.ts";
 import * as processes from "./simulated_process_test.ts";
 
 /** Between two refreshes of what a box tells of itself, in ms. */
-const REFRESH_MS = 500;
+const PUBLISH_INTERVAL_MS = 500;
 /** Name of the call that carries what a box tells of itself. */
-export const NEWS_METHOD = "simulated.news";
+export const GOSSIP_METHOD = "simulated.news";
 
 /** What all stores have in common. */
 export interface StoreOptions {
   readonly clock: clocks.Clock;
-  readonly wanted: number;
+  readonly maxVoters: number;
   readonly snapshotEntries: number;
   readonly syncMs: number;
   /** Lease of the duties; none are held unless given. */
@@ -41,7 +41,7 @@
   readonly process: processes.SimulatedProcess;
   readonly group: replicaGroups.ReplicaGroup;
   readonly duty: duties.DutyLease | undefined;
-  readonly machine: groupMachines.GroupMachine;
+  readonly stateMachine: groupStateMachines.GroupStateMachine;
   readonly directory: fleet.BoxDirectory;
   readonly methods: ReadonlyMap<string, rpc.RpcHandler>;
   readonly startedAtMs: number;
@@ -72,13 +72,13 @@
     return this.#run?.group;
   }
 
-  getMachine(): groupMachines.GroupMachine | undefined {
-    return this.#run?.machine;
+  getStateMachine(): groupStateMachines.GroupStateMachine | undefined {
+    return this.#run?.stateMachine;
   }
 
   /** Whether its process runs and is not frozen. */
   isActive(): boolean {
-    return this.#run?.process.isStopped() === false;
+    return this.#run?.process.isPaused() === false;
   }
 
   /** Starts the process. */
@@ -86,7 +86,7 @@
     const run = this.#createRun();
     this.#run = run;
     void run.group.start().then(() => run.duty?.start());
-    this.#runRefresh(run);
+    this.#runPublisher(run);
   }
 
   /** Ends the process at once; what was not synced is lost with power only. */
@@ -114,21 +114,26 @@
       clock,
       () => this.wallOffsetMs,
     );
-    const machine = new groupMachines.GroupMachine();
+    const stateMachine = new groupStateMachines.GroupStateMachine();
     const directory = new fleet.BoxDirectory(process);
     const methods = new Map<string, rpc.RpcHandler>();
     methods.set(
-      NEWS_METHOD,
+      GOSSIP_METHOD,
       (record: fleet.BoxRecord) => void directory.merge(record),
     );
     const log = this.#createLog();
-    const group = this.#createGroup({ process, machine, directory, methods });
+    const group = this.#createGroup({
+      process,
+      machine: stateMachine,
+      directory,
+      methods,
+    });
     const duty = leaseMs === undefined ? undefined : new duties.DutyLease({
       clock: process,
       log,
       metrics: { countClaim: () => {} } as unknown as metrics.FleetMetrics,
       group,
-      machine,
+      machine: stateMachine,
       directory,
       box: this.id,
       id: this.id,
@@ -139,7 +144,7 @@
       process,
       group,
       duty,
-      machine,
+      stateMachine: stateMachine,
       directory,
       methods,
       startedAtMs,
@@ -150,25 +155,26 @@
 
   #createGroup({ process, machine, directory, methods }: {
     readonly process: processes.SimulatedProcess;
-    readonly machine: groupMachines.GroupMachine;
+    readonly machine: groupStateMachines.GroupStateMachine;
     readonly directory: fleet.BoxDirectory;
     readonly methods: Map<string, rpc.RpcHandler>;
   }): replicaGroups.ReplicaGroup {
-    const { wanted, snapshotEntries, getPeer, dataFolder } = this.#options;
+    const { maxVoters: maxVoters, snapshotEntries, getPeer, dataFolder } =
+      this.#options;
     return new replicaGroups.ReplicaGroup({
       name: "stores",
       id: this.id,
       failureDomain: `of ${this.id}`,
       dataFolder: `${dataFolder}/${this.id}`,
       isFirstStart: false,
-      wanted,
-      least: wanted,
+      maxVoters: maxVoters,
+      minVoters: maxVoters,
       snapshotEntries,
       seeds: [],
       clock: process,
       log: this.#createLog(),
       metrics: new metrics.FleetMetrics(),
-      machine: machine as consensus.Machine,
+      stateMachine: machine as consensus.StateMachine,
       directory,
       peers: { get: (to) => getPeer(this.id, to) },
       server: {
@@ -190,9 +196,9 @@
     } as unknown as logs.Log;
   }
 
-  #runRefresh(run: Run): void {
+  #runPublisher(run: Run): void {
     this.#publish(run);
-    run.process.startTimer(REFRESH_MS, () => this.#runRefresh(run));
+    run.process.startTimer(PUBLISH_INTERVAL_MS, () => this.#runPublisher(run));
   }
 
   #publish(run: Run): void {
--- a/src/replica_group/fed_by_snapshot_test.ts
+++ b/src/replica_group/snapshot_catch_up_test.ts
@@ -1,6 +1,6 @@
 import * as chai from "chai";
 import type * as faultSchedules from "./fault_schedule_test.ts";
-import * as scheduleRuns from "./schedule_run_test.ts";
+import * as scheduleRunners from "./schedule_runner_test.ts";
 
 /*
  * A replica that lost its disk was sent a snapshot; while it was under way the
@@ -66,7 +66,9 @@
 
 describe("a replica that is fed by a snapshot", () => {
   it("finds the entries that follow it, however fast the log is cut", async () => {
-    const { violation, story } = await scheduleRuns.runSchedule(SCHEDULE);
+    const { violation, events: story } = await scheduleRunners.runSchedule(
+      SCHEDULE,
+    );
     chai.expect(violation, story.join("\n")).to.equal(undefined);
   });
 });
--- a/src/replica_group/split_vote_test.ts
+++ b/src/replica_group/split_vote_test.ts
@@ -1,5 +1,5 @@
 import * as chai from "chai";
-import * as simulatedStores from "./simulated_stores_test.ts";
+import * as simulatedClusters from "./simulated_cluster_test.ts";
 
 /*
  * All boxes lost power, one of them its disk, and the two voters left asked to
@@ -12,18 +12,18 @@
  */
 
 /** Founders; the last two draw the same delays. */
-const FOUNDERS = ["10.2.0.5", "10.1.0.6", "10.3.0.30"];
-const SPARE = "10.4.0.9";
-const START_MS = 100;
-const SETTLED_MS = 4_000;
+const INITIAL_VOTERS = ["10.2.0.5", "10.1.0.6", "10.3.0.30"];
+const NON_VOTER = "10.4.0.9";
+const START_DELAY_MS = 100;
+const WARM_UP_MS = 4_000;
 /** Longest time from a restart of all boxes to a leader, in ms. */
-const LEADER_MS = 12_000;
+const ELECTION_TIMEOUT_MS = 12_000;
 
 describe("voters that ask to lead at the same time", () => {
   it("come to a leader, whatever their addresses", async () => {
-    const stores = new simulatedStores.SimulatedStores({
-      ids: [...FOUNDERS, SPARE],
-      wanted: FOUNDERS.length,
+    const cluster = new simulatedClusters.SimulatedCluster({
+      ids: [...INITIAL_VOTERS, NON_VOTER],
+      maxVoters: INITIAL_VOTERS.length,
       syncMs: 10,
       entryMs: 0,
       snapshotEntries: 4_096,
@@ -31,24 +31,27 @@
       leaseMs: undefined,
     });
     try {
-      stores.start(stores.listIds(), START_MS);
-      await stores.run(SETTLED_MS);
-      const [lost = ""] = FOUNDERS;
-      const leader = stores.findLeader() ?? "";
-      if (leader !== lost) stores.get(leader).getGroup()?.transferTo(lost);
-      await stores.run(SETTLED_MS);
-      chai.expect(stores.findLeader(), "leads before").to.equal(lost);
-      stores.cutPower(stores.listIds());
-      stores.get(lost).disk.wipe();
-      stores.start(stores.listIds(), START_MS);
-      await stores.run(LEADER_MS, () => stores.findLeader() !== undefined);
-      const asked = stores.lines.filter(({ fields }) =>
+      cluster.start(cluster.listIds(), START_DELAY_MS);
+      await cluster.run(WARM_UP_MS);
+      const [lost = ""] = INITIAL_VOTERS;
+      const leader = cluster.findLeader() ?? "";
+      if (leader !== lost) cluster.get(leader).getGroup()?.transferTo(lost);
+      await cluster.run(WARM_UP_MS);
+      chai.expect(cluster.findLeader(), "leads before").to.equal(lost);
+      cluster.cutPower(cluster.listIds());
+      cluster.get(lost).disk.wipe();
+      cluster.start(cluster.listIds(), START_DELAY_MS);
+      await cluster.run(
+        ELECTION_TIMEOUT_MS,
+        () => cluster.findLeader() !== undefined,
+      );
+      const candidacies = cluster.logRecords.filter(({ fields }) =>
         fields["role"] === "candidate"
       ).length;
-      chai.expect(stores.findLeader(), `${asked} candidacies`)
+      chai.expect(cluster.findLeader(), `${candidacies} candidacies`)
         .to.not.equal(undefined);
     } finally {
-      stores.close();
+      cluster.close();
     }
   });
 });
--- a/src/replica_group/found_strict_schedules_fixture_test.ts
+++ b/src/replica_group/strict_regression_schedules_fixture_test.ts
@@ -1,10 +1,10 @@
-import type * as fixtures from "./found_schedules_fixture_test.ts";
+import type * as fixtures from "./regression_schedules_fixture_test.ts";
 
 /**
  * Where it counts from the launch of a process, and a loss of power of all boxes
  * does not count.
  */
-export const FOUND_STRICT: readonly fixtures.FoundSchedule[] = [
+export const STRICT_SCHEDULES: readonly fixtures.RegressionSchedule[] = [
   {
     name: "a voter is gone, and all lose power 3 s later",
     schedule: {
--- a/src/replica_group/suspended_leader_test.ts
+++ b/src/replica_group/suspended_leader_test.ts
@@ -1,8 +1,8 @@
 import * as chai from "chai";
-import * as cases from "./simulated_cases_test.ts";
-import type * as simulatedStores from "./simulated_stores_test.ts";
+import * as simulatedCases from "./simulated_cases_test.ts";
+import type * as simulatedClusters from "./simulated_cluster_test.ts";
 
-const SUSPENDED_MS = 3_000;
+const SUSPENSION_MS = 3_000;
 const SETTLED_MS = 5_000;
 /** Longest time for which the lease of a leader lasts, in ms. */
 const LEASE_MS = 1_000;
@@ -12,10 +12,10 @@
 // long as its last answers seemed fresh, while the others had elected another one.
 // The first code to run may answer a call that waited in a socket.
 describe("a store whose machine is suspended", () => {
-  let stores: simulatedStores.SimulatedStores;
+  let cluster: simulatedClusters.SimulatedCluster;
 
   beforeEach(async () => {
-    stores = await cases.createStores({
+    cluster = await simulatedCases.createCluster({
       syncMs: 1,
       entries: 20,
       commandsPerS: 20,
@@ -23,60 +23,60 @@
     });
   });
 
-  afterEach(() => stores.close());
+  afterEach(() => cluster.close());
 
   function suspend(id: string): void {
-    stores.get(id).getProcess()?.suspend();
+    cluster.get(id).getProcess()?.suspend();
   }
 
   function wake(id: string): void {
-    stores.get(id).getProcess()?.wake();
+    cluster.get(id).getProcess()?.wake();
   }
 
   it("has no authority when it wakes, before it has heard of anything", async () => {
-    const { leader } = cases.listRoles(stores);
-    chai.expect(stores.get(leader).getGroup()?.hasAuthority()).to.equal(true);
+    const { leader } = simulatedCases.listRoles(cluster);
+    chai.expect(cluster.get(leader).getGroup()?.hasAuthority()).to.equal(true);
     suspend(leader);
-    await stores.run(SUSPENDED_MS);
-    const next = stores.findLeader();
+    await cluster.run(SUSPENSION_MS);
+    const next = cluster.findLeader();
     chai.expect(next).not.to.equal(undefined);
     chai.expect(next).not.to.equal(leader);
-    chai.expect(stores.get(leader).getGroup()?.hasAuthority()).to.equal(false);
+    chai.expect(cluster.get(leader).getGroup()?.hasAuthority()).to.equal(false);
     wake(leader);
-    await stores.run(SETTLED_MS);
-    chai.expect(stores.findLeader()).to.be.oneOf([next, leader]);
+    await cluster.run(SETTLED_MS);
+    chai.expect(cluster.findLeader()).to.be.oneOf([next, leader]);
   });
 
   it("leads on after a short suspension, once its voters have answered again", async () => {
-    const { leader } = cases.listRoles(stores);
-    const term = stores.get(leader).getGroup()?.getTerm();
+    const { leader } = simulatedCases.listRoles(cluster);
+    const term = cluster.get(leader).getGroup()?.getTerm();
     suspend(leader);
-    await stores.run(200);
-    chai.expect(stores.get(leader).getGroup()?.hasAuthority()).to.equal(false);
+    await cluster.run(200);
+    chai.expect(cluster.get(leader).getGroup()?.hasAuthority()).to.equal(false);
     wake(leader);
-    await stores.run(LEASE_MS);
-    chai.expect(stores.findLeader()).to.equal(leader);
-    chai.expect(stores.get(leader).getGroup()?.getTerm()).to.equal(term);
+    await cluster.run(LEASE_MS);
+    chai.expect(cluster.findLeader()).to.equal(leader);
+    chai.expect(cluster.get(leader).getGroup()?.getTerm()).to.equal(term);
   });
 
   it("leads on when its time of day was set forward", async () => {
-    const { leader } = cases.listRoles(stores);
-    const term = stores.get(leader).getGroup()?.getTerm();
-    stores.get(leader).wallOffsetMs += 60_000;
-    await stores.run(LEASE_MS);
-    chai.expect(stores.findLeader()).to.equal(leader);
-    chai.expect(stores.get(leader).getGroup()?.getTerm()).to.equal(term);
+    const { leader } = simulatedCases.listRoles(cluster);
+    const term = cluster.get(leader).getGroup()?.getTerm();
+    cluster.get(leader).wallOffsetMs += 60_000;
+    await cluster.run(LEASE_MS);
+    chai.expect(cluster.findLeader()).to.equal(leader);
+    chai.expect(cluster.get(leader).getGroup()?.getTerm()).to.equal(term);
   });
 
   it("commits again after half of the stores were suspended at once", async () => {
-    const { leader, followers } = cases.listRoles(stores);
-    const asleep = [leader, followers[0] ?? ""];
-    for (const id of asleep) suspend(id);
-    await stores.run(SUSPENDED_MS);
-    for (const id of asleep) wake(id);
-    await stores.run(SETTLED_MS);
-    const before = stores.countCommitted();
-    await stores.run(SETTLED_MS);
-    chai.expect(stores.countCommitted()).to.be.greaterThan(before + 50);
+    const { leader, followers } = simulatedCases.listRoles(cluster);
+    const suspended = [leader, followers[0] ?? ""];
+    for (const id of suspended) suspend(id);
+    await cluster.run(SUSPENSION_MS);
+    for (const id of suspended) wake(id);
+    await cluster.run(SETTLED_MS);
+    const before = cluster.countCommitted();
+    await cluster.run(SETTLED_MS);
+    chai.expect(cluster.countCommitted()).to.be.greaterThan(before + 50);
   });
 });
--- a/src/replica_group/two_losses_test.ts
+++ b/src/replica_group/two_losses_test.ts
@@ -1,7 +1,7 @@
 import * as chai from "chai";
 import * as electionChecks from "./election_check_test.ts";
 import * as simulatedCases from "./simulated_cases_test.ts";
-import * as simulatedStores from "./simulated_stores_test.ts";
+import * as simulatedClusters from "./simulated_cluster_test.ts";
 
 /*
  * Eight stores with five voters, two losses to be borne. One voter lost its disk
@@ -12,44 +12,50 @@
  */
 
 const IDS = ["a", "b", "c", "d", "e", "f", "g", "h"];
-const EMPTIED = "e";
-const LATE = ["b", "e", "g"];
-const WANTED = 5;
-const START_MS = 300;
-const LATE_MS = 2_417;
+const WIPED = "e";
+const LATE_STARTERS = ["b", "e", "g"];
+const MAX_VOTERS = 5;
+const START_DELAY_MS = 300;
+const LATE_START_DELAY_MS = 2_417;
 const ENTRIES = 2_600;
-const FOUNDED_MS = 60_000;
-const SETTLED_MS = 6_236;
+const STARTUP_TIMEOUT_MS = 60_000;
+const WARM_UP_MS = 6_236;
 
 describe("eight stores of which one of five voters lost its disk", () => {
-  let stores: simulatedStores.SimulatedStores;
+  let cluster: simulatedClusters.SimulatedCluster;
 
-  afterEach(() => stores.close());
+  afterEach(() => cluster.close());
 
   it("are whole 5.1 s after its start, though it comes late after a restart of all", async () => {
-    stores = new simulatedStores.SimulatedStores({
+    cluster = new simulatedClusters.SimulatedCluster({
       ids: IDS,
-      wanted: WANTED,
+      maxVoters: MAX_VOTERS,
       syncMs: 1,
       entryMs: 0,
       snapshotEntries: 200,
       commandsPerS: 1_000,
       leaseMs: undefined,
     });
-    stores.start(IDS, START_MS);
-    await stores.run(FOUNDED_MS, () => stores.countCommitted() >= ENTRIES);
-    stores.commandsPerS = 200;
-    stores.entryMs = 0.5;
-    stores.setSync(40);
-    await stores.run(SETTLED_MS);
-    stores.cutPower(IDS);
-    stores.get(EMPTIED).disk.wipe();
-    stores.start(IDS.filter((id) => !LATE.includes(id)), START_MS);
-    stores.start(LATE, LATE_MS);
-    await stores.run(LATE_MS + simulatedCases.CATCH_UP_MS);
-    const disks = stores.getDisks();
+    cluster.start(IDS, START_DELAY_MS);
+    await cluster.run(
+      STARTUP_TIMEOUT_MS,
+      () => cluster.countCommitted() >= ENTRIES,
+    );
+    cluster.commandsPerS = 200;
+    cluster.entryMs = 0.5;
+    cluster.setSyncMs(40);
+    await cluster.run(WARM_UP_MS);
+    cluster.cutPower(IDS);
+    cluster.get(WIPED).disk.wipe();
+    cluster.start(
+      IDS.filter((id) => !LATE_STARTERS.includes(id)),
+      START_DELAY_MS,
+    );
+    cluster.start(LATE_STARTERS, LATE_START_DELAY_MS);
+    await cluster.run(LATE_START_DELAY_MS + simulatedCases.CATCH_UP_MS);
+    const disks = cluster.getDisks();
     const admitted = [...disks].filter(([, disk]) => disk.isAdmitted);
     chai.expect(admitted.length, electionChecks.describeDisks(disks))
-      .to.be.at.least(WANTED);
+      .to.be.at.least(MAX_VOTERS);
   });
 });
--- a/src/replica_group/away_voter_test.ts
+++ b/src/replica_group/voter_catch_up_test.ts
@@ -1,6 +1,6 @@
 import * as chai from "chai";
 import * as simulatedCases from "./simulated_cases_test.ts";
-import type * as simulatedStores from "./simulated_stores_test.ts";
+import type * as simulatedClusters from "./simulated_cluster_test.ts";
 
 /*
  * A voter that kept its disk and was away for 1.7 s needs a snapshot, as the
@@ -12,42 +12,42 @@
  * hold what is committed, and a box to be emptied is never told as emptied.
  */
 
-const START_MS = 300;
-const AWAY_MS = 1_700;
-const LONG_MS = 20_000;
+const START_DELAY_MS = 300;
+const DOWNTIME_MS = 1_700;
+const CATCH_UP_TIMEOUT_MS = 20_000;
 /** Entries that may be under way to a replica that is not behind. */
-const NEAR_ENTRIES = 96;
+const MAX_LAG_ENTRIES = 96;
 
 describe("stores of which one voter was away and kept its disk", () => {
-  let stores: simulatedStores.SimulatedStores;
+  let cluster: simulatedClusters.SimulatedCluster;
 
-  afterEach(() => stores.close());
+  afterEach(() => cluster.close());
 
   it("bring it up to date within 20 s, however fast the log is cut", async () => {
-    stores = await simulatedCases.createStores({
+    cluster = await simulatedCases.createCluster({
       syncMs: 10,
       entries: 6_500,
       commandsPerS: 200,
       entryMs: 0.5,
       snapshotEntries: 200,
     });
-    const { leader, followers } = simulatedCases.listRoles(stores);
-    const [away = ""] = followers;
-    stores.cutPower([away]);
-    await stores.run(AWAY_MS - START_MS);
-    stores.start([away], START_MS);
+    const { leader, followers } = simulatedCases.listRoles(cluster);
+    const [restarted = ""] = followers;
+    cluster.cutPower([restarted]);
+    await cluster.run(DOWNTIME_MS - START_DELAY_MS);
+    cluster.start([restarted], START_DELAY_MS);
     function getLag(): number {
-      const disks = stores.getDisks();
+      const disks = cluster.getDisks();
       return (disks.get(leader)?.lastIndex ?? 0) -
-        (disks.get(away)?.lastIndex ?? 0);
+        (disks.get(restarted)?.lastIndex ?? 0);
     }
-    await stores.run(START_MS);
-    await stores.run(LONG_MS, () => getLag() <= NEAR_ENTRIES);
-    chai.expect(stores.findLeader(), "leads").to.equal(leader);
-    const sent = stores.lines.filter((line) =>
-      line.event === "replica.snapshotSent" && line.fields["to"] === away
+    await cluster.run(START_DELAY_MS);
+    await cluster.run(CATCH_UP_TIMEOUT_MS, () => getLag() <= MAX_LAG_ENTRIES);
+    chai.expect(cluster.findLeader(), "leads").to.equal(leader);
+    const sent = cluster.logRecords.filter((line) =>
+      line.event === "replica.snapshotSent" && line.fields["to"] === restarted
     );
     chai.expect(getLag(), `entries that it lacks, ${sent.length} snapshots`)
-      .to.be.at.most(NEAR_ENTRIES);
+      .to.be.at.most(MAX_LAG_ENTRIES);
   });
 });
--- a/src/replicated_state/_changes.ts
+++ b/src/replicated_state/_changes.ts
@@ -14,13 +14,13 @@
 const ROOT_ACCOUNT = "(root)";
 
 /** A state after a command and the command's answer. */
-export interface Applied {
+export interface ApplyResult {
   readonly state: replicatedStates.ReplicatedState;
   readonly answer: commands.CommandAnswer;
 }
 
 /** What a change sets, once checked. */
-interface CheckedChange {
+interface ValidatedChange {
   /** Values after the change, as JSON text. */
   readonly after: string;
   readonly put: (
@@ -30,7 +30,7 @@
 }
 
 /** A change as the rules for all changes see it. */
-interface Change {
+interface AuditedChange {
   readonly origin: commands.ChangeOrigin;
   readonly account: string;
   readonly template: string | undefined;
@@ -39,17 +39,17 @@
   /** Values before, as JSON text. */
   readonly before: string | undefined;
   /** All that the operator sent; a resend has the same. */
-  readonly sent: unknown;
-  readonly check: () => results.Result<CheckedChange>;
+  readonly payload: unknown;
+  readonly validate: () => results.Result<ValidatedChange>;
 }
 
-function hashChange(change: Change): string {
-  const { account, template, baseRevision, sent } = change;
-  const text = JSON.stringify([account, template, baseRevision, sent]);
+function hashChange(change: AuditedChange): string {
+  const { account, template, baseRevision, payload: payload } = change;
+  const text = JSON.stringify([account, template, baseRevision, payload]);
   return crypto.createHash("sha256").update(text).digest("hex");
 }
 
-function findWinner(
+function findRequestId(
   state: replicatedStates.ReplicatedState,
   revision: number,
 ): string {
@@ -57,33 +57,33 @@
   return record?.requestId ?? "";
 }
 
-function decideChange(
+function applyNewChange(
   state: replicatedStates.ReplicatedState,
-  change: Change,
-): Applied {
+  change: AuditedChange,
+): ApplyResult {
   if (change.baseRevision !== change.currentRevision) {
     const revision = change.currentRevision;
-    const wonBy = findWinner(state, revision);
+    const wonBy = findRequestId(state, revision);
     return { state, answer: { kind: "conflict", revision, wonBy } };
   }
-  const checked = change.check();
-  if (checked.kind === "failure") {
-    const { message } = checked.failure;
+  const validated = change.validate();
+  if (validated.kind === "failure") {
+    const { message } = validated.failure;
     return { state, answer: { kind: "badParameters", message } };
   }
   const revision = state.revision + 1;
-  const put = checked.value.put(state, revision);
-  const record = createRecord(change, checked.value, revision);
-  const trail = put.audit.push(record).takeLast(MAX_AUDIT_RECORDS);
+  const updated = validated.value.put(state, revision);
+  const record = createAuditRecord(change, validated.value, revision);
+  const trail = updated.audit.push(record).takeLast(MAX_AUDIT_RECORDS);
   return {
-    state: { ...put, revision, audit: trail },
+    state: { ...updated, revision, audit: trail },
     answer: { kind: "accepted", revision },
   };
 }
 
-function createRecord(
-  change: Change,
-  checked: CheckedChange,
+function createAuditRecord(
+  change: AuditedChange,
+  validated: ValidatedChange,
   revision: number,
 ): audit.AuditRecord {
   return {
@@ -94,26 +94,29 @@
     operator: change.origin.operator,
     requestId: change.origin.requestId,
     before: change.before,
-    after: checked.after,
+    after: validated.after,
   };
 }
 
 function applyChange(
   state: replicatedStates.ReplicatedState,
-  change: Change,
-): Applied {
+  change: AuditedChange,
+): ApplyResult {
   const key = `${change.account}/${change.origin.requestId}`;
   const digest = hashChange(change);
-  const known = state.requests.get(key);
-  if (known !== undefined) {
-    const isSame = known.digest === digest;
-    return { state, answer: isSame ? known.answer : { kind: "requestReused" } };
+  const previous = state.requests.get(key);
+  if (previous !== undefined) {
+    const isSame = previous.digest === digest;
+    return {
+      state,
+      answer: isSame ? previous.answer : { kind: "requestReused" },
+    };
   }
-  const decided = decideChange(state, change);
-  const { answer } = decided;
+  const applied = applyNewChange(state, change);
+  const { answer } = applied;
   const { atMs } = change.origin;
-  const requests = decided.state.requests.set(key, { digest, answer, atMs });
-  return { state: { ...decided.state, requests }, answer };
+  const requests = applied.state.requests.set(key, { digest, answer, atMs });
+  return { state: { ...applied.state, requests }, answer };
 }
 
 function describeAccount(
@@ -127,7 +130,7 @@
 export function applySetAccount(
   state: replicatedStates.ReplicatedState,
   command: commands.SetAccount,
-): Applied {
+): ApplyResult {
   const { id, change } = command;
   const current = state.accounts.get(id);
   const tokenSha256s = command.tokenSha256s ?? current?.tokenSha256s ?? [];
@@ -138,11 +141,11 @@
     baseRevision: command.baseRevision,
     currentRevision: current?.revision ?? 0,
     before: current === undefined ? undefined : describeAccount(current),
-    sent: [command.tokenSha256s ?? null, change],
-    check() {
-      const checked = accounts.checkPolicy(current?.policy, change);
-      if (checked.kind === "failure") return checked;
-      const policy = checked.value;
+    payload: [command.tokenSha256s ?? null, change],
+    validate() {
+      const validated = accounts.checkPolicy(current?.policy, change);
+      if (validated.kind === "failure") return validated;
+      const policy = validated.value;
       return results.createOk({
         after: describeAccount({ policy, tokenSha256s }),
         put: (before, revision) => ({
@@ -163,7 +166,7 @@
 export function applySetTemplate(
   state: replicatedStates.ReplicatedState,
   command: commands.SetTemplate,
-): Applied {
+): ApplyResult {
   const { account, name, change } = command;
   if (!state.accounts.has(account)) {
     return { state, answer: { kind: "unknownAccount" } };
@@ -177,11 +180,11 @@
     baseRevision: command.baseRevision,
     currentRevision: current?.revision ?? 0,
     before: current && JSON.stringify(current.parameters),
-    sent: change,
-    check() {
-      const checked = templates.checkParameters(current?.parameters, change);
-      if (checked.kind === "failure") return checked;
-      const parameters = checked.value;
+    payload: change,
+    validate() {
+      const validated = templates.checkParameters(current?.parameters, change);
+      if (validated.kind === "failure") return validated;
+      const parameters = validated.value;
       return results.createOk({
         after: JSON.stringify(parameters),
         put: (before, revision) => ({
@@ -202,7 +205,7 @@
 export function applySetServerRole(
   state: replicatedStates.ReplicatedState,
   command: commands.SetServerRole,
-): Applied {
+): ApplyResult {
   const { server, role } = command;
   const current = state.roles.get(server);
   return applyChange(state, {
@@ -212,8 +215,8 @@
     baseRevision: command.baseRevision,
     currentRevision: current?.revision ?? 0,
     before: current && JSON.stringify({ server, role: current.role }),
-    sent: [server, role],
-    check: () =>
+    payload: [server, role],
+    validate: () =>
       results.createOk({
         after: JSON.stringify({ server, role }),
         put: (before, revision) => ({
@@ -228,7 +231,7 @@
 export function applyPublishModel(
   state: replicatedStates.ReplicatedState,
   command: commands.PublishModel,
-): Applied {
+): ApplyResult {
   const { model, weightVersion } = command;
   if (!models.isNewer(state.models.get(model), weightVersion)) {
     return { state, answer: { kind: "done" } };
--- a/src/replicated_state/_steps.ts
+++ b/src/replicated_state/_steps.ts
@@ -5,9 +5,9 @@
 import type * as replicatedStates from "./replicated_state.ts";
 
 /** Complete steps of a template that are remembered, for late repeats. */
-const KEPT_COMPLETE_STEPS = 64;
+const MAX_RETAINED_COMPLETE_STEPS = 64;
 
-function createView(step: steps.RolloutStep): commands.StepView {
+function createStepView(step: steps.RolloutStep): commands.StepView {
   return {
     stepId: step.id,
     request: step.request,
@@ -28,13 +28,13 @@
 export function applyOpenStep(
   state: replicatedStates.ReplicatedState,
   command: commands.OpenStep,
-): changes.Applied {
-  const known = state.steps.get(steps.formatStepId(command.request));
-  if (known !== undefined) return takeKnownStep(state, known, command);
+): changes.ApplyResult {
+  const existing = state.steps.get(steps.formatStepId(command.request));
+  if (existing !== undefined) return takeExistingStep(state, existing, command);
   const step = steps.createStep(command.request, command.box);
   return {
     state: putStep(state, step),
-    answer: { kind: "step", step: createView(step) },
+    answer: { kind: "step", step: createStepView(step) },
   };
 }
 
@@ -42,25 +42,25 @@
 export function applyTakeStep(
   state: replicatedStates.ReplicatedState,
   command: commands.TakeStep,
-): changes.Applied {
-  const known = state.steps.get(command.stepId);
-  if (known === undefined) return { state, answer: { kind: "unknownStep" } };
-  return takeKnownStep(state, known, command);
+): changes.ApplyResult {
+  const existing = state.steps.get(command.stepId);
+  if (existing === undefined) return { state, answer: { kind: "unknownStep" } };
+  return takeExistingStep(state, existing, command);
 }
 
-function takeKnownStep(
+function takeExistingStep(
   state: replicatedStates.ReplicatedState,
-  known: steps.RolloutStep,
+  existing: steps.RolloutStep,
   command: Pick<commands.TakeStep, "box" | "liveBoxes">,
-): changes.Applied {
+): changes.ApplyResult {
   const { box, liveBoxes } = command;
-  if (known.owner !== box && liveBoxes.includes(known.owner)) {
-    return { state, answer: { kind: "ownedBy", box: known.owner } };
+  if (existing.owner !== box && liveBoxes.includes(existing.owner)) {
+    return { state, answer: { kind: "ownedBy", box: existing.owner } };
   }
-  const step = steps.takeStep(known, box);
+  const step = steps.reassignStep(existing, box);
   return {
     state: putStep(state, step),
-    answer: { kind: "step", step: createView(step) },
+    answer: { kind: "step", step: createStepView(step) },
   };
 }
 
@@ -68,7 +68,7 @@
 export function applyBindSamples(
   state: replicatedStates.ReplicatedState,
   command: commands.BindSamples,
-): changes.Applied {
+): changes.ApplyResult {
   const step = state.steps.get(command.stepId);
   if (step === undefined) return { state, answer: { kind: "unknownStep" } };
   const { account: accountId, template: name } = step.request;
@@ -79,12 +79,13 @@
   if (account === undefined || template === undefined) {
     return { state, answer: { kind: "unknownAccount" } };
   }
-  const known = state.models.get(template.parameters.model)?.weightVersion ?? 0;
+  const publishedVersion =
+    state.models.get(template.parameters.model)?.weightVersion ?? 0;
   const outcome = steps.bindSamples(step, {
     ownerEpoch: command.ownerEpoch,
     samples: command.samples,
-    currentVersion: Math.max(known, command.trainerVersion),
-    bound: templates.getStalenessBound(template, account),
+    currentVersion: Math.max(publishedVersion, command.trainerVersion),
+    stalenessBound: templates.getStalenessBound(template, account),
   });
   return {
     state: putStep(state, outcome.step),
@@ -93,27 +94,29 @@
 }
 
 /** Notes what a trainer holds. */
-export function applyAcknowledge(
+export function applyAcknowledgeSamples(
   state: replicatedStates.ReplicatedState,
   command: commands.AcknowledgeSamples,
-): changes.Applied {
-  const known = state.steps.get(command.stepId);
-  if (known === undefined) return { state, answer: { kind: "unknownStep" } };
-  const step = steps.acknowledgeSlots(known, command.slots);
-  const put = putStep(state, step);
-  const next = steps.isComplete(step) ? forgetCompleteSteps(put, step) : put;
+): changes.ApplyResult {
+  const existing = state.steps.get(command.stepId);
+  if (existing === undefined) return { state, answer: { kind: "unknownStep" } };
+  const step = steps.acknowledgeSlots(existing, command.slots);
+  const updated = putStep(state, step);
+  const next = steps.isComplete(step)
+    ? removeExpiredStep(updated, step)
+    : updated;
   return { state: next, answer: { kind: "done" } };
 }
 
-function forgetCompleteSteps(
+function removeExpiredStep(
   state: replicatedStates.ReplicatedState,
-  newest: steps.RolloutStep,
+  completed: steps.RolloutStep,
 ): replicatedStates.ReplicatedState {
-  const old = steps.formatStepId({
-    ...newest.request,
-    step: newest.request.step - KEPT_COMPLETE_STEPS,
+  const expiredId = steps.formatStepId({
+    ...completed.request,
+    step: completed.request.step - MAX_RETAINED_COMPLETE_STEPS,
   });
-  const candidate = state.steps.get(old);
-  if (candidate === undefined || !steps.isComplete(candidate)) return state;
-  return { ...state, steps: state.steps.delete(old) };
+  const expired = state.steps.get(expiredId);
+  if (expired === undefined || !steps.isComplete(expired)) return state;
+  return { ...state, steps: state.steps.delete(expiredId) };
 }
--- a/src/replicated_state/apply_command.ts
+++ b/src/replicated_state/apply_command.ts
@@ -15,7 +15,7 @@
 export function applyCommand(
   state: replicatedStates.ReplicatedState,
   command: commands.Command,
-): changes.Applied {
+): changes.ApplyResult {
   switch (command.kind) {
     case "noOperation":
       return { state, answer: { kind: "done" } };
@@ -40,7 +40,7 @@
     case "bindSamples":
       return steps.applyBindSamples(state, command);
     case "acknowledgeSamples":
-      return steps.applyAcknowledge(state, command);
+      return steps.applyAcknowledgeSamples(state, command);
     case "forgetOld":
       return applyForgetOld(state, command);
   }
@@ -49,11 +49,11 @@
 function applyClaimCall(
   state: replicatedStates.ReplicatedState,
   command: commands.ClaimCall,
-): changes.Applied {
+): changes.ApplyResult {
   const { key, digest, claimId, atMs } = command;
   const pending: claims.ClaimState = { kind: "pending" };
-  const wanted = { digest, claimId, atMs, state: pending };
-  const decision = claims.decideClaim(state.claims.get(key), wanted);
+  const requested = { digest, claimId, atMs, state: pending };
+  const decision = claims.decideClaim(state.claims.get(key), requested);
   if (decision.kind !== "claimed") return { state, answer: decision };
   const next = { ...state, claims: state.claims.set(key, decision.claim) };
   return { state: next, answer: { kind: "claimed" } };
@@ -62,23 +62,23 @@
 function applyFinishCall(
   state: replicatedStates.ReplicatedState,
   command: commands.FinishCall,
-): changes.Applied {
+): changes.ApplyResult {
   const { key, claimId } = command;
   const held = state.claims.get(key);
-  if (!claims.isPendingFor(held, claimId)) {
+  if (!claims.isPendingClaimOf(held, claimId)) {
     return { state, answer: { kind: "done" } };
   }
-  const kept = { ...held, state: command.state };
-  const next = { ...state, claims: state.claims.set(key, kept) };
+  const finished = { ...held, state: command.state };
+  const next = { ...state, claims: state.claims.set(key, finished) };
   return { state: next, answer: { kind: "done" } };
 }
 
 function applyReleaseCall(
   state: replicatedStates.ReplicatedState,
   command: commands.ReleaseCall,
-): changes.Applied {
+): changes.ApplyResult {
   const { key, claimId } = command;
-  if (!claims.isPendingFor(state.claims.get(key), claimId)) {
+  if (!claims.isPendingClaimOf(state.claims.get(key), claimId)) {
     return { state, answer: { kind: "done" } };
   }
   const next = { ...state, claims: state.claims.delete(key) };
@@ -88,7 +88,7 @@
 function applyForgetOld(
   state: replicatedStates.ReplicatedState,
   command: commands.ForgetOld,
-): changes.Applied {
+): changes.ApplyResult {
   const { beforeMs } = command;
   const next: replicatedStates.ReplicatedState = {
     ...state,
--- a/src/results/result.ts
+++ b/src/results/result.ts
@@ -1,11 +1,11 @@
-import type * as resultCode from "./result_code.ts";
+import type * as resultCodes from "./result_code.ts";
 
 /** Whether the thing asked for ran, as far as can be said truly. */
 export type Outcome = "notRun" | "ran" | "unknown";
 
 /** A numbered error. */
 export interface Failure {
-  readonly code: resultCode.CodeName;
+  readonly code: resultCodes.ResultCodeName;
   /** What failed and why. */
   readonly message: string;
   readonly outcome: Outcome;
@@ -44,7 +44,7 @@
  * @returns A failed result.
  */
 export function createFailure(
-  code: resultCode.CodeName,
+  code: resultCodes.ResultCodeName,
   message: string,
   options: FailureOptions = {},
 ): { readonly kind: "failure"; readonly failure: Failure } {
--- a/src/results/result_code.ts
+++ b/src/results/result_code.ts
@@ -1,5 +1,5 @@
 /** One numbered result: its number, HTTP status, exit code and meaning. */
-export interface CodeEntry {
+export interface ResultCodeEntry {
   readonly number: number;
   readonly httpStatus: number;
   readonly exitCode: number;
@@ -12,7 +12,7 @@
   httpStatus: number,
   meaning: string,
   action: string,
-): CodeEntry {
+): ResultCodeEntry {
   return { number, httpStatus, meaning, action, exitCode: toExitCode(number) };
 }
 
@@ -230,7 +230,7 @@
     "An internal error",
     "Report it with the log line",
   ),
-} as const satisfies Readonly<Record<string, CodeEntry>>;
+} as const satisfies Readonly<Record<string, ResultCodeEntry>>;
 
 /** The name of a numbered result. */
-export type CodeName = keyof typeof RESULT_CODES;
+export type ResultCodeName = keyof typeof RESULT_CODES;
--- a/src/rollout_step/rollout_step.ts
+++ b/src/rollout_step/rollout_step.ts
@@ -46,7 +46,7 @@
   readonly ownerEpoch: number;
   readonly samples: readonly samples.Sample[];
   readonly currentVersion: number;
-  readonly bound: templates.StalenessBound;
+  readonly stalenessBound: templates.StalenessBound;
 }
 
 /** A step after an offer, and what became of each sample. */
@@ -92,7 +92,7 @@
  * @param owner The box.
  * @returns The step under its owner.
  */
-export function takeStep(step: RolloutStep, owner: string): RolloutStep {
+export function reassignStep(step: RolloutStep, owner: string): RolloutStep {
   if (step.owner === owner) return step;
   return { ...step, owner, ownerEpoch: step.ownerEpoch + 1 };
 }
@@ -117,7 +117,7 @@
   return step.acknowledged.size === countSlots(step);
 }
 
-function findRefusal(
+function checkBinding(
   step: RolloutStep,
   offer: BindOffer,
   sample: samples.Sample,
@@ -130,7 +130,7 @@
     return "alreadyBound";
   }
   if (offer.ownerEpoch !== step.ownerEpoch) return "otherOwner";
-  return samples.isFresh(sample, offer.currentVersion, offer.bound)
+  return samples.isFresh(sample, offer.currentVersion, offer.stalenessBound)
     ? undefined
     : "stale";
 }
@@ -144,7 +144,7 @@
  */
 export function bindSamples(step: RolloutStep, offer: BindOffer): BindOutcome {
   return offer.samples.reduce<BindOutcome>((outcome, sample) => {
-    const refusal = findRefusal(outcome.step, offer, sample);
+    const refusal = checkBinding(outcome.step, offer, sample);
     const { slot, sampleId } = sample;
     const answers = [...outcome.answers, { slot, sampleId, refusal }];
     if (refusal !== undefined) return { step: outcome.step, answers };
--- a/src/rollout_step/sample.ts
+++ b/src/rollout_step/sample.ts
@@ -22,7 +22,7 @@
 }
 
 /** Time that handing over may take after the check, in ms. */
-export const HANDOVER_MARGIN_MS = 500;
+export const DELIVERY_MARGIN_MS = 500;
 
 /**
  * Gives the oldest weight version in a sample.
@@ -48,9 +48,9 @@
   currentVersion: number,
   bound: templates.StalenessBound,
 ): boolean {
-  const behind = currentVersion - getOldestVersion(sample);
-  return behind <= bound.versions &&
-    sample.ageMs + HANDOVER_MARGIN_MS <= bound.ageMs;
+  const versionLag = currentVersion - getOldestVersion(sample);
+  return versionLag <= bound.versions &&
+    sample.ageMs + DELIVERY_MARGIN_MS <= bound.ageMs;
 }
 
 /**
@@ -60,7 +60,7 @@
  * @param weightVersion Version that produced the token.
  * @returns The spans with one more token.
  */
-export function addToken(
+export function appendToken(
   spans: readonly VersionSpan[],
   weightVersion: number,
 ): readonly VersionSpan[] {
--- a/src/routing/choose_server.ts
+++ b/src/routing/choose_server.ts
@@ -6,7 +6,7 @@
   /** Requests that it serves at once. */
   readonly slots: number;
   /** Requests expected in it: reported ones and those sent since. */
-  readonly expected: number;
+  readonly expectedRequests: number;
   /** Weight version by model; empty for plain servers. */
   readonly models: ReadonlyMap<string, number>;
   /** It failed lately; used only when all others failed too. */
@@ -16,7 +16,7 @@
 }
 
 /** What a request needs. */
-export interface Need {
+export interface RoutingRequirements {
   readonly service: string;
   /** Model that must be loaded; undefined for plain services. */
   readonly model: string | undefined;
@@ -27,42 +27,48 @@
   /** Servers that were tried already. */
   readonly excluded: ReadonlySet<string>;
   /** Servers that likely hold the prompt's prefix. */
-  readonly preferred: ReadonlySet<string>;
+  readonly prefixHolders: ReadonlySet<string>;
 }
 
 /** Load, against the mean, up to which a server that holds the prefix is used. */
-const AFFINITY_LOAD_BOUND = 1.25;
+const MAX_PREFIX_LOAD_FACTOR = 1.25;
 
-function canServe(candidate: Candidate, need: Need): boolean {
+function canServe(
+  candidate: Candidate,
+  requirements: RoutingRequirements,
+): boolean {
   const { server, models } = candidate;
-  if (server.service !== need.service || server.state !== "live") return false;
-  if (need.excluded.has(server.id)) return false;
-  if (!backends.canUse(candidate.role, need.use)) return false;
-  if (need.model === undefined) return true;
-  const weightVersion = models.get(need.model);
-  return weightVersion !== undefined && weightVersion >= need.minVersion;
+  if (server.service !== requirements.service || server.state !== "live") {
+    return false;
+  }
+  if (requirements.excluded.has(server.id)) return false;
+  if (!backends.canServeUse(candidate.role, requirements.use)) return false;
+  if (requirements.model === undefined) return true;
+  const weightVersion = models.get(requirements.model);
+  return weightVersion !== undefined &&
+    weightVersion >= requirements.minVersion;
 }
 
 /** Load after taking one more request, in servers' worth of slots. */
 function computeLoad(candidate: Candidate): number {
-  return (candidate.expected + 1) / candidate.slots;
+  return (candidate.expectedRequests + 1) / candidate.slots;
 }
 
 /** The least loaded server that holds the prefix, unless its load is high. */
-function choosePreferred(
+function choosePrefixHolder(
   pool: readonly Candidate[],
-  preferred: ReadonlySet<string>,
+  prefixHolders: ReadonlySet<string>,
 ): backends.BackendServer | undefined {
-  if (preferred.size === 0) return undefined;
+  if (prefixHolders.size === 0) return undefined;
   const [best] = pool
-    .filter((candidate) => preferred.has(candidate.server.id))
+    .filter((candidate) => prefixHolders.has(candidate.server.id))
     .sort((a, b) => computeLoad(a) - computeLoad(b));
   if (best === undefined) return undefined;
   const total = pool.reduce(
     (sum, candidate) => sum + computeLoad(candidate),
     0,
   );
-  const bound = AFFINITY_LOAD_BOUND * total / pool.length;
+  const bound = MAX_PREFIX_LOAD_FACTOR * total / pool.length;
   return computeLoad(best) <= bound ? best.server : undefined;
 }
 
@@ -73,22 +79,24 @@
  * herd.
  *
  * @param candidates All backend servers.
- * @param need What the request needs.
- * @param draw Gives a number from 0 to below 1.
+ * @param requirements What the request needs.
+ * @param drawRandom Gives a number from 0 to below 1.
  * @returns The server, or undefined if none can serve.
  */
 export function chooseServer(
   candidates: readonly Candidate[],
-  need: Need,
-  draw: () => number,
+  requirements: RoutingRequirements,
+  drawRandom: () => number,
 ): backends.BackendServer | undefined {
-  const able = candidates.filter((candidate) => canServe(candidate, need));
-  const sound = able.filter((candidate) => !candidate.isSuspect);
-  const pool = sound.length > 0 ? sound : able;
-  const holder = choosePreferred(pool, need.preferred);
-  if (holder !== undefined) return holder;
-  const first = pool[Math.floor(draw() * pool.length)];
-  const second = pool[Math.floor(draw() * pool.length)];
+  const eligible = candidates.filter((candidate) =>
+    canServe(candidate, requirements)
+  );
+  const healthy = eligible.filter((candidate) => !candidate.isSuspect);
+  const pool = healthy.length > 0 ? healthy : eligible;
+  const prefixHolder = choosePrefixHolder(pool, requirements.prefixHolders);
+  if (prefixHolder !== undefined) return prefixHolder;
+  const first = pool[Math.floor(drawRandom() * pool.length)];
+  const second = pool[Math.floor(drawRandom() * pool.length)];
   if (first === undefined || second === undefined) return undefined;
   const isFirst = computeLoad(first) <= computeLoad(second);
   return isFirst ? first.server : second.server;
--- a/src/routing/prefix_table.ts
+++ b/src/routing/prefix_table.ts
@@ -31,7 +31,7 @@
   }
 
   /** Gives the servers that likely hold a prefix. */
-  find(prefix: string): ReadonlySet<string> {
+  findServers(prefix: string): ReadonlySet<string> {
     return this.#servers.get(prefix) ?? NO_SERVERS;
   }
 }
--- a/src/routing/routing_test.ts
+++ b/src/routing/routing_test.ts
@@ -18,7 +18,7 @@
       checksFence: false,
     },
     slots: 10,
-    expected: 0,
+    expectedRequests: 0,
     models: new Map([["lm", 3]]),
     isSuspect: false,
     role: "mixed",
@@ -26,29 +26,29 @@
   };
 }
 
-function createNeed(
-  fields: Partial<chooseServer.Need> = {},
-): chooseServer.Need {
+function createRequirements(
+  fields: Partial<chooseServer.RoutingRequirements> = {},
+): chooseServer.RoutingRequirements {
   return {
     service: "lm",
     use: "caller",
     model: "lm",
     minVersion: 0,
     excluded: new Set(),
-    preferred: new Set(),
+    prefixHolders: new Set(),
     ...fields,
   };
 }
 
 function choose(
   candidates: readonly chooseServer.Candidate[],
-  need: chooseServer.Need,
+  requirements: chooseServer.RoutingRequirements,
   draws: readonly number[] = [0, 0.99],
 ): string | undefined {
   let turn = 0;
   const server = chooseServer.chooseServer(
     candidates,
-    need,
+    requirements,
     () => draws[turn++ % draws.length] ?? 0,
   );
   return server?.id;
@@ -57,15 +57,15 @@
 describe("routing", () => {
   it("takes the less loaded of the two servers that are drawn", () => {
     const pair = [
-      createCandidate("a", { expected: 5 }),
-      createCandidate("b", { expected: 4 }),
+      createCandidate("a", { expectedRequests: 5 }),
+      createCandidate("b", { expectedRequests: 4 }),
     ];
-    chai.expect(choose(pair, createNeed())).to.equal("b");
+    chai.expect(choose(pair, createRequirements())).to.equal("b");
     chai.expect(
       choose([
-        createCandidate("a", { expected: 5, slots: 100 }),
-        createCandidate("b", { expected: 4 }),
-      ], createNeed()),
+        createCandidate("a", { expectedRequests: 5, slots: 100 }),
+        createCandidate("b", { expectedRequests: 4 }),
+      ], createRequirements()),
     ).to.equal("a");
   });
 
@@ -76,49 +76,55 @@
       createCandidate("b"),
       createCandidate("c", { models: new Map([["lm", 2]]) }),
     ];
-    chai.expect(choose(candidates, createNeed({ minVersion: 3 }))).to.equal(
-      "b",
-    );
+    chai.expect(choose(candidates, createRequirements({ minVersion: 3 }))).to
+      .equal(
+        "b",
+      );
     chai.expect(
       choose(
         candidates,
-        createNeed({ minVersion: 3, excluded: new Set(["b"]) }),
+        createRequirements({ minVersion: 3, excluded: new Set(["b"]) }),
       ),
     ).to.equal(undefined);
-    chai.expect(choose(candidates, createNeed({ model: "other" }))).to.equal(
-      undefined,
-    );
+    chai.expect(choose(candidates, createRequirements({ model: "other" }))).to
+      .equal(
+        undefined,
+      );
   });
 
   it("keeps to an engine's role", () => {
     const candidates = [
       createCandidate("a", { role: "rollout" }),
-      createCandidate("b", { role: "caller", expected: 9 }),
+      createCandidate("b", { role: "caller", expectedRequests: 9 }),
     ];
-    chai.expect(choose(candidates, createNeed())).to.equal("b");
-    chai.expect(choose(candidates, createNeed({ use: "rollout" }))).to.equal(
-      "a",
-    );
+    chai.expect(choose(candidates, createRequirements())).to.equal("b");
+    chai.expect(choose(candidates, createRequirements({ use: "rollout" }))).to
+      .equal(
+        "a",
+      );
   });
 
   it("takes a suspect server only when all are suspect", () => {
     const suspect = createCandidate("a", { isSuspect: true });
     chai.expect(
-      choose([suspect, createCandidate("b", { expected: 9 })], createNeed()),
+      choose(
+        [suspect, createCandidate("b", { expectedRequests: 9 })],
+        createRequirements(),
+      ),
     ).to.equal("b");
-    chai.expect(choose([suspect], createNeed())).to.equal("a");
+    chai.expect(choose([suspect], createRequirements())).to.equal("a");
   });
 
   it("takes the server that holds the prefix while its load is near the mean", () => {
-    const need = createNeed({ preferred: new Set(["a"]) });
+    const need = createRequirements({ prefixHolders: new Set(["a"]) });
     const others = ["b", "c", "d"].map((id) =>
-      createCandidate(id, { expected: 4 })
+      createCandidate(id, { expectedRequests: 4 })
     );
     chai.expect(
-      choose([createCandidate("a", { expected: 5 }), ...others], need),
+      choose([createCandidate("a", { expectedRequests: 5 }), ...others], need),
     ).to.equal("a");
     chai.expect(
-      choose([createCandidate("a", { expected: 9 }), ...others], need),
+      choose([createCandidate("a", { expectedRequests: 9 }), ...others], need),
     ).to.equal("d");
   });
 
@@ -128,8 +134,9 @@
     table.add("p", "b");
     table.add("q", "b");
     table.remove("p", "a");
-    chai.expect([...table.find("p")]).to.deep.equal(["b"]);
+    chai.expect([...table.findServers("p")]).to.deep.equal(["b"]);
     table.removeServer("b");
-    chai.expect(table.find("p").size + table.find("q").size).to.equal(0);
+    chai.expect(table.findServers("p").size + table.findServers("q").size).to
+      .equal(0);
   });
 });
--- a/src/routing/server_table.ts
+++ b/src/routing/server_table.ts
@@ -10,7 +10,7 @@
 import * as prefixTables from "./prefix_table.ts";
 
 /** Time for which a server that failed is avoided, in ms. */
-const SUSPECT_MS = 1_000;
+const SUSPECT_DURATION_MS = 1_000;
 const DEFAULT_SLOTS = 16;
 const NO_SERVERS: ReadonlySet<string> = new Set();
 
@@ -61,7 +61,7 @@
 
   /** Starts to read reports; runs until stopped. */
   start(): void {
-    void csp.runProcess(() => this.#run(), () => {});
+    void csp.runProcess(() => this.#pollServers(), () => {});
   }
 
   stop(): void {
@@ -69,18 +69,20 @@
   }
 
   /** Chooses a server for a request. */
-  choose(need: chooseServer.Need): backends.BackendServer | undefined {
+  choose(
+    requirements: chooseServer.RoutingRequirements,
+  ): backends.BackendServer | undefined {
     const { servers } = this.#options.client.getView().membership;
-    const candidates = servers.map((server) => this.#describe(server));
+    const candidates = servers.map((server) => this.#createCandidate(server));
     return chooseServer.chooseServer(
       candidates,
-      need,
+      requirements,
       () => uniform.uniformFloat64(this.#random),
     );
   }
 
   /** Chooses a server of a plain service. */
-  choosePlain(
+  chooseForService(
     service: string,
     excluded: ReadonlySet<string>,
   ): backends.BackendServer | undefined {
@@ -90,33 +92,36 @@
       use: "caller",
       minVersion: 0,
       excluded,
-      preferred: NO_SERVERS,
+      prefixHolders: NO_SERVERS,
     });
   }
 
   /** Chooses a server for a prompt, and notes that it will hold the prefix. */
-  choosePrompt(
-    need: Omit<chooseServer.Need, "preferred">,
+  chooseForPrompt(
+    requirements: Omit<chooseServer.RoutingRequirements, "prefixHolders">,
     prompt: string,
   ): backends.BackendServer | undefined {
     const prefix = engines.hashPrefix(prompt);
-    const preferred = this.#prefixes.find(prefix);
-    const server = this.choose({ ...need, preferred });
+    const prefixHolders = this.#prefixes.findServers(prefix);
+    const server = this.choose({
+      ...requirements,
+      prefixHolders: prefixHolders,
+    });
     if (server !== undefined) this.#prefixes.add(prefix, server.id);
     return server;
   }
 
   /** Notes that a request goes to a server. */
   addRequest(id: string): void {
-    const record = this.#get(id);
+    const record = this.#getRecord(id);
     this.#records.set(id, { ...record, inFlight: record.inFlight + 1 });
   }
 
   /** Notes that a request to a server ended, and how. */
   removeRequest(id: string, isFailed: boolean): void {
-    const record = this.#get(id);
+    const record = this.#getRecord(id);
     const suspectUntilMs = isFailed
-      ? this.#options.clock.getMonotonicMs() + SUSPECT_MS
+      ? this.#options.clock.getMonotonicMs() + SUSPECT_DURATION_MS
       : record.suspectUntilMs;
     this.#records.set(id, {
       ...record,
@@ -125,26 +130,26 @@
     });
   }
 
-  #get(id: string): ServerRecord {
+  #getRecord(id: string): ServerRecord {
     return this.#records.get(id) ?? UNKNOWN_SERVER;
   }
 
-  #describe(server: backends.BackendServer): chooseServer.Candidate {
-    const record = this.#get(server.id);
+  #createCandidate(server: backends.BackendServer): chooseServer.Candidate {
+    const record = this.#getRecord(server.id);
     const { report } = record;
     const reported = report === undefined ? 0 : report.active + report.queued;
     const sentSince = record.inFlight - record.inFlightAtReport;
     return {
       server,
       slots: report?.slots ?? DEFAULT_SLOTS,
-      expected: Math.max(record.inFlight, reported + sentSince),
+      expectedRequests: Math.max(record.inFlight, reported + sentSince),
       models: record.models,
       role: report?.role ?? "mixed",
       isSuspect: this.#options.clock.getMonotonicMs() < record.suspectUntilMs,
     };
   }
 
-  *#run(): csp.Step<void> {
+  *#pollServers(): csp.Step<void> {
     while (!this.#isStopped) {
       const { servers } = this.#options.client.getView().membership;
       for (const id of this.#records.keys()) {
@@ -153,7 +158,7 @@
         }
       }
       yield* csp.waitFor(
-        Promise.all(servers.map((server) => this.#readServer(server))),
+        Promise.all(servers.map((server) => this.#pollServer(server))),
       );
       yield* csp.waitFor(
         clocks.sleep(this.#options.clock, this.#options.pollMs),
@@ -161,14 +166,14 @@
     }
   }
 
-  async #readServer(server: backends.BackendServer): Promise<void> {
+  async #pollServer(server: backends.BackendServer): Promise<void> {
     await this.#readReport(server);
     if (server.kind === "language") await this.#readCacheEvents(server);
   }
 
   /** A gap in the events means that evictions may have been missed. */
   async #readCacheEvents(server: backends.BackendServer): Promise<void> {
-    const { cacheSequence } = this.#get(server.id);
+    const { cacheSequence } = this.#getRecord(server.id);
     const read = await engines.readCacheEvents(server, cacheSequence);
     if (read.kind === "failure") return;
     let expected = cacheSequence + 1;
@@ -178,15 +183,16 @@
       if (kind === "stored") this.#prefixes.add(prefix, server.id);
       else this.#prefixes.remove(prefix, server.id);
     }
-    const record = this.#get(server.id);
+    const record = this.#getRecord(server.id);
     this.#records.set(server.id, { ...record, cacheSequence: expected - 1 });
   }
 
   async #readReport(server: backends.BackendServer): Promise<void> {
     const read = await engines.readReport(server);
-    const record = this.#get(server.id);
+    const record = this.#getRecord(server.id);
     if (read.kind === "failure") {
-      const suspectUntilMs = this.#options.clock.getMonotonicMs() + SUSPECT_MS;
+      const suspectUntilMs = this.#options.clock.getMonotonicMs() +
+        SUSPECT_DURATION_MS;
       this.#prefixes.removeServer(server.id);
       this.#records.set(server.id, {
         ...record,
@@ -195,14 +201,14 @@
       });
       return;
     }
-    const isSame = record.report === undefined ||
+    const isSameProcess = record.report === undefined ||
       record.report.born === read.value.born;
     // A later start keeps no prompt parts, and counts its events anew.
-    if (!isSame) this.#prefixes.removeServer(server.id);
+    if (!isSameProcess) this.#prefixes.removeServer(server.id);
     this.#records.set(server.id, {
       ...record,
-      cacheSequence: isSame ? record.cacheSequence : 0,
-      suspectUntilMs: isSame ? record.suspectUntilMs : 0,
+      cacheSequence: isSameProcess ? record.cacheSequence : 0,
+      suspectUntilMs: isSameProcess ? record.suspectUntilMs : 0,
       report: read.value,
       models: new Map(Object.entries(read.value.models)),
       inFlightAtReport: record.inFlight,
--- a/src/routing/server_table_test.ts
+++ b/src/routing/server_table_test.ts
@@ -9,7 +9,7 @@
 
 const POLL_MS = 100;
 /** Turns of 1 ms in which a poll must be over. */
-const MAX_TURNS = 500;
+const MAX_POLL_WAITS = 500;
 
 /** An engine that keeps prompt parts, and forgets them when it starts again. */
 class FakeEngine {
@@ -84,8 +84,8 @@
 
     async function poll(): Promise<void> {
       const before = pair.map(({ polls }) => polls);
-      clock.extendBy(POLL_MS);
-      for (let turn = 0; turn < MAX_TURNS; turn += 1) {
+      clock.advance(POLL_MS);
+      for (let wait = 0; wait < MAX_POLL_WAITS; wait += 1) {
         await new Promise((resolve) => setTimeout(resolve, 1));
         if (pair.every(({ polls }, at) => polls > before[at]!)) break;
       }
@@ -93,7 +93,7 @@
     }
 
     /** Whether the first engine is chosen for a prompt, asked once for each. */
-    function isAtFirst(prompt: string): boolean {
+    function isRoutedToFirst(prompt: string): boolean {
       const need = {
         service: "lm",
         model: "m",
@@ -101,23 +101,31 @@
         minVersion: 0,
         excluded: new Set<string>(),
       } as const;
-      return table.choosePrompt(need, prompt)?.id === "e-0";
+      return table.chooseForPrompt(need, prompt)?.id === "e-0";
     }
 
-    const old = ["old 1", "old 2", "old 3"];
-    first!.prefixes = old.map(engines.hashPrefix);
+    const oldPrompts = ["old 1", "old 2", "old 3"];
+    first!.prefixes = oldPrompts.map(engines.hashPrefix);
     table.start();
     await poll();
-    chai.expect(isAtFirst("old 1")).to.equal(true);
+    chai.expect(isRoutedToFirst("old 1")).to.equal(true);
     first!.born = 2_000;
     first!.prefixes = [engines.hashPrefix("new 1")];
     await poll();
-    chai.expect(isAtFirst("new 1")).to.equal(true);
-    const fresh = Array.from({ length: 6 }, (_, index) => `new ${index + 2}`);
-    first!.prefixes = [...first!.prefixes, ...fresh.map(engines.hashPrefix)];
+    chai.expect(isRoutedToFirst("new 1")).to.equal(true);
+    const newPrompts = Array.from(
+      { length: 6 },
+      (_, index) => `new ${index + 2}`,
+    );
+    first!.prefixes = [
+      ...first!.prefixes,
+      ...newPrompts.map(engines.hashPrefix),
+    ];
     await poll();
-    for (const prompt of fresh) chai.expect(isAtFirst(prompt)).to.equal(true);
+    for (const prompt of newPrompts) {
+      chai.expect(isRoutedToFirst(prompt)).to.equal(true);
+    }
     table.stop();
-    clock.extendBy(POLL_MS);
+    clock.advance(POLL_MS);
   });
 });
--- a/src/rpc/_shared_text.ts
+++ b/src/rpc/_compression_dictionary.ts
@@ -3,7 +3,7 @@
  * frequent last. Messages that look otherwise are only compressed less. It must
  * be the same on both sides, so a changed text needs a new frame format.
  */
-export const SHARED_TEXT = Buffer.from([
+export const COMPRESSION_DICTIONARY = Buffer.from([
   `{"id":"i-","service":"","address":"10.","port":8080,"failureDomain":"","slots":12,"phase":"ready","coldMs":0,"sequence":1,"models":[{"name":"","version":1}]}`,
   `{"id":"10.","name":"frontend-","failureDomain":"","region":"","peerPort":7720,"callerAddress":"10.","isCore":false,"isStore":false,"isReady":true,"isLeaving":false,"ledTerm":0,"startedAtMs":17,"sequence":0}`,
   `{"jsonrpc":"2.0","id":1,"method":"submission.read","params":{"id":"","after":0,"waitMs":400}}`,
--- a/src/rpc/_private.ts
+++ b/src/rpc/_framing.ts
@@ -1,6 +1,6 @@
 import type * as net from "node:net";
 import * as zlib from "node:zlib";
-import * as sharedText from "./_shared_text.ts";
+import * as compressionDictionary from "./_compression_dictionary.ts";
 
 /** Longest message between boxes, in bytes, before it is decompressed. */
 export const MAX_MESSAGE_BYTES = 64 * 1024 * 1024;
@@ -13,20 +13,20 @@
  * JSON text, compressed unless it is long, to save bytes between failure domains.
  */
 const HEADER_BYTES = 5;
-const PLAIN_FORMAT = 0;
-const DEFLATED_FORMAT = 1;
+const UNCOMPRESSED_FORMAT = 0;
+const DEFLATE_FORMAT = 1;
 /** Deflated after `SHARED_TEXT`, which the receiver has as well. */
-const SHORT_FORMAT = 2;
+const DICTIONARY_FORMAT = 2;
 /**
  * Texts shorter than this are compressed against the shared text: a refresh of
  * 273 bytes takes 48 then, an empty append of 232 takes 40, at some 30 us to
  * write and 15 us to read. They made 14 of the 67 MB that 28 boxes sent across
  * failure domains in 50 s.
  */
-const MIN_DEFLATED_BYTES = 1_024;
+const MIN_DEFLATE_BYTES = 1_024;
 /** A short text fits into the smallest window beside the shared text. */
-const SHORT_OPTIONS: zlib.ZlibOptions = {
-  dictionary: sharedText.SHARED_TEXT,
+const DICTIONARY_OPTIONS: zlib.ZlibOptions = {
+  dictionary: compressionDictionary.COMPRESSION_DICTIONARY,
   windowBits: 12,
   memLevel: 5,
 };
@@ -36,7 +36,7 @@
  * compressed, while the log for a replica that lost its disk would hold the
  * event loop up for over a second.
  */
-const MAX_DEFLATED_BYTES = 512 * 1_024;
+const MAX_DEFLATE_BYTES = 512 * 1_024;
 const DEFLATE_LEVEL = 1;
 
 /**
@@ -51,70 +51,70 @@
 ): void {
   let chunks: Buffer[] = [];
   let size = 0;
-  let wanted = HEADER_BYTES;
+  let neededBytes = HEADER_BYTES;
   socket.on("data", (chunk: Buffer) => {
     chunks.push(chunk);
     size += chunk.length;
-    if (size < wanted) return;
+    if (size < neededBytes) return;
     const read = readFrames(Buffer.concat(chunks, size), onMessage);
     if (read === undefined) return void socket.destroy();
-    chunks = [read.rest];
-    size = read.rest.length;
-    wanted = read.wanted;
+    chunks = [read.remainder];
+    size = read.remainder.length;
+    neededBytes = read.neededBytes;
   });
 }
 
-interface ReadFrames {
+interface FrameReadResult {
   /** Bytes of a frame that is not whole yet. */
-  readonly rest: Buffer;
+  readonly remainder: Buffer;
   /** Bytes that the frame needs to be whole. */
-  readonly wanted: number;
+  readonly neededBytes: number;
 }
 
 /** Reads the whole frames; undefined when the bytes are no frames. */
 function readFrames(
   bytes: Buffer,
   onMessage: (message: unknown) => void,
-): ReadFrames | undefined {
+): FrameReadResult | undefined {
   let offset = 0;
   while (bytes.length - offset >= HEADER_BYTES) {
     const length = bytes.readUInt32BE(offset);
     if (length > MAX_MESSAGE_BYTES) return undefined;
     const end = offset + HEADER_BYTES + length;
     if (end > bytes.length) {
-      return { rest: bytes.subarray(offset), wanted: end - offset };
+      return { remainder: bytes.subarray(offset), neededBytes: end - offset };
     }
     const format = bytes.readUInt8(offset + HEADER_BYTES - 1);
     const payload = bytes.subarray(offset + HEADER_BYTES, end);
-    if (!readPayload(format, payload, onMessage)) return undefined;
+    if (!deliverMessage(format, payload, onMessage)) return undefined;
     offset = end;
   }
-  return { rest: bytes.subarray(offset), wanted: HEADER_BYTES };
+  return { remainder: bytes.subarray(offset), neededBytes: HEADER_BYTES };
 }
 
-function readPayload(
+function deliverMessage(
   format: number,
   payload: Buffer,
   onMessage: (message: unknown) => void,
 ): boolean {
   try {
-    onMessage(JSON.parse(decodeText(format, payload).toString("utf8")));
+    onMessage(JSON.parse(decodePayload(format, payload).toString("utf8")));
     return true;
   } catch {
     return false;
   }
 }
 
-function decodeText(format: number, payload: Buffer): Buffer {
+function decodePayload(format: number, payload: Buffer): Buffer {
   switch (format) {
-    case DEFLATED_FORMAT:
+    case DEFLATE_FORMAT:
       return zlib.inflateRawSync(payload, {
         maxOutputLength: MAX_MESSAGE_BYTES,
       });
-    case SHORT_FORMAT:
+    case DICTIONARY_FORMAT:
       return zlib.inflateRawSync(payload, {
-        ...SHORT_OPTIONS,
-        maxOutputLength: MIN_DEFLATED_BYTES,
+        ...DICTIONARY_OPTIONS,
+        maxOutputLength: MIN_DEFLATE_BYTES,
       });
     default:
       return payload;
@@ -125,10 +125,10 @@
  * Frames of notifications by their parameters. A notification is often told to
  * many boxes at once; it is encoded and compressed for the first one only.
  */
-const sharedFrames = new WeakMap<object, Buffer>();
+const cachedFrames = new WeakMap<object, Buffer>();
 
 /** Parameters of notifications that are sent as they are. */
-const plainParams = new WeakSet<object>();
+const uncompressedParams = new WeakSet<object>();
 
 /**
  * Has a notification sent uncompressed: for bulk, where the sender's time is
@@ -136,8 +136,8 @@
  *
  * @param params Its parameters.
  */
-export function markPlain(params: object): void {
-  plainParams.add(params);
+export function disableCompression(params: object): void {
+  uncompressedParams.add(params);
 }
 
 /** A JSON-RPC message, as far as it is read here. */
@@ -148,7 +148,7 @@
 }
 
 /** Gives the parameters of a notification; undefined for other messages. */
-function getNotified(message: Envelope): object | undefined {
+function getNotificationParams(message: Envelope): object | undefined {
   const { id, method, params } = message;
   if (id !== undefined || method === undefined) return undefined;
   return typeof params === "object" && params !== null ? params : undefined;
@@ -162,22 +162,22 @@
  * @returns The bytes to send.
  */
 export function encodeFrame(message: unknown): Buffer {
-  const notified = getNotified(message as Envelope);
-  if (notified === undefined) return createFrame(message);
-  const known = sharedFrames.get(notified);
-  if (known !== undefined) return known;
+  const params = getNotificationParams(message as Envelope);
+  if (params === undefined) return createFrame(message);
+  const cached = cachedFrames.get(params);
+  if (cached !== undefined) return cached;
   const frame = createFrame(message);
-  sharedFrames.set(notified, frame);
+  cachedFrames.set(params, frame);
   return frame;
 }
 
 function createFrame(message: unknown): Buffer {
   const text = Buffer.from(JSON.stringify(message));
-  const notified = getNotified(message as Envelope);
-  const isPlain = notified !== undefined && plainParams.has(notified);
-  const { format, payload } = isPlain
-    ? { format: PLAIN_FORMAT, payload: text }
-    : encodeText(text);
+  const params = getNotificationParams(message as Envelope);
+  const isUncompressed = params !== undefined && uncompressedParams.has(params);
+  const { format, payload } = isUncompressed
+    ? { format: UNCOMPRESSED_FORMAT, payload: text }
+    : encodePayload(text);
   const header = Buffer.alloc(HEADER_BYTES);
   header.writeUInt32BE(payload.length, 0);
   header.writeUInt8(format, HEADER_BYTES - 1);
@@ -185,21 +185,21 @@
 }
 
 /** A text as a frame carries it. */
-interface EncodedText {
+interface EncodedPayload {
   readonly format: number;
   readonly payload: Buffer;
 }
 
-function encodeText(text: Buffer): EncodedText {
-  if (text.length < MIN_DEFLATED_BYTES) {
-    const payload = zlib.deflateRawSync(text, SHORT_OPTIONS);
-    return { format: SHORT_FORMAT, payload };
+function encodePayload(text: Buffer): EncodedPayload {
+  if (text.length < MIN_DEFLATE_BYTES) {
+    const payload = zlib.deflateRawSync(text, DICTIONARY_OPTIONS);
+    return { format: DICTIONARY_FORMAT, payload };
   }
-  if (text.length > MAX_DEFLATED_BYTES) {
-    return { format: PLAIN_FORMAT, payload: text };
+  if (text.length > MAX_DEFLATE_BYTES) {
+    return { format: UNCOMPRESSED_FORMAT, payload: text };
   }
   const payload = zlib.deflateRawSync(text, { level: DEFLATE_LEVEL });
-  return { format: DEFLATED_FORMAT, payload };
+  return { format: DEFLATE_FORMAT, payload };
 }
 
 /** Writes one message as a frame. */
--- a/src/rpc/mod.ts
+++ b/src/rpc/mod.ts
@@ -8,6 +8,6 @@
  * ```
  * @module
  */
-export { markPlain } from "./_private.ts";
+export { disableCompression as disableCompression } from "./_framing.ts";
 export * from "./rpc_client.ts";
 export * from "./rpc_server.ts";
--- a/src/rpc/rpc_client.ts
+++ b/src/rpc/rpc_client.ts
@@ -1,7 +1,7 @@
 import * as net from "node:net";
 import * as jsonRpc from "json-rpc-2.0";
 import * as results from "../results/mod.ts";
-import * as internals from "./_private.ts";
+import * as framing from "./_framing.ts";
 
 /** Where a box listens for its peers. */
 export interface PeerAddress {
@@ -10,17 +10,17 @@
 }
 
 /** Largest number of bytes that wait for one slow peer. */
-const MAX_BUFFERED_BYTES = 32 * 1024 * 1024;
+const MAX_WRITE_BUFFER_BYTES = 32 * 1024 * 1024;
 const CONNECT_TIMEOUT_MS = 1_000;
 /** Time after a notification at which the peer is asked for a sign of life, in ms. */
-const PING_MS = 1_000;
+const PING_INTERVAL_MS = 1_000;
 /** Reason given to calls whose connection was never made. */
-const NOT_CONNECTED = "the connection was not made";
+const NOT_CONNECTED_REASON = "the connection was not made";
 
 /** Another box that can be called. */
 export interface Peer {
   /** Sends a message that has no answer; it may be lost. */
-  tell(method: string, params: object): void;
+  notify(method: string, params: object): void;
   /** Calls a method and waits for its result. */
   call<T>(method: string, params: object, timeoutMs: number): Promise<T>;
 }
@@ -28,27 +28,27 @@
 /** Calls another box by JSON-RPC over one TCP connection, made on demand. */
 export class RpcClient implements Peer {
   readonly #peer: PeerAddress;
-  readonly #pingMs: number;
+  readonly #pingIntervalMs: number;
   readonly #client: jsonRpc.JSONRPCClient;
   #socket: net.Socket | undefined;
-  #ping: NodeJS.Timeout | undefined;
+  #pingTimer: NodeJS.Timeout | undefined;
   #isClosed = false;
 
   /**
    * @param peer Where the box listens.
-   * @param pingMs How soon a box that was told something must show that it
+   * @param pingIntervalMs How soon a box that was told something must show that it
    * hears, in ms.
    */
-  constructor(peer: PeerAddress, pingMs = PING_MS) {
+  constructor(peer: PeerAddress, pingIntervalMs = PING_INTERVAL_MS) {
     this.#peer = peer;
-    this.#pingMs = pingMs;
+    this.#pingIntervalMs = pingIntervalMs;
     this.#client = new jsonRpc.JSONRPCClient((message) =>
       this.#sendMessage(message)
     );
   }
 
   /** Sends a message that has no answer; it may be lost. */
-  tell(method: string, params: object): void {
+  notify(method: string, params: object): void {
     if (this.#isClosed) return;
     try {
       this.#client.notify(method, params);
@@ -63,16 +63,16 @@
    * a reset would swallow them for ever; a ping without an answer ends it.
    */
   #schedulePing(): void {
-    if (this.#ping !== undefined) return;
-    this.#ping = setTimeout(() => {
-      this.call(internals.PING_METHOD, {}, this.#pingMs)
+    if (this.#pingTimer !== undefined) return;
+    this.#pingTimer = setTimeout(() => {
+      this.call(framing.PING_METHOD, {}, this.#pingIntervalMs)
         // The failed call has ended a silent connection; nothing else is owed.
         .catch(() => {})
         .finally(() => {
-          this.#ping = undefined;
+          this.#pingTimer = undefined;
         });
-    }, this.#pingMs);
-    this.#ping.unref();
+    }, this.#pingIntervalMs);
+    this.#pingTimer.unref();
   }
 
   /**
@@ -82,42 +82,42 @@
    * connection was made, and unknown otherwise.
    */
   async call<T>(method: string, params: object, timeoutMs: number): Promise<T> {
-    const readBefore = this.#countRead();
+    const bytesReadBefore = this.#getBytesRead();
     try {
       return await this.#client.timeout(timeoutMs).request(method, params) as T;
     } catch (error) {
       const { message } = error as Error;
-      this.#dropSilent(readBefore);
+      this.#closeIfSilent(bytesReadBefore);
       throw new results.FailureError({
         code: "connectFailed",
         message: `Cannot call ${method} at ${this.#peer.address}: ${message}`,
-        outcome: message === NOT_CONNECTED ? "notRun" : "unknown",
+        outcome: message === NOT_CONNECTED_REASON ? "notRun" : "unknown",
       });
     }
   }
 
   close(): void {
     this.#isClosed = true;
-    clearTimeout(this.#ping);
+    clearTimeout(this.#pingTimer);
     this.#socket?.destroy();
   }
 
-  #countRead(): number {
+  #getBytesRead(): number {
     return this.#socket?.bytesRead ?? 0;
   }
 
   /** Gives up a connection that brought nothing during a whole failed call. */
-  #dropSilent(readBefore: number): void {
-    if (this.#countRead() === readBefore) this.#socket?.destroy();
+  #closeIfSilent(bytesReadBefore: number): void {
+    if (this.#getBytesRead() === bytesReadBefore) this.#socket?.destroy();
   }
 
   #sendMessage(message: unknown): void {
     const socket = this.#openSocket();
-    if (socket.writableLength > MAX_BUFFERED_BYTES) {
+    if (socket.writableLength > MAX_WRITE_BUFFER_BYTES) {
       socket.destroy();
       throw new Error("the connection is full");
     }
-    internals.writeMessage(socket, message);
+    framing.writeMessage(socket, message);
   }
 
   #openSocket(): net.Socket {
@@ -136,11 +136,11 @@
     });
     socket.on("error", () => socket.destroy());
     socket.on("close", () =>
-      this.#dropSocket(
+      this.#handleSocketClose(
         socket,
-        isConnected ? "the connection closed" : NOT_CONNECTED,
+        isConnected ? "the connection closed" : NOT_CONNECTED_REASON,
       ));
-    internals.readMessages(
+    framing.readMessages(
       socket,
       (message) => this.#client.receive(message as jsonRpc.JSONRPCResponse),
     );
@@ -148,7 +148,7 @@
     return socket;
   }
 
-  #dropSocket(socket: net.Socket, reason: string): void {
+  #handleSocketClose(socket: net.Socket, reason: string): void {
     if (this.#socket !== socket) return;
     this.#socket = undefined;
     this.#client.rejectAllPendingRequests(reason);
--- a/src/rpc/rpc_server.ts
+++ b/src/rpc/rpc_server.ts
@@ -1,24 +1,24 @@
 import * as net from "node:net";
 import * as jsonRpc from "json-rpc-2.0";
-import * as internals from "./_private.ts";
+import * as framing from "./_framing.ts";
 
 /** Answers a method; a returned promise is waited for. */
 export type RpcHandler = (params: never) => unknown;
 
 /** Where methods are registered. */
-export interface MethodTable {
+export interface MethodRegistry {
   add(method: string, handler: RpcHandler): void;
 }
 
 /** Answers other boxes by JSON-RPC over TCP. */
-export class RpcServer implements MethodTable {
+export class RpcServer implements MethodRegistry {
   readonly #server: net.Server;
   readonly #rpc = new jsonRpc.JSONRPCServer({ errorListener: () => {} });
   #sockets: ReadonlySet<net.Socket> = new Set();
 
   constructor() {
     this.#server = net.createServer((socket) => this.#acceptSocket(socket));
-    this.add(internals.PING_METHOD, () => true);
+    this.add(framing.PING_METHOD, () => true);
   }
 
   /** Registers the handler of a method. */
@@ -51,7 +51,7 @@
         [...this.#sockets].filter((other) => other !== socket),
       );
     });
-    internals.readMessages(
+    framing.readMessages(
       socket,
       (message) => void this.#answerMessage(socket, message),
     );
@@ -59,6 +59,6 @@
 
   async #answerMessage(socket: net.Socket, message: unknown): Promise<void> {
     const answer = await this.#rpc.receive(message as jsonRpc.JSONRPCRequest);
-    if (answer !== null) internals.writeMessage(socket, answer);
+    if (answer !== null) framing.writeMessage(socket, answer);
   }
 }
--- a/src/rpc/rpc_test.ts
+++ b/src/rpc/rpc_test.ts
@@ -1,13 +1,13 @@
 import * as net from "node:net";
 import * as stream from "node:stream";
 import * as chai from "chai";
-import * as internals from "./_private.ts";
+import * as framing from "./_framing.ts";
 import * as rpcClients from "./rpc_client.ts";
 import * as rpcServers from "./rpc_server.ts";
 
 const PORT = 39_471;
 /** Turns of 5 ms in which a told text must arrive. */
-const MAX_TURNS = 1_000;
+const MAX_POLLS = 1_000;
 
 describe("rpc", () => {
   const servers: rpcServers.RpcServer[] = [];
@@ -19,15 +19,15 @@
   });
 
   async function listen(address: string): Promise<string[]> {
-    const heard: string[] = [];
+    const received: string[] = [];
     const server = new rpcServers.RpcServer();
     servers.push(server);
     server.add("note", (params: { text: string }) => {
-      heard.push(params.text);
+      received.push(params.text);
     });
     server.add("echo", (params: { text: string }) => params);
     await server.listen(address, PORT);
-    return heard;
+    return received;
   }
 
   function connect(address: string): rpcClients.RpcClient {
@@ -38,17 +38,17 @@
 
   it("tells several boxes the same thing, short or long", async () => {
     const addresses = ["127.0.0.1", "127.0.0.2"];
-    const heard = await Promise.all(addresses.map(listen));
+    const received = await Promise.all(addresses.map(listen));
     for (const text of ["short", "long".repeat(2_000), "x".repeat(600_000)]) {
       const params = { text };
       for (const address of addresses) {
         const client = connect(address);
-        client.tell("note", params);
+        client.notify("note", params);
         // An answer on the same connection comes after what was told on it.
         await client.call("echo", { text: "done" }, 5_000);
       }
     }
-    for (const texts of heard) {
+    for (const texts of received) {
       chai.expect(texts.map((text) => text.length)).to.deep.equal([
         5,
         8_000,
@@ -58,15 +58,15 @@
   });
 
   it("leaves a connection that went silent, though it is only told things", async () => {
-    const heard = await listen("127.0.0.1");
-    const held: net.Socket[] = [];
+    const received = await listen("127.0.0.1");
+    const sockets: net.Socket[] = [];
     // The first connection stays open and brings nothing on; later ones work.
     const proxy = net.createServer((socket) => {
-      held.push(socket);
-      if (held.length === 1) return void socket.resume();
-      const onward = net.connect(PORT, "127.0.0.1");
-      held.push(onward);
-      socket.pipe(onward).pipe(socket);
+      sockets.push(socket);
+      if (sockets.length === 1) return void socket.resume();
+      const upstream = net.connect(PORT, "127.0.0.1");
+      sockets.push(upstream);
+      socket.pipe(upstream).pipe(socket);
     });
     await new Promise<void>((resolve) =>
       proxy.listen(PORT, "127.0.0.3", resolve)
@@ -76,25 +76,25 @@
       20,
     );
     clients.push(client);
-    for (let turn = 0; turn < MAX_TURNS && heard.length === 0; turn += 1) {
-      client.tell("note", { text: "heard" });
+    for (let poll = 0; poll < MAX_POLLS && received.length === 0; poll += 1) {
+      client.notify("note", { text: "heard" });
       await new Promise((resolve) => setTimeout(resolve, 5));
     }
-    chai.expect(heard[0]).to.equal("heard");
-    for (const socket of held) socket.destroy();
+    chai.expect(received[0]).to.equal("heard");
+    for (const socket of sockets) socket.destroy();
     proxy.close();
   });
 
   it("encodes a notification once for all that are told", () => {
     const params = { text: "long".repeat(1_000) };
-    const first = internals.encodeFrame({ method: "note", params });
-    const second = internals.encodeFrame({ method: "note", params });
+    const first = framing.encodeFrame({ method: "note", params });
+    const second = framing.encodeFrame({ method: "note", params });
     chai.expect(second).to.equal(first);
   });
 
   it("compresses texts unless that would hold others up", () => {
     const sizes = [20_000, 600_000].map((length) =>
-      internals.encodeFrame({
+      framing.encodeFrame({
         method: "note",
         params: { text: "x".repeat(length) },
       }).length
@@ -123,7 +123,7 @@
       },
     };
     const plain = JSON.stringify(message).length;
-    chai.expect(internals.encodeFrame(message).length).to.be.lessThan(
+    chai.expect(framing.encodeFrame(message).length).to.be.lessThan(
       plain / 4,
     );
   });
@@ -135,22 +135,22 @@
     }));
     const socket = new stream.PassThrough();
     const received: unknown[] = [];
-    internals.readMessages(
+    framing.readMessages(
       socket as unknown as net.Socket,
       (message) => received.push(message),
     );
     for (const message of sent) {
-      socket.emit("data", internals.encodeFrame(message));
+      socket.emit("data", framing.encodeFrame(message));
     }
     chai.expect(received).to.deep.equal(sent);
   });
 
   it("never gives a call the frame of another one", () => {
     const params = { text: "a" };
-    const told = internals.encodeFrame({ method: "echo", params });
-    const called = internals.encodeFrame({ id: 1, method: "echo", params });
-    const again = internals.encodeFrame({ id: 2, method: "echo", params });
-    chai.expect(called.equals(told)).to.equal(false);
-    chai.expect(again.equals(called)).to.equal(false);
+    const notification = framing.encodeFrame({ method: "echo", params });
+    const firstCall = framing.encodeFrame({ id: 1, method: "echo", params });
+    const secondCall = framing.encodeFrame({ id: 2, method: "echo", params });
+    chai.expect(firstCall.equals(notification)).to.equal(false);
+    chai.expect(secondCall.equals(firstCall)).to.equal(false);
   });
 });
--- a/src/scorer/scorer_client.ts
+++ b/src/scorer/scorer_client.ts
@@ -7,7 +7,7 @@
 const scoreSchema = z.object({ score: z.number() });
 
 const RETRY_DELAY_MS = 100;
-const MAX_TRIES = 5;
+const MAX_ATTEMPTS = 5;
 
 /** What a scorer needs. */
 export interface ScorerOptions {
@@ -21,7 +21,7 @@
 export class ScorerClient {
   readonly #options: ScorerOptions;
   #inFlight = 0;
-  #waiting: readonly (() => void)[] = [];
+  #waiters: readonly (() => void)[] = [];
 
   constructor(options: ScorerOptions) {
     this.#options = options;
@@ -39,30 +39,30 @@
     prompt: string,
     tokens: readonly number[],
   ): Promise<results.Result<number>> {
-    await this.#enter();
+    await this.#acquireSlot();
     try {
-      return await this.#tryScore(prompt, tokens);
+      return await this.#scoreWithRetries(prompt, tokens);
     } finally {
-      this.#leave();
+      this.#releaseSlot();
     }
   }
 
-  async #tryScore(
+  async #scoreWithRetries(
     prompt: string,
     tokens: readonly number[],
   ): Promise<results.Result<number>> {
-    let last: results.Result<number> = results.createFailure(
+    let lastResult: results.Result<number> = results.createFailure(
       "backendFailed",
       "Cannot score: no try was made",
     );
-    for (let attempt = 0; attempt < MAX_TRIES; attempt += 1) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
       if (attempt > 0) {
         await clocks.sleep(this.#options.clock, RETRY_DELAY_MS * attempt);
       }
-      last = await this.#sendOnce(prompt, tokens);
-      if (last.kind === "ok") return last;
+      lastResult = await this.#sendOnce(prompt, tokens);
+      if (lastResult.kind === "ok") return lastResult;
     }
-    return last;
+    return lastResult;
   }
 
   async #sendOnce(
@@ -87,23 +87,23 @@
     );
   }
 
-  #enter(): Promise<void> {
+  #acquireSlot(): Promise<void> {
     if (this.#inFlight < this.#options.maxInFlight) {
       this.#inFlight += 1;
       return Promise.resolve();
     }
     return new Promise((resolve) => {
-      this.#waiting = [...this.#waiting, resolve];
+      this.#waiters = [...this.#waiters, resolve];
     });
   }
 
-  #leave(): void {
-    const [next, ...rest] = this.#waiting;
+  #releaseSlot(): void {
+    const [next, ...rest] = this.#waiters;
     if (next === undefined) {
       this.#inFlight -= 1;
       return;
     }
-    this.#waiting = rest;
+    this.#waiters = rest;
     next();
   }
 }
--- a/src/server_health/failure_rates_test.ts
+++ b/src/server_health/failure_rates_test.ts
@@ -23,7 +23,7 @@
   it("decays without new outcomes, so that a server becomes eligible again", () => {
     rates.record("a", false);
     const before = rates.get("a");
-    clock.extendBy(2_000);
+    clock.advance(2_000);
     chai.expect(rates.get("a")).to.be.closeTo(before / 2, 1e-9);
   });
 });
--- a/src/settings/parse_settings.ts
+++ b/src/settings/parse_settings.ts
@@ -59,16 +59,16 @@
   const syntax = document.errors.map((error) =>
     `line ${lines.linePos(error.pos[0]).line}: ${error.message.split("\n")[0]}`
   );
-  if (syntax.length > 0) return refuseSettings(file, syntax);
+  if (syntax.length > 0) return createSettingsFailure(file, syntax);
   const checked = schema.safeParse(document.toJS());
   if (checked.success) return results.createOk(checked.data);
-  return refuseSettings(
+  return createSettingsFailure(
     file,
     checked.error.issues.map((issue) => formatIssue(issue, document, lines)),
   );
 }
 
-function refuseSettings(
+function createSettingsFailure(
   file: string,
   errors: readonly string[],
 ): results.Result<never> {
--- a/src/step_schedule/admit_groups.ts
+++ b/src/step_schedule/admit_groups.ts
@@ -1,11 +1,11 @@
-import type * as describeGroups from "./describe_groups.ts";
-import type * as situations from "./situation.ts";
+import type * as groupDemands from "./group_demand.ts";
+import type * as scheduleTypes from "./schedule_types.ts";
 
 /**
  * Share of the places that plans count on: lengths are guesses, and engines stand
  * still while they load weights. What this leaves free goes to late groups.
  */
-const PLANNED_SHARE = 0.75;
+const PLANNED_CAPACITY_SHARE = 0.75;
 
 /**
  * How many times longer than what is left an item may be expected to run before
@@ -13,17 +13,17 @@
  * half as long is common, and a group that waits for no reason holds up its
  * trainer.
  */
-const MAX_OVERRUN = 2;
+const MAX_OVERRUN_FACTOR = 2;
 
 /** Groups of a trainer that are in the plan so far. */
-interface TrainerShare<Work> {
+interface TrainerAdmission<Work> {
   readonly priority: number;
   /** Groups that it waits for, whole ones among them. */
-  readonly wanted: number;
+  readonly wantedGroups: number;
   /** Whole groups and those planned to be in time. */
-  inTime: number;
+  inTimeGroups: number;
   /** Groups planned to be in time, least work first. */
-  readonly planned: describeGroups.DescribedGroup<Work>[];
+  readonly admitted: groupDemands.GroupDemand<Work>[];
 }
 
 /**
@@ -34,87 +34,88 @@
  *
  * @param groups Groups that trainers wait for, by due time.
  * @param situation The time and the room there is.
- * @param givesWay Which group gives way.
+ * @param dropRule Which group gives way.
  * @returns Those that can be in time.
  */
 export function admitGroups<Work>(
-  groups: readonly describeGroups.DescribedGroup<Work>[],
-  { nowMs, places, steps }: situations.StepSituation<Work>,
-  givesWay: situations.GivingWay,
-): ReadonlySet<describeGroups.DescribedGroup<Work>> {
-  const shares = listShares(steps);
-  const all = [...shares.values()];
-  let workMs = 0;
+  groups: readonly groupDemands.GroupDemand<Work>[],
+  { nowMs, capacity: places, steps }: scheduleTypes.ScheduleInput<Work>,
+  dropRule: scheduleTypes.DropRule,
+): ReadonlySet<groupDemands.GroupDemand<Work>> {
+  const trainers = createTrainerAdmissions(steps);
+  const all = [...trainers.values()];
+  let totalMs = 0;
   for (const group of groups) {
     const availableMs = group.step.dueMs - nowMs;
-    if (group.longestMs > MAX_OVERRUN * availableMs) continue;
-    const share = shares.get(group.step.trainer);
-    if (share === undefined) continue;
-    addGroup(share, group);
-    workMs += group.workMs;
-    while (workMs > availableMs * places * PLANNED_SHARE) {
-      const dropped = dropGroup(all, givesWay);
+    if (group.longestRemainingMs > MAX_OVERRUN_FACTOR * availableMs) continue;
+    const trainer = trainers.get(group.step.trainer);
+    if (trainer === undefined) continue;
+    addGroup(trainer, group);
+    totalMs += group.totalRemainingMs;
+    while (totalMs > availableMs * places * PLANNED_CAPACITY_SHARE) {
+      const dropped = dropGroup(all, dropRule);
       if (dropped === undefined) break;
-      workMs -= dropped.workMs;
+      totalMs -= dropped.totalRemainingMs;
     }
   }
-  return new Set(all.flatMap(({ planned }) => planned));
+  return new Set(all.flatMap(({ admitted: planned }) => planned));
 }
 
-function listShares<Work>(
-  steps: readonly situations.OpenStep<Work>[],
-): ReadonlyMap<string, TrainerShare<Work>> {
-  const shares = new Map<string, TrainerShare<Work>>();
+function createTrainerAdmissions<Work>(
+  steps: readonly scheduleTypes.OpenStep<Work>[],
+): ReadonlyMap<string, TrainerAdmission<Work>> {
+  const trainers = new Map<string, TrainerAdmission<Work>>();
   for (const { trainer, priority, whole, missing } of steps) {
-    const known = shares.get(trainer);
-    shares.set(trainer, {
+    const known = trainers.get(trainer);
+    trainers.set(trainer, {
       priority: Math.min(priority, known?.priority ?? priority),
-      wanted: whole + missing + (known?.wanted ?? 0),
-      inTime: whole + (known?.inTime ?? 0),
-      planned: [],
+      wantedGroups: whole + missing + (known?.wantedGroups ?? 0),
+      inTimeGroups: whole + (known?.inTimeGroups ?? 0),
+      admitted: [],
     });
   }
-  return shares;
+  return trainers;
 }
 
 function addGroup<Work>(
-  share: TrainerShare<Work>,
-  group: describeGroups.DescribedGroup<Work>,
+  trainer: TrainerAdmission<Work>,
+  group: groupDemands.GroupDemand<Work>,
 ): void {
-  const at = share.planned.findLastIndex((other) =>
-    other.workMs <= group.workMs
+  const index = trainer.admitted.findLastIndex((other) =>
+    other.totalRemainingMs <= group.totalRemainingMs
   );
-  share.planned.splice(at + 1, 0, group);
-  share.inTime += 1;
+  trainer.admitted.splice(index + 1, 0, group);
+  trainer.inTimeGroups += 1;
 }
 
 function dropGroup<Work>(
-  shares: readonly TrainerShare<Work>[],
-  givesWay: situations.GivingWay,
-): describeGroups.DescribedGroup<Work> | undefined {
-  const share = shares.filter(({ planned }) => planned.length > 0)
-    .toSorted((a, b) => compareShares(a, b, givesWay))[0];
-  if (share === undefined) return undefined;
-  share.inTime -= 1;
-  return share.planned.pop();
+  trainers: readonly TrainerAdmission<Work>[],
+  dropRule: scheduleTypes.DropRule,
+): groupDemands.GroupDemand<Work> | undefined {
+  const victim = trainers.filter(({ admitted: planned }) => planned.length > 0)
+    .toSorted((a, b) => compareDropOrder(a, b, dropRule))[0];
+  if (victim === undefined) return undefined;
+  victim.inTimeGroups -= 1;
+  return victim.admitted.pop();
 }
 
 /** Compares trainers; the one that gives way comes first. */
-function compareShares(
-  a: TrainerShare<unknown>,
-  b: TrainerShare<unknown>,
-  givesWay: situations.GivingWay,
+function compareDropOrder(
+  a: TrainerAdmission<unknown>,
+  b: TrainerAdmission<unknown>,
+  dropRule: scheduleTypes.DropRule,
 ): number {
-  switch (givesWay) {
+  switch (dropRule) {
     case "largest":
-      return getLargestMs(b) - getLargestMs(a) || b.priority - a.priority;
+      return getLargestDemandMs(b) - getLargestDemandMs(a) ||
+        b.priority - a.priority;
     case "weighed":
-      return getWeight(b) - getWeight(a);
+      return computeDropWeight(b) - computeDropWeight(a);
   }
 }
 
-function getLargestMs(share: TrainerShare<unknown>): number {
-  return share.planned.at(-1)?.workMs ?? 0;
+function getLargestDemandMs(trainer: TrainerAdmission<unknown>): number {
+  return trainer.admitted.at(-1)?.totalRemainingMs ?? 0;
 }
 
 /**
@@ -122,10 +123,11 @@
  * has few groups in time, more for one whose route is less urgent. The share
  * counts twice over: without it the trainer with the largest groups starves.
  */
-function getWeight(share: TrainerShare<unknown>): number {
-  return getLargestMs(share) * getShare(share) ** 2 * (1 + share.priority);
+function computeDropWeight(trainer: TrainerAdmission<unknown>): number {
+  return getLargestDemandMs(trainer) * computeInTimeShare(trainer) ** 2 *
+    (1 + trainer.priority);
 }
 
-function getShare(share: TrainerShare<unknown>): number {
-  return share.inTime / Math.max(1, share.wanted);
+function computeInTimeShare(trainer: TrainerAdmission<unknown>): number {
+  return trainer.inTimeGroups / Math.max(1, trainer.wantedGroups);
 }
--- a/src/step_schedule/mod.ts
+++ b/src/step_schedule/mod.ts
@@ -9,6 +9,6 @@
  * ```
  * @module
  */
-export * from "./count_needed_places.ts";
+export * from "./compute_required_slots.ts";
 export * from "./plan_steps.ts";
-export * from "./situation.ts";
+export * from "./schedule_types.ts";
--- a/src/step_schedule/plan_steps.ts
+++ b/src/step_schedule/plan_steps.ts
@@ -1,18 +1,18 @@
 import * as admitGroups from "./admit_groups.ts";
-import * as countNeededPlaces from "./count_needed_places.ts";
-import * as describeGroups from "./describe_groups.ts";
-import type * as situations from "./situation.ts";
+import * as computeRequiredSlots from "./compute_required_slots.ts";
+import * as groupDemands from "./group_demand.ts";
+import type * as scheduleTypes from "./schedule_types.ts";
 
 /**
  * Share of the places from which room counts as short: lengths are guesses, and
  * places come free one at a time.
  */
-const SHORT_SHARE = 0.8;
+const SHORTAGE_THRESHOLD = 0.8;
 /** Time in which late groups should still be whole, in ms. */
-const LATE_MS = 2_000;
+const LATE_GROUP_MS = 2_000;
 
 /** Groups in time go first, those that nobody waits for last. */
-const STANDING_ORDER: Readonly<Record<situations.GroupStanding, number>> = {
+const STATUS_ORDER: Readonly<Record<scheduleTypes.GroupStatus, number>> = {
   inTime: 0,
   late: 1,
   spare: 2,
@@ -26,22 +26,22 @@
  * that lacks a fifth of its room is late as a whole. Here those that can be in
  * time go first, whole, and the others follow.
  *
- * @param situation Open steps and the room there is.
+ * @param input Open steps and the room there is.
  * @param policy The way to plan.
  * @returns Waiting items, first to start first.
  */
 export function planSteps<Work>(
-  situation: situations.StepSituation<Work>,
-  policy: situations.SchedulePolicy,
-): situations.StepPlan<Work> {
+  input: scheduleTypes.ScheduleInput<Work>,
+  policy: scheduleTypes.SchedulePolicy,
+): scheduleTypes.StepPlan<Work> {
   switch (policy.kind) {
     case "latestStart":
-      return planByLatestStart(situation);
+      return planByLatestStart(input);
     case "groups": {
-      const groups = describeGroups.describeGroups(situation.steps);
-      return isShort(groups, situation)
-        ? planByGroups(groups, situation, policy)
-        : planByLatestStart(situation);
+      const groups = groupDemands.listGroupDemands(input.steps);
+      return isCapacityShort(groups, input)
+        ? planByGroups(groups, input, policy)
+        : planByLatestStart(input);
     }
   }
 }
@@ -51,86 +51,90 @@
  * it is not, all groups run: which of them are whole first is left to chance, and
  * steps end sooner than if some waited.
  */
-function isShort(
-  groups: readonly describeGroups.DescribedGroup<unknown>[],
-  { nowMs, places }: situations.StepSituation<unknown>,
+function isCapacityShort(
+  groups: readonly groupDemands.GroupDemand<unknown>[],
+  { nowMs, capacity: places }: scheduleTypes.ScheduleInput<unknown>,
 ): boolean {
-  const needed = countNeededPlaces.countPlaces(groups, nowMs, LATE_MS);
-  return needed > SHORT_SHARE * places;
+  const requiredSlots = computeRequiredSlots.computeSlotDemand(
+    groups,
+    nowMs,
+    LATE_GROUP_MS,
+  );
+  return requiredSlots > SHORTAGE_THRESHOLD * places;
 }
 
 function planByLatestStart<Work>(
-  { steps }: situations.StepSituation<Work>,
-): situations.StepPlan<Work> {
+  { steps }: scheduleTypes.ScheduleInput<Work>,
+): scheduleTypes.StepPlan<Work> {
   const items = steps.flatMap((step) =>
-    step.groups.flatMap((group) => listWaiting(step, group, "inTime"))
+    step.groups.flatMap((group) => listWaitingItems(step, group, "inTime"))
   );
-  return { items: sortItems(items), standings: new Map() };
+  return { items: sortItems(items), groupCounts: new Map() };
 }
 
 function planByGroups<Work>(
-  groups: readonly describeGroups.DescribedGroup<Work>[],
-  situation: situations.StepSituation<Work>,
-  policy: Extract<situations.SchedulePolicy, { readonly kind: "groups" }>,
-): situations.StepPlan<Work> {
+  groups: readonly groupDemands.GroupDemand<Work>[],
+  input: scheduleTypes.ScheduleInput<Work>,
+  policy: Extract<scheduleTypes.SchedulePolicy, { readonly kind: "groups" }>,
+): scheduleTypes.StepPlan<Work> {
   const needed = policy.defersSpare
     ? groups.filter((group) => group.isNeeded)
     : groups;
   const admitted = policy.admits
-    ? admitGroups.admitGroups(needed, situation, policy.givesWay)
+    ? admitGroups.admitGroups(needed, input, policy.givesWay)
     : new Set(needed);
   const late = needed.filter((group) => !admitted.has(group));
   const spare = policy.defersSpare
     ? groups.filter((group) => !group.isNeeded)
     : [];
-  const sequences = [
+  const groupsByStatus = [
     ["inTime", needed.filter((group) => admitted.has(group))],
     ["late", late],
     ["spare", spare],
   ] as const;
-  const items = sequences.flatMap(([standing, groups]) =>
-    groups.flatMap(({ step, group }) => listWaiting(step, group, standing))
+  const items = groupsByStatus.flatMap(([status, groups]) =>
+    groups.flatMap(({ step, group }) => listWaitingItems(step, group, status))
   );
   return {
     items: sortItems(items),
-    standings: countStandings(sequences),
+    groupCounts: countGroups(groupsByStatus),
   };
 }
 
-function listWaiting<Work>(
-  step: situations.OpenStep<Work>,
-  group: situations.OpenGroup<Work>,
-  standing: situations.GroupStanding,
-): readonly situations.PlannedItem<Work>[] {
+function listWaitingItems<Work>(
+  step: scheduleTypes.OpenStep<Work>,
+  group: scheduleTypes.OpenGroup<Work>,
+  status: scheduleTypes.GroupStatus,
+): readonly scheduleTypes.PlannedItem<Work>[] {
   return group.items.filter((item) => item.isWaiting).map((item) => ({
     work: item.work,
-    standing,
+    standing: status,
     startByMs: step.dueMs - item.remainingMs,
   }));
 }
 
 function sortItems<Work>(
-  items: readonly situations.PlannedItem<Work>[],
-): readonly situations.PlannedItem<Work>[] {
+  items: readonly scheduleTypes.PlannedItem<Work>[],
+): readonly scheduleTypes.PlannedItem<Work>[] {
   return items.toSorted((a, b) =>
-    STANDING_ORDER[a.standing] - STANDING_ORDER[b.standing] ||
-    a.startByMs - b.startByMs
+    STATUS_ORDER[a.status] - STATUS_ORDER[b.status] ||
+    a.latestStartMs - b.latestStartMs
   );
 }
 
-function countStandings<Work>(
-  sequences: readonly (readonly [
-    situations.GroupStanding,
-    readonly describeGroups.DescribedGroup<Work>[],
+function countGroups<Work>(
+  groupsByStatus: readonly (readonly [
+    scheduleTypes.GroupStatus,
+    readonly groupDemands.GroupDemand<Work>[],
   ])[],
-): situations.StepPlan<Work>["standings"] {
-  const counts = new Map<string, Record<situations.GroupStanding, number>>();
-  for (const [standing, groups] of sequences) {
+): scheduleTypes.StepPlan<Work>["groupCounts"] {
+  const counts = new Map<string, Record<scheduleTypes.GroupStatus, number>>();
+  for (const [status, groups] of groupsByStatus) {
     for (const { step } of groups) {
-      const known = counts.get(step.trainer) ??
+      const trainerCounts = counts.get(step.trainer) ??
         { inTime: 0, late: 0, spare: 0 };
-      known[standing] += 1;
-      counts.set(step.trainer, known);
+      trainerCounts[status] += 1;
+      counts.set(step.trainer, trainerCounts);
     }
   }
   return counts;
