--- a/src/step_schedule/plan_steps_test.ts
+++ b/src/step_schedule/plan_steps_test.ts
@@ -1,19 +1,19 @@
 import * as chai from "chai";
 import * as planSteps from "./plan_steps.ts";
-import * as situations from "./situation.ts";
+import * as scheduleTypes from "./schedule_types.ts";
 
-type Step = situations.OpenStep<string>;
+type Step = scheduleTypes.OpenStep<string>;
 
 /** A group of waiting items that run for so many seconds, named by the group. */
 function createGroup(
   name: string,
   seconds: readonly number[],
   isCarried = false,
-): situations.OpenGroup<string> {
+): scheduleTypes.OpenGroup<string> {
   return {
     isCarried,
-    items: seconds.map((runS, place) => ({
-      work: `${name}${place}`,
+    items: seconds.map((runS, index) => ({
+      work: `${name}${index}`,
       remainingMs: runS * 1_000,
       isWaiting: true,
     })),
@@ -35,17 +35,17 @@
 
 function plan(
   steps: readonly Step[],
-  places = 1,
-  policy = situations.DEFAULT_POLICY,
-): situations.StepPlan<string> {
-  return planSteps.planSteps({ nowMs: 0, places, steps }, policy);
+  capacity = 1,
+  policy = scheduleTypes.DEFAULT_POLICY,
+): scheduleTypes.StepPlan<string> {
+  return planSteps.planSteps({ nowMs: 0, capacity: capacity, steps }, policy);
 }
 
-function listStandings(
-  planned: situations.StepPlan<string>,
+function listStatuses(
+  planned: scheduleTypes.StepPlan<string>,
 ): Readonly<Record<string, string>> {
   return Object.fromEntries(
-    planned.items.map(({ work, standing }) => [work, standing]),
+    planned.items.map(({ work, status: standing }) => [work, standing]),
   );
 }
 
@@ -56,7 +56,7 @@
     chai.expect(planned.items.map(({ work }) => work)).to.deep.equal(
       ["a1", "b0", "a0"],
     );
-    chai.expect(planned.items[0]?.startByMs).to.equal(7_000);
+    chai.expect(planned.items[0]?.latestStartMs).to.equal(7_000);
   });
 
   it("lets the group with most work give way where room is short", () => {
@@ -66,13 +66,13 @@
       createGroup("c", [3.5]),
     ];
     const planned = plan([createStep({ groups })]);
-    chai.expect(listStandings(planned)).to.deep.equal({
+    chai.expect(listStatuses(planned)).to.deep.equal({
       a0: "inTime",
       c0: "inTime",
       b0: "late",
       b1: "late",
     });
-    chai.expect(planned.items.at(-1)?.standing).to.equal("late");
+    chai.expect(planned.items.at(-1)?.status).to.equal("late");
   });
 
   it("puts groups last that the trainer does not wait for", () => {
@@ -82,7 +82,7 @@
       createGroup("c", [3]),
     ];
     const planned = plan([createStep({ groups, missing: 2 })]);
-    chai.expect(listStandings(planned)).to.deep.equal({
+    chai.expect(listStatuses(planned)).to.deep.equal({
       b0: "inTime",
       c0: "inTime",
       a0: "spare",
@@ -111,7 +111,7 @@
       createGroup("c", [1]),
     ];
     const planned = plan([createStep({ groups, missing: 1 })]);
-    chai.expect(listStandings(planned)).to.include({
+    chai.expect(listStatuses(planned)).to.include({
       a0: "inTime",
       b0: "inTime",
       c0: "spare",
@@ -127,7 +127,7 @@
       })
     );
     for (const order of [steps, steps.toReversed()]) {
-      chai.expect(listStandings(plan(order))).to.deep.equal({
+      chai.expect(listStatuses(plan(order))).to.deep.equal({
         p00: "inTime",
         p10: "late",
       });
@@ -147,7 +147,7 @@
         groups: [createGroup("starved", [6])],
       }),
     ];
-    chai.expect(listStandings(plan(steps))).to.deep.equal({
+    chai.expect(listStatuses(plan(steps))).to.deep.equal({
       starved0: "inTime",
       served0: "late",
     });
@@ -170,7 +170,7 @@
     chai.expect(planned.items.map(({ work }) => work)).to.deep.equal(
       ["a0", "b0"],
     );
-    chai.expect(planned.standings.get("a")?.late ?? 1).to.equal(1);
+    chai.expect(planned.groupCounts.get("a")?.late ?? 1).to.equal(1);
   });
 
   it("counts runs under way as work, and lists only what waits", () => {
@@ -181,7 +181,7 @@
     const groups = [running, createGroup("a", [2])];
     const planned = plan([createStep({ groups })]);
     chai.expect(planned.items.map(({ work }) => work)).to.deep.equal(["a0"]);
-    chai.expect(planned.standings.get("t")).to.deep.equal({
+    chai.expect(planned.groupCounts.get("t")).to.deep.equal({
       inTime: 1,
       late: 1,
       spare: 0,
--- a/src/step_schedule/situation.ts
+++ b/src/step_schedule/schedule_types.ts
@@ -35,15 +35,15 @@
 }
 
 /** What a plan is made from. */
-export interface StepSituation<Work> {
+export interface ScheduleInput<Work> {
   readonly nowMs: number;
   /** Runs that go on at once at the usual speed. */
-  readonly places: number;
+  readonly capacity: number;
   readonly steps: readonly OpenStep<Work>[];
 }
 
 /** How a plan sees a group. */
-export type GroupStanding =
+export type GroupStatus =
   /** The trainer waits for it, and there is room to have it whole in time. */
   | "inTime"
   /** The trainer waits for it, but room is short: it comes late. */
@@ -54,9 +54,9 @@
 /** An item that waits for a place. */
 export interface PlannedItem<Work> {
   readonly work: Work;
-  readonly standing: GroupStanding;
+  readonly status: GroupStatus;
   /** When it should start for its group to end as planned, in ms. */
-  readonly startByMs: number;
+  readonly latestStartMs: number;
 }
 
 /** In which order items start, and what that means for their groups. */
@@ -64,9 +64,9 @@
   /** Waiting items, first to start first. */
   readonly items: readonly PlannedItem<Work>[];
   /** Groups by standing, by trainer. */
-  readonly standings: ReadonlyMap<
+  readonly groupCounts: ReadonlyMap<
     string,
-    Readonly<Record<GroupStanding, number>>
+    Readonly<Record<GroupStatus, number>>
   >;
 }
 
@@ -81,11 +81,11 @@
     /** Whether groups that the trainer does not wait for come last. */
     readonly defersSpare: boolean;
     /** Who gives way when room is short. */
-    readonly givesWay: GivingWay;
+    readonly givesWay: DropRule;
   };
 
 /** Which group gives way when room is short. */
-export type GivingWay =
+export type DropRule =
   /** That with most work, so that as many as possible are in time. */
   | "largest"
   /** The same, weighed by urgency and by how well its trainer is served. */
--- a/src/storage/_encode_records.ts
+++ b/src/storage/_encode_records.ts
@@ -1,15 +1,15 @@
 import * as records from "./record.ts";
 
 /** Bytes of a snapshot that are written at a time. */
-const WRITE_BYTES = 512 * 1024;
+const CHUNK_BYTES = 512 * 1024;
 /** Bytes of records after which a write is synced before the next begins. */
-const SYNC_BYTES = 4 * 1024 * 1024;
+const BATCH_BYTES = 4 * 1024 * 1024;
 /** What stands around the records of one write, as JSON. */
-const LIST_START = Buffer.from("[");
-const LIST_COMMA = Buffer.from(",");
-const LIST_END = Buffer.from("]");
+const ARRAY_START = Buffer.from("[");
+const ARRAY_SEPARATOR = Buffer.from(",");
+const ARRAY_END = Buffer.from("]");
 
-function toBytes(value: unknown): Buffer {
+function encodeValue(value: unknown): Buffer {
   return records.encodeRecord(Buffer.from(JSON.stringify(value)));
 }
 
@@ -17,34 +17,34 @@
  * Encodes records for writes of bounded size, one checksum each. As one text, 156
  * records of 98 KB took a process of 140 MB of heap out of memory.
  */
-export function* collectWrites(values: readonly unknown[]): Generator<Buffer> {
-  let gathered: Buffer[] = [];
+export function* encodeBatches(values: readonly unknown[]): Generator<Buffer> {
+  let buffers: Buffer[] = [];
   let size = 0;
   for (const value of values) {
     const bytes = Buffer.from(JSON.stringify(value));
-    gathered.push(gathered.length === 0 ? LIST_START : LIST_COMMA, bytes);
+    buffers.push(buffers.length === 0 ? ARRAY_START : ARRAY_SEPARATOR, bytes);
     size += bytes.length;
-    if (size < SYNC_BYTES) continue;
-    yield records.encodeRecord(Buffer.concat([...gathered, LIST_END]));
-    gathered = [];
+    if (size < BATCH_BYTES) continue;
+    yield records.encodeRecord(Buffer.concat([...buffers, ARRAY_END]));
+    buffers = [];
     size = 0;
   }
   if (size === 0) return;
-  yield records.encodeRecord(Buffer.concat([...gathered, LIST_END]));
+  yield records.encodeRecord(Buffer.concat([...buffers, ARRAY_END]));
 }
 
 /** Encodes values and gathers them, so that few writes are needed. */
-export function* collectBytes(values: readonly unknown[]): Generator<Buffer> {
-  let gathered: Buffer[] = [];
+export function* encodeChunks(values: readonly unknown[]): Generator<Buffer> {
+  let buffers: Buffer[] = [];
   let size = 0;
   for (const value of values) {
-    const bytes = toBytes(value);
-    gathered.push(bytes);
+    const bytes = encodeValue(value);
+    buffers.push(bytes);
     size += bytes.length;
-    if (size < WRITE_BYTES) continue;
-    yield Buffer.concat(gathered);
-    gathered = [];
+    if (size < CHUNK_BYTES) continue;
+    yield Buffer.concat(buffers);
+    buffers = [];
     size = 0;
   }
-  if (size > 0) yield Buffer.concat(gathered);
+  if (size > 0) yield Buffer.concat(buffers);
 }
--- a/src/storage/_read_records.ts
+++ b/src/storage/_read_records.ts
@@ -5,47 +5,51 @@
 const CHUNK_BYTES = 1024 * 1024;
 
 /** Where reading a file of records ended. */
-export interface ReadEnd {
+export interface ReadSummary {
   /** Bytes that are whole records. */
-  readonly wholeBytes: number;
+  readonly validBytes: number;
   /** Bytes after them. */
-  readonly restBytes: number;
+  readonly trailingBytes: number;
   /** Whether whole records stand after damaged bytes. */
-  readonly isDamaged: boolean;
+  readonly isCorrupt: boolean;
 }
 
 /**
  * Reads a file of records one by one.
  *
- * @param name The file.
+ * @param filePath The file.
  * @param onPayload Receives the payload of each whole record, in order.
  * @returns Where the whole records end.
  */
 export function readRecords(
-  name: string,
+  filePath: string,
   onPayload: (payload: Buffer) => void,
-): ReadEnd {
-  const descriptor = fs.openSync(name, "r");
+): ReadSummary {
+  const descriptor = fs.openSync(filePath, "r");
   try {
-    return readFrom(descriptor, onPayload);
+    return readAllRecords(descriptor, onPayload);
   } finally {
     fs.closeSync(descriptor);
   }
 }
 
-function readFrom(
+function readAllRecords(
   descriptor: number,
   onPayload: (payload: Buffer) => void,
-): ReadEnd {
-  let rest: Buffer = Buffer.alloc(0);
-  let wholeBytes = 0;
+): ReadSummary {
+  let trailing: Buffer = Buffer.alloc(0);
+  let validBytes = 0;
   for (;;) {
     const chunk = readChunk(descriptor);
     if (chunk.length === 0) {
-      const isDamaged = records.hasRecordAfter(rest, 0);
-      return { wholeBytes, restBytes: rest.length, isDamaged };
+      const isCorrupt = records.hasRecordFrom(trailing, 0);
+      return {
+        validBytes: validBytes,
+        trailingBytes: trailing.length,
+        isCorrupt: isCorrupt,
+      };
     }
-    const bytes = Buffer.concat([rest, chunk]);
+    const bytes = Buffer.concat([trailing, chunk]);
     let offset = 0;
     for (;;) {
       const record = records.decodeRecord(bytes, offset);
@@ -53,8 +57,8 @@
       onPayload(record.payload);
       offset = record.end;
     }
-    wholeBytes += offset;
-    rest = bytes.subarray(offset);
+    validBytes += offset;
+    trailing = bytes.subarray(offset);
   }
 }
 
--- a/src/storage/durable_log.ts
+++ b/src/storage/durable_log.ts
@@ -3,11 +3,11 @@
 import * as path from "node:path";
 import * as results from "../results/mod.ts";
 import * as readRecords from "./_read_records.ts";
-import * as encodings from "./_encode_records.ts";
+import * as encodeRecords from "./_encode_records.ts";
 
 const FORMAT_VERSION = 3;
 /** Format before, in which each record of a write stands by itself. */
-const SINGLE_RECORDS_VERSION = 2;
+const UNBATCHED_FORMAT_VERSION = 2;
 /** A snapshot that is being written; nothing reads it before its rename. */
 const DRAFT_NAME = "snapshot.draft";
 
@@ -62,7 +62,7 @@
   #generation: number;
   #file: fsPromises.FileHandle;
   /** Bytes of the log file that are whole records. */
-  #wholeBytes: number;
+  #validBytes: number;
 
   private constructor(
     folder: string,
@@ -70,7 +70,7 @@
     generation: number,
     file: fsPromises.FileHandle,
   ) {
-    this.#wholeBytes = fs.fstatSync(file.fd).size;
+    this.#validBytes = fs.fstatSync(file.fd).size;
     this.#folder = folder;
     this.#owner = owner;
     this.#generation = generation;
@@ -87,15 +87,15 @@
   static async open(folder: string, owner: string): Promise<OpenedLog> {
     fs.mkdirSync(folder, { recursive: true });
     const generation = findGeneration(folder);
-    const name = path.join(folder, `log.${generation}`);
-    if (!fs.existsSync(name)) createFile(name, owner, []);
-    const read = readLog(name, owner);
+    const filePath = path.join(folder, `log.${generation}`);
+    if (!fs.existsSync(filePath)) createLogFile(filePath, owner, []);
+    const read = readLog(filePath, owner);
     const snapshot = readSnapshot(folder, generation);
-    if (read.tornBytes > 0) cutTail(name, read.wholeBytes);
+    if (read.tornBytes > 0) truncateFile(filePath, read.validBytes);
     // A process of the former version must not pass over what comes in this one.
-    if (read.isFormer) createFile(name, owner, read.records);
+    if (read.isPreviousFormat) createLogFile(filePath, owner, read.records);
     syncFolder(folder);
-    const file = await fsPromises.open(name, "a");
+    const file = await fsPromises.open(filePath, "a");
     // A write whose process ended before its sync is read like any other; vouched
     // for again and then lost with the power, it would never be sent anew.
     await file.datasync();
@@ -118,18 +118,18 @@
    * @throws The error of the file system.
    */
   async append(records: readonly unknown[]): Promise<void> {
-    let wholeBytes = this.#wholeBytes;
+    let validBytes = this.#validBytes;
     try {
-      for (const bytes of encodings.collectWrites(records)) {
+      for (const bytes of encodeRecords.encodeBatches(records)) {
         await this.#file.appendFile(bytes);
         await this.#file.datasync();
-        wholeBytes += bytes.length;
+        validBytes += bytes.length;
       }
     } catch (error) {
-      await this.#file.truncate(this.#wholeBytes);
+      await this.#file.truncate(this.#validBytes);
       throw error;
     }
-    this.#wholeBytes = wholeBytes;
+    this.#validBytes = validBytes;
   }
 
   /**
@@ -142,8 +142,8 @@
     snapshot: StoredSnapshot,
     records: readonly unknown[],
   ): Promise<void> {
-    await this.writeDraft(snapshot);
-    await this.takeDraft(records);
+    await this.writeSnapshotDraft(snapshot);
+    await this.installSnapshotDraft(records);
   }
 
   /**
@@ -152,13 +152,13 @@
    *
    * @param snapshot The state; it must not change meanwhile.
    */
-  async writeDraft(snapshot: StoredSnapshot): Promise<void> {
+  async writeSnapshotDraft(snapshot: StoredSnapshot): Promise<void> {
     const { head, parts } = snapshot;
-    const name = path.join(this.#folder, DRAFT_NAME);
-    const file = await fsPromises.open(name, "w");
+    const filePath = path.join(this.#folder, DRAFT_NAME);
+    const file = await fsPromises.open(filePath, "w");
     try {
-      const first: SnapshotHeader = { head, parts: parts.length };
-      for (const bytes of encodings.collectBytes([first, ...parts])) {
+      const header: SnapshotHeader = { head, parts: parts.length };
+      for (const bytes of encodeRecords.encodeChunks([header, ...parts])) {
         await file.appendFile(bytes);
       }
       await file.datasync();
@@ -172,10 +172,10 @@
    *
    * @param records What the new log begins with: all that follows the snapshot.
    */
-  async takeDraft(records: readonly unknown[]): Promise<void> {
+  async installSnapshotDraft(records: readonly unknown[]): Promise<void> {
     const next = this.#generation + 1;
-    const logName = path.join(this.#folder, `log.${next}`);
-    createFile(logName, this.#owner, records);
+    const logPath = path.join(this.#folder, `log.${next}`);
+    createLogFile(logPath, this.#owner, records);
     syncFolder(this.#folder);
     fs.renameSync(
       path.join(this.#folder, DRAFT_NAME),
@@ -183,8 +183,8 @@
     );
     syncFolder(this.#folder);
     await this.#file.close();
-    this.#file = await fsPromises.open(logName, "a");
-    this.#wholeBytes = fs.fstatSync(this.#file.fd).size;
+    this.#file = await fsPromises.open(logPath, "a");
+    this.#validBytes = fs.fstatSync(this.#file.fd).size;
     this.#removeGeneration(this.#generation);
     this.#generation = next;
   }
@@ -209,19 +209,19 @@
 }
 
 /** Writes a log file whole or not at all. */
-function createFile(
-  name: string,
+function createLogFile(
+  filePath: string,
   owner: string,
   records: readonly unknown[],
 ): void {
   const header: FileHeader = { format: FORMAT_VERSION, owner };
-  const descriptor = fs.openSync(`${name}.tmp`, "w");
-  for (const bytes of encodings.collectBytes([header, ...records])) {
+  const descriptor = fs.openSync(`${filePath}.tmp`, "w");
+  for (const bytes of encodeRecords.encodeChunks([header, ...records])) {
     fs.writeFileSync(descriptor, bytes);
   }
   fs.fsyncSync(descriptor);
   fs.closeSync(descriptor);
-  fs.renameSync(`${name}.tmp`, name);
+  fs.renameSync(`${filePath}.tmp`, filePath);
 }
 
 function readSnapshot(
@@ -229,46 +229,50 @@
   generation: number,
 ): StoredSnapshot | undefined {
   if (generation === 0) return undefined;
-  const name = path.join(folder, `snapshot.${generation}`);
+  const filePath = path.join(folder, `snapshot.${generation}`);
   const values: unknown[] = [];
-  const end = readRecords.readRecords(
-    name,
+  const summary = readRecords.readRecords(
+    filePath,
     (payload) => values.push(parsePayload(payload)),
   );
   const header = values[0] as SnapshotHeader | undefined;
   const parts = values.slice(1);
   if (header === undefined || parts.length !== header.parts) {
-    throw createCorruptError(name, end.wholeBytes);
+    throw createCorruptError(filePath, summary.validBytes);
   }
   return { head: header.head, parts };
 }
 
-interface ReadFile {
+interface ReadLogFile {
   readonly records: readonly unknown[];
-  readonly wholeBytes: number;
+  readonly validBytes: number;
   readonly tornBytes: number;
   /** Whether the file has the format before. */
-  readonly isFormer: boolean;
+  readonly isPreviousFormat: boolean;
 }
 
-function readLog(name: string, owner: string): ReadFile {
+function readLog(filePath: string, owner: string): ReadLogFile {
   const values: unknown[] = [];
-  const { wholeBytes, restBytes, isDamaged } = readRecords.readRecords(
-    name,
+  const {
+    validBytes: validBytes,
+    trailingBytes: trailingBytes,
+    isCorrupt: isCorrupt,
+  } = readRecords.readRecords(
+    filePath,
     (payload) => {
       const value = parsePayload(payload);
       if (Array.isArray(value)) values.push(...value);
       else values.push(value);
     },
   );
-  if (isDamaged) throw createCorruptError(name, wholeBytes);
+  if (isCorrupt) throw createCorruptError(filePath, validBytes);
   const header = values[0] as FileHeader | undefined;
-  checkHeader(header, name, owner);
+  checkHeader(header, filePath, owner);
   return {
     records: values.slice(1),
-    wholeBytes,
-    tornBytes: restBytes,
-    isFormer: header?.format !== FORMAT_VERSION,
+    validBytes: validBytes,
+    tornBytes: trailingBytes,
+    isPreviousFormat: header?.format !== FORMAT_VERSION,
   };
 }
 
@@ -278,36 +282,36 @@
 
 function checkHeader(
   header: FileHeader | undefined,
-  name: string,
+  filePath: string,
   owner: string,
 ): void {
-  if (header === undefined) throw createCorruptError(name, 0);
-  const isKnown = header.format === FORMAT_VERSION ||
-    header.format === SINGLE_RECORDS_VERSION;
-  if (isKnown && header.owner === owner) return;
+  if (header === undefined) throw createCorruptError(filePath, 0);
+  const isKnownFormat = header.format === FORMAT_VERSION ||
+    header.format === UNBATCHED_FORMAT_VERSION;
+  if (isKnownFormat && header.owner === owner) return;
   throw new results.FailureError({
     code: "wrongFolder",
     message:
-      `Cannot open the data folder: ${name} has format ${header.format} and belongs to box ${header.owner}`,
+      `Cannot open the data folder: ${filePath} has format ${header.format} and belongs to box ${header.owner}`,
     outcome: "notRun",
   });
 }
 
-function cutTail(name: string, length: number): void {
-  const descriptor = fs.openSync(name, "r+");
+function truncateFile(filePath: string, length: number): void {
+  const descriptor = fs.openSync(filePath, "r+");
   fs.ftruncateSync(descriptor, length);
   fs.fsyncSync(descriptor);
   fs.closeSync(descriptor);
 }
 
 function createCorruptError(
-  name: string,
+  filePath: string,
   offset: number,
 ): results.FailureError {
   return new results.FailureError({
     code: "corruptLog",
     message:
-      `Cannot open the data folder: ${name} is damaged at byte ${offset} and has whole records after it`,
+      `Cannot open the data folder: ${filePath} is damaged at byte ${offset} and has whole records after it`,
     outcome: "notRun",
   });
 }
--- a/src/storage/full_disk_test.ts
+++ b/src/storage/full_disk_test.ts
@@ -7,7 +7,7 @@
 import * as isDiskFull from "./is_disk_full.ts";
 
 /** A file whose writes put half their bytes down and then fail. */
-async function disturbWrites(): Promise<() => void> {
+async function simulateFullDisk(): Promise<() => void> {
   const probe = await fsPromises.open(os.devNull, "r");
   const prototype = Object.getPrototypeOf(probe);
   await probe.close();
@@ -29,14 +29,14 @@
   it("leaves the log as it was, and takes the same records later", async () => {
     const { log } = await durableLogs.DurableLog.open(folder, "box-1");
     await log.append([{ index: 0 }]);
-    const mend = await disturbWrites();
+    const restoreWrites = await simulateFullDisk();
     try {
       await log.append([{ index: 1 }]);
       throw new Error("the write did not fail");
     } catch (error) {
       chai.expect(isDiskFull.isDiskFull(error)).to.equal(true);
     } finally {
-      mend();
+      restoreWrites();
     }
     await log.append([{ index: 1 }]);
     await log.append([{ index: 2 }]);
--- a/src/storage/is_disk_full.ts
+++ b/src/storage/is_disk_full.ts
@@ -1,5 +1,5 @@
 /** Codes of a disk that takes no more bytes, for now. */
-const FULL_CODES: ReadonlySet<unknown> = new Set(["ENOSPC", "EDQUOT"]);
+const DISK_FULL_CODES: ReadonlySet<unknown> = new Set(["ENOSPC", "EDQUOT"]);
 
 /**
  * Tells whether a write failed because the disk is full. Such a write may
@@ -9,5 +9,7 @@
  * @returns Whether the disk is full.
  */
 export function isDiskFull(error: unknown): boolean {
-  return FULL_CODES.has((error as { readonly code?: unknown } | null)?.code);
+  return DISK_FULL_CODES.has(
+    (error as { readonly code?: unknown } | null)?.code,
+  );
 }
--- a/src/storage/large_write_test.ts
+++ b/src/storage/large_write_test.ts
@@ -13,7 +13,7 @@
  */
 
 const HEAP_MB = 140;
-const CHILD_MS = 60_000;
+const CHILD_TIMEOUT_MS = 60_000;
 const MODULE = path.resolve("src/storage/durable_log.ts");
 
 function createProgram(folder: string): string {
@@ -47,11 +47,11 @@
         "--eval",
         createProgram(folder),
       ],
-      { encoding: "utf8", timeout: CHILD_MS },
+      { encoding: "utf8", timeout: CHILD_TIMEOUT_MS },
     );
-    const told = child.stderr.split("\n").find((line) =>
+    const heapError = child.stderr.split("\n").find((line) =>
       line.includes("FATAL ERROR")
     );
-    chai.expect(child.stdout.trim(), told).to.equal("written 90");
+    chai.expect(child.stdout.trim(), heapError).to.equal("written 90");
   });
 });
--- a/src/storage/former_format_test.ts
+++ b/src/storage/previous_format_test.ts
@@ -15,7 +15,7 @@
  * and entries that were confirmed are gone, and nothing tells so.
  */
 
-const FORMER_FORMAT = 2;
+const PREVIOUS_FORMAT = 2;
 
 function encode(value: unknown): Buffer {
   return records.encodeRecord(Buffer.from(JSON.stringify(value)));
@@ -28,7 +28,7 @@
 
   it("holds no list of records while it names the former format", async () => {
     const file = path.join(folder, "log.0");
-    const header = { format: FORMER_FORMAT, owner: "box-1" };
+    const header = { format: PREVIOUS_FORMAT, owner: "box-1" };
     fs.writeFileSync(file, Buffer.concat([header, { index: 0 }].map(encode)));
     const { log } = await durableLogs.DurableLog.open(folder, "box-1");
     await log.append([{ index: 1 }, { index: 2 }]);
@@ -42,8 +42,10 @@
       (payload) => values.push(JSON.parse(payload.toString("utf8"))),
     );
     const { format } = values[0] as { readonly format: number };
-    const hasList = values.some((value) => Array.isArray(value));
-    const found = `format ${format}, a list of records: ${hasList}`;
-    chai.expect(format === FORMER_FORMAT && hasList, found).to.equal(false);
+    const hasBatch = values.some((value) => Array.isArray(value));
+    const message = `format ${format}, a list of records: ${hasBatch}`;
+    chai.expect(format === PREVIOUS_FORMAT && hasBatch, message).to.equal(
+      false,
+    );
   });
 });
--- a/src/storage/record.ts
+++ b/src/storage/record.ts
@@ -8,7 +8,7 @@
 const HEADER_BYTES = 12;
 
 /** A record found in a file. */
-export interface FoundRecord {
+export interface DecodedRecord {
   readonly payload: Buffer;
   /** Offset after the record, in bytes. */
   readonly end: number;
@@ -38,7 +38,7 @@
 export function decodeRecord(
   bytes: Buffer,
   offset: number,
-): FoundRecord | undefined {
+): DecodedRecord | undefined {
   if (offset + HEADER_BYTES > bytes.length) return undefined;
   if (bytes.readUInt32BE(offset) !== MAGIC) return undefined;
   const length = bytes.readUInt32BE(offset + 4);
@@ -56,7 +56,7 @@
  * @param offset Where to begin, in bytes.
  * @returns Whether there is one.
  */
-export function hasRecordAfter(bytes: Buffer, offset: number): boolean {
+export function hasRecordFrom(bytes: Buffer, offset: number): boolean {
   const magic = Buffer.alloc(4);
   magic.writeUInt32BE(MAGIC, 0);
   let at = bytes.indexOf(magic, offset);
--- a/src/storage/storage_test.ts
+++ b/src/storage/storage_test.ts
@@ -37,8 +37,10 @@
   it("cuts a torn tail at any byte and keeps all whole records", async () => {
     const file = await writeRecords(3);
     const bytes = fs.readFileSync(file);
-    const whole = fs.readFileSync(file).lastIndexOf("HSL1");
-    for (let length = whole + 1; length < bytes.length; length += 1) {
+    const lastRecordOffset = fs.readFileSync(file).lastIndexOf("HSL1");
+    for (
+      let length = lastRecordOffset + 1; length < bytes.length; length += 1
+    ) {
       fs.writeFileSync(file, bytes.subarray(0, length));
       const { log, loaded } = await durableLogs.DurableLog.open(
         folder,
@@ -46,7 +48,7 @@
       );
       await log.close();
       chai.expect(loaded.records).to.deep.equal([{ index: 0 }, { index: 1 }]);
-      chai.expect(loaded.tornBytes).to.equal(length - whole);
+      chai.expect(loaded.tornBytes).to.equal(length - lastRecordOffset);
     }
   });
 
@@ -76,19 +78,19 @@
     const long = "x".repeat(600_000);
     await log.append([{ index: 2 }, { index: 3, long }, { index: 4 }]);
     await log.close();
-    const whole = fs.readFileSync(file);
-    const last = whole.length - 1;
-    for (const at of [before, before + 20, before + 300_000, last]) {
-      const torn = Buffer.from(whole);
-      torn.fill(0, at, Math.min(at + 4_096, whole.length));
+    const intact = fs.readFileSync(file);
+    const lastOffset = intact.length - 1;
+    for (const at of [before, before + 20, before + 300_000, lastOffset]) {
+      const torn = Buffer.from(intact);
+      torn.fill(0, at, Math.min(at + 4_096, intact.length));
       fs.writeFileSync(file, torn);
-      const { log: again, loaded } = await durableLogs.DurableLog.open(
+      const { log: reopened, loaded } = await durableLogs.DurableLog.open(
         folder,
         "box-1",
       );
-      await again.close();
+      await reopened.close();
       chai.expect(loaded.records).to.deep.equal([{ index: 0 }, { index: 1 }]);
-      chai.expect(loaded.tornBytes).to.equal(whole.length - before);
+      chai.expect(loaded.tornBytes).to.equal(intact.length - before);
     }
   });
 
@@ -107,12 +109,12 @@
     await log.close();
     fs.writeFileSync(path.join(folder, "log.2"), "half a file");
     fs.writeFileSync(path.join(folder, "snapshot.draft"), "half a file");
-    const { log: again, loaded } = await durableLogs.DurableLog.open(
+    const { log: reopened, loaded } = await durableLogs.DurableLog.open(
       folder,
       "box-1",
     );
-    await again.compact({ head: { state: 8 }, parts: [] }, []);
-    await again.close();
+    await reopened.compact({ head: { state: 8 }, parts: [] }, []);
+    await reopened.close();
     chai.expect(loaded.snapshot).to.deep.equal({
       head: { state: 7 },
       parts: [1, 2],
@@ -133,17 +135,20 @@
     const { log } = await durableLogs.DurableLog.open(folder, "box-1");
     const long = "x".repeat(700_000);
     await log.append([{ index: 0, long }, { index: 1, long }]);
-    const writing = log.writeDraft({ head: 1, parts: [long, long, long] });
+    const writing = log.writeSnapshotDraft({
+      head: 1,
+      parts: [long, long, long],
+    });
     await log.append([{ index: 2, long }]);
     await writing;
-    await log.takeDraft([{ index: 2, long }]);
+    await log.installSnapshotDraft([{ index: 2, long }]);
     await log.append([{ index: 3, long }]);
     await log.close();
-    const { log: again, loaded } = await durableLogs.DurableLog.open(
+    const { log: reopened, loaded } = await durableLogs.DurableLog.open(
       folder,
       "box-1",
     );
-    await again.close();
+    await reopened.close();
     chai.expect(loaded.snapshot).to.deep.equal({
       head: 1,
       parts: [long, long, long],
--- a/src/storage/unsynced_tail_test.ts
+++ b/src/storage/unsynced_tail_test.ts
@@ -42,27 +42,27 @@
     const prototype = Object.getPrototypeOf(handle) as typeof handle;
     await handle.close();
     const { sync, datasync } = prototype;
-    function note(descriptor: number): void {
+    function recordSync(descriptor: number): void {
       synced.add(fs.fstatSync(descriptor).ino);
     }
     Object.assign(mutableFs, {
       fsyncSync: (descriptor: number) => {
-        note(descriptor);
+        recordSync(descriptor);
         fsyncSync(descriptor);
       },
       fdatasyncSync: (descriptor: number) => {
-        note(descriptor);
+        recordSync(descriptor);
         fdatasyncSync(descriptor);
       },
     });
     module.syncBuiltinESMExports();
     Object.assign(prototype, {
       sync(this: typeof handle) {
-        note(this.fd);
+        recordSync(this.fd);
         return sync.call(this);
       },
       datasync(this: typeof handle) {
-        note(this.fd);
+        recordSync(this.fd);
         return datasync.call(this);
       },
     });
--- a/src/submission/can_see.ts
+++ b/src/submission/can_access.ts
@@ -9,7 +9,7 @@
  * @param submission The submission.
  * @returns Whether it is the sender's; one without an account is everyone's.
  */
-export function canSee(
+export function canAccess(
   sender: accounts.Sender,
   submission: Pick<submissions.Submission, "sender">,
 ): boolean {
--- a/src/submission/find_forgettable.ts
+++ b/src/submission/find_expired_submissions.ts
@@ -1,16 +1,16 @@
-import type * as machines from "./submission_machine.ts";
+import type * as stateMachines from "./submission_state_machine.ts";
 
 /** How long submissions are kept. */
-export interface KeepTimes {
+export interface RetentionPolicy {
   readonly nowMs: number;
   /** How long results stay readable after the submission, in ms. */
-  readonly resultsKeepMs: number;
+  readonly resultRetentionMs: number;
   /** How long this process has known a submission, by its monotonic clock, in ms. */
-  readonly getKnownMs: (id: string) => number;
+  readonly getAgeMs: (id: string) => number;
 }
 
 /** Kept longer than promised, for clocks that differ, in ms. */
-const CLOCK_SLACK_MS = 15_000;
+const CLOCK_SKEW_MARGIN_MS = 15_000;
 
 /**
  * Finds submissions that nobody may ask for any more: ended ones whose results
@@ -18,20 +18,21 @@
  * their items could have been given up as long ago.
  *
  * @param records All submissions.
- * @param times Now, and how long to keep them; wall time in ms.
+ * @param policy Now, and how long to keep them; wall time in ms.
  * @returns Their ids.
  */
-export function findForgettable(
-  records: readonly machines.SubmissionRecord[],
-  times: KeepTimes,
+export function findExpiredSubmissions(
+  records: readonly stateMachines.SubmissionRecord[],
+  policy: RetentionPolicy,
 ): readonly string[] {
   return records.filter(({ submission, isEnded }) => {
-    const openMs = isEnded ? 0 : submission.terms.keepMs;
-    const keptMs = openMs + times.resultsKeepMs;
+    const processingMs = isEnded ? 0 : submission.terms.keepMs;
+    const retentionMs = processingMs + policy.resultRetentionMs;
     // The clocks of two boxes may differ by minutes; a leader whose clock was
     // ahead forgot what had just been accepted.
-    if (times.getKnownMs(submission.id) < keptMs) return false;
-    const untilMs = submission.acceptedAtMs + keptMs + CLOCK_SLACK_MS;
-    return times.nowMs > untilMs;
+    if (policy.getAgeMs(submission.id) < retentionMs) return false;
+    const expiresAtMs = submission.acceptedAtMs + retentionMs +
+      CLOCK_SKEW_MARGIN_MS;
+    return policy.nowMs > expiresAtMs;
   }).map(({ submission }) => submission.id);
 }
--- a/src/submission/item_fixture_test.ts
+++ b/src/submission/item_fixture_test.ts
@@ -4,12 +4,12 @@
  * Makes an item of model `m` without a scoring call, for tests.
  *
  * @param id Its id.
- * @param changes What is different about it.
+ * @param overrides What is different about it.
  * @returns The item.
  */
 export function createItem(
   id: string,
-  changes: Partial<submissions.SubmissionItem> = {},
+  overrides: Partial<submissions.SubmissionItem> = {},
 ): submissions.SubmissionItem {
   return {
     id,
@@ -21,6 +21,6 @@
     lengthHint: undefined,
     model: "m",
     scoring: undefined,
-    ...changes,
+    ...overrides,
   };
 }
--- a/src/submission/protocol.ts
+++ b/src/submission/protocol.ts
@@ -64,7 +64,7 @@
 /** What the leader answers. */
 export type LeaderReply<T> =
   | replicaGroups.NotLeader
-  | replicaGroups.Unsure
+  | replicaGroups.UnconfirmedChange
   | { readonly kind: "unknown" }
   | { readonly kind: "done"; readonly value: T };
 
--- a/src/submission/read_retire_test.ts
+++ b/src/submission/read_retire_test.ts
@@ -6,7 +6,7 @@
 import type * as replicaGroups from "../replica_group/mod.ts";
 import type * as rpc from "../rpc/mod.ts";
 import * as protocol from "./protocol.ts";
-import * as machines from "./submission_machine.ts";
+import * as stateMachines from "./submission_state_machine.ts";
 import * as services from "./submission_service.ts";
 
 /*
@@ -18,7 +18,7 @@
  */
 
 const RETIRED = "r";
-const SET_INDEX = 101;
+const VOTER_SET_INDEX = 101;
 const COMMIT_INDEX = 100;
 
 function createFollower(id: string): consensus.FollowerStatus {
@@ -31,13 +31,13 @@
   const group = {
     hasAuthority: () => true,
     listVoters: () => voters,
-    getVoterSet: () => ({ voters, index: SET_INDEX, isCommitted }),
+    getVoterSet: () => ({ voters, index: VOTER_SET_INDEX, isCommitted }),
     getStatus: () => ({
       role: "leader",
       term: 3,
       leader: "a",
       commitIndex: COMMIT_INDEX,
-      lastIndex: SET_INDEX,
+      lastIndex: VOTER_SET_INDEX,
       followers: ["b", "c", RETIRED].map(createFollower),
     }),
   };
@@ -46,7 +46,7 @@
 
 function readRetire(isCommitted: boolean): unknown {
   const methods = new Map<string, rpc.RpcHandler>();
-  const machine = new machines.SubmissionMachine(() => {});
+  const machine = new stateMachines.SubmissionStateMachine(() => {});
   machine.apply({ kind: "retireBox", box: RETIRED });
   new services.SubmissionService({
     clock: new clocks.FakeClock(),
@@ -56,10 +56,10 @@
     barrier: {} as replicaGroups.ReadBarrier,
     getFailureDomain: () => undefined,
     id: "a",
-    machine,
-    changed: new csp.Signal(),
+    stateMachine: machine,
+    stateChanged: new csp.Signal(),
     wantedVoters: 3,
-    listStores: () => ["a", "b", "c"],
+    listStoreIds: () => ["a", "b", "c"],
   });
   return methods.get(protocol.METHODS.readRetire)?.({ box: RETIRED } as never);
 }
--- a/src/submission/saved_parts.ts
+++ b/src/submission/saved_parts.ts
@@ -1,13 +1,13 @@
-import type * as capacityBooks from "../capacity/capacity_state.ts";
+import type * as capacityStates from "../capacity/capacity_state.ts";
 import type * as crashRecords from "../crash_record/mod.ts";
 import type * as registry from "../registry/mod.ts";
-import type * as usageBooks from "../usage/usage_book.ts";
+import type * as usageStates from "../usage/usage_state.ts";
 import type * as submissions from "./submission.ts";
 
 /** Characters of text that one part holds, unless one value is longer. */
-const PART_CHARACTERS = 128 * 1024;
+const MAX_PART_CHARACTERS = 128 * 1024;
 /** Characters that a value takes beside its texts, about. */
-const VALUE_CHARACTERS = 200;
+const VALUE_OVERHEAD_CHARACTERS = 200;
 
 /** A submission without its items, and what became of it. */
 export interface SavedRecord {
@@ -17,7 +17,7 @@
 }
 
 /** A kept text with the item it belongs to. */
-export type SavedText = readonly [item: string, text: submissions.KeptText];
+export type SavedText = readonly [item: string, text: submissions.StoredText];
 
 /** A part of the saved state; the parts of a submission follow its record. */
 export type SavedPart =
@@ -27,8 +27,8 @@
     readonly retiring: readonly string[];
     readonly holder: string | undefined;
     readonly engines: readonly registry.ServerReport[];
-    readonly usage: usageBooks.SavedUsage;
-    readonly capacity: capacityBooks.SavedCapacity;
+    readonly usage: usageStates.SavedUsage;
+    readonly capacity: capacityStates.SavedCapacity;
     /** Undefined in what a version before wrote. */
     readonly crashes: readonly crashRecords.CrashRecord[] | undefined;
   }
@@ -46,7 +46,7 @@
 /** What is saved of one submission. */
 export interface RecordToSave extends SavedRecord {
   readonly results: readonly submissions.ItemResult[];
-  readonly kept: ReadonlyMap<string, submissions.KeptText>;
+  readonly storedTexts: ReadonlyMap<string, submissions.StoredText>;
 }
 
 /**
@@ -56,8 +56,9 @@
  * @param toSave The submission and what became of it.
  * @returns Its parts, its record first.
  */
-export function cutRecord(toSave: RecordToSave): readonly SavedPart[] {
-  const { submission, namedVersion, isEnded, results, kept } = toSave;
+export function splitRecord(toSave: RecordToSave): readonly SavedPart[] {
+  const { submission, namedVersion, isEnded, results, storedTexts: kept } =
+    toSave;
   const record = {
     submission: { ...submission, items: [] },
     namedVersion,
@@ -65,11 +66,11 @@
   };
   return [
     { kind: "record", record },
-    ...cutList(submission.items, measureItem)
+    ...splitList(submission.items, measureItem)
       .map((items): SavedPart => ({ kind: "items", items })),
-    ...cutList(results, (result) => result.text.length)
+    ...splitList(results, (result) => result.text.length)
       .map((part): SavedPart => ({ kind: "results", results: part })),
-    ...cutList([...kept], ([, { text }]) => text.length)
+    ...splitList([...kept], ([, { text }]) => text.length)
       .map((texts): SavedPart => ({ kind: "texts", texts })),
   ];
 }
@@ -78,15 +79,15 @@
   return item.body.length + (item.scoring?.body.length ?? 0);
 }
 
-function cutList<T>(
+function splitList<T>(
   values: readonly T[],
   measure: (value: T) => number,
 ): readonly (readonly T[])[] {
   const parts: T[][] = [];
-  let size = PART_CHARACTERS;
+  let size = MAX_PART_CHARACTERS;
   for (const value of values) {
-    const added = measure(value) + VALUE_CHARACTERS;
-    if (size + added > PART_CHARACTERS) {
+    const added = measure(value) + VALUE_OVERHEAD_CHARACTERS;
+    if (size + added > MAX_PART_CHARACTERS) {
       parts.push([]);
       size = 0;
     }
--- a/src/submission/submission.ts
+++ b/src/submission/submission.ts
@@ -77,7 +77,7 @@
 }
 
 /** The front part of an item's text, kept so that any store can go on. */
-export interface KeptText {
+export interface StoredText {
   /** Data of its events, joined by line feeds. */
   readonly text: string;
   /** Id of its last event; undefined where the text is whole. */
--- a/src/submission/submission_ages.ts
+++ b/src/submission/submission_ages.ts
@@ -1,5 +1,5 @@
 import type * as clocks from "../clock/mod.ts";
-import type * as machines from "./submission_machine.ts";
+import type * as stateMachines from "./submission_state_machine.ts";
 
 /** How long this process has known each submission, whatever the time of day. */
 export class SubmissionAges {
@@ -11,7 +11,7 @@
   }
 
   /** Notes submissions that are new, and drops those that are gone. */
-  observe(records: readonly machines.SubmissionRecord[]): void {
+  observe(records: readonly stateMachines.SubmissionRecord[]): void {
     const nowMs = this.#clock.getMonotonicMs();
     this.#knownSinceMs = new Map(
       records.map(({ submission: { id } }) =>
--- a/src/submission/submission_command.ts
+++ b/src/submission/submission_command.ts
@@ -1,9 +1,9 @@
-import type * as capacityBooks from "../capacity/capacity_state.ts";
+import type * as capacityStates from "../capacity/capacity_state.ts";
 import type * as accounts from "../client_account/mod.ts";
 import type * as crashRecords from "../crash_record/mod.ts";
-import type * as dutyHolders from "../duty/duty_lease.ts";
+import type * as dutyLeases from "../duty/duty_lease.ts";
 import type * as registry from "../registry/mod.ts";
-import type * as usageBooks from "../usage/usage_book.ts";
+import type * as usageStates from "../usage/usage_state.ts";
 import type * as submissions from "./submission.ts";
 
 /** Results to list, in order. */
@@ -16,7 +16,7 @@
 }
 
 /** More of an item's text to keep. */
-export interface TextToKeep {
+export interface TextToStore {
   readonly submission: string;
   readonly item: string;
   /** Last event of the part kept before; undefined for none. */
@@ -36,10 +36,10 @@
     readonly kind: "recordResults";
     readonly results: readonly RecordedResult[];
   }
-  | { readonly kind: "keepTexts"; readonly texts: readonly TextToKeep[] }
-  | dutyHolders.NoteHolder
-  | usageBooks.UsageCommand
-  | capacityBooks.CapacityCommand
+  | { readonly kind: "keepTexts"; readonly texts: readonly TextToStore[] }
+  | dutyLeases.NoteHolder
+  | usageStates.UsageCommand
+  | capacityStates.CapacityCommand
   /** Notes which engines run, for a leader that has not heard them yet. */
   | {
     readonly kind: "keepEngines";
--- a/src/submission/submission_service.ts
+++ b/src/submission/submission_service.ts
@@ -4,42 +4,42 @@
 import type * as replicaGroups from "../replica_group/mod.ts";
 import type * as results from "../results/mod.ts";
 import type * as rpc from "../rpc/mod.ts";
-import * as canSee from "./can_see.ts";
-import * as cutPage from "./cut_page.ts";
+import * as accessChecks from "./can_access.ts";
+import * as resultPages from "./build_result_page.ts";
 import * as protocol from "./protocol.ts";
 import type * as commands from "./submission_command.ts";
-import type * as machines from "./submission_machine.ts";
+import type * as stateMachines from "./submission_state_machine.ts";
 
 /** Longest wait for a commit, in ms; callers try again after a second. */
-const COMMIT_MS = 900;
+const COMMIT_TIMEOUT_MS = 900;
 /** Silence of a voter up to which it counts as present, in ms. */
-const PRESENT_MS = 1_000;
+const MAX_VOTER_SILENCE_MS = 1_000;
 /**
  * Longest wait until a replica that does not lead holds what its leader holds,
  * in ms: some heartbeats of 90 ms, which tell it what is committed.
  */
-const CATCH_UP_MS = 300;
+const CATCH_UP_TIMEOUT_MS = 300;
 /** Silence of a voter up to which reads are sent to it, in ms. */
-const READABLE_MS = 400;
+const MAX_READER_SILENCE_MS = 400;
 
 /** What the submission service needs. */
 export interface SubmissionServiceOptions {
   readonly clock: clocks.Clock;
   readonly log: logs.Log;
-  readonly server: rpc.MethodTable;
+  readonly server: rpc.MethodRegistry;
   readonly group: replicaGroups.ReplicaGroup;
   readonly barrier: replicaGroups.ReadBarrier;
   /** Failure domain of each known box, by id. */
   readonly getFailureDomain: (id: string) => string | undefined;
   /** Id of this box. */
   readonly id: string;
-  readonly machine: machines.SubmissionMachine;
+  readonly stateMachine: stateMachines.SubmissionStateMachine;
   /** Woken when the machine changed. */
-  readonly changed: csp.Signal;
+  readonly stateChanged: csp.Signal;
   /** Voters that the stores should have. */
   readonly wantedVoters: number;
   /** Ids of the store boxes that run and are not to be emptied. */
-  readonly listStores: () => readonly string[];
+  readonly listStoreIds: () => readonly string[];
 }
 
 /** Answers for the submissions while this store leads. */
@@ -94,27 +94,27 @@
       minimumVersion: submission.minimumVersion,
       outcome: reply.kind,
     });
-    return toEmpty(reply);
+    return toEmptyReply(reply);
   }
 
   async #read(
     request: protocol.ReadRequest,
   ): Promise<protocol.LeaderReply<protocol.ReadReply>> {
-    const { group, changed, clock } = this.#options;
+    const { group, stateChanged: changed, clock } = this.#options;
     const endMs = clock.getMonotonicMs() + request.waitMs;
     const isLeading = group.hasAuthority();
-    if (!isLeading && !await this.#canFollow(request)) {
+    if (!isLeading && !await this.#canReadAsFollower(request)) {
       return group.createNotLeader();
     }
     for (;;) {
       if (isLeading && !group.hasAuthority()) return group.createNotLeader();
-      const record = this.#find(request);
+      const record = this.#findRecord(request);
       if (record === undefined) return { kind: "unknown" };
       const leftMs = endMs - clock.getMonotonicMs();
-      const hasNews = record.results.length > request.after;
-      if (hasNews || leftMs <= 0 || record.isEnded) {
-        const page = cutPage.cutPage(record, request.after);
-        const nearReplica = this.#findReplica(request.failureDomain);
+      const hasNewResults = record.results.length > request.after;
+      if (hasNewResults || leftMs <= 0 || record.isEnded) {
+        const page = resultPages.buildResultPage(record, request.after);
+        const nearReplica = this.#findReplicaIn(request.failureDomain);
         return { kind: "done", value: { page, nearReplica } };
       }
       await changed.wait(clock, leftMs);
@@ -122,29 +122,33 @@
   }
 
   /** The submission, where it is there and the sender's. */
-  #find(
+  #findRecord(
     { id, sender }: Pick<protocol.ReadRequest, "id" | "sender">,
-  ): machines.SubmissionRecord | undefined {
-    const record = this.#options.machine.get(id);
+  ): stateMachines.SubmissionRecord | undefined {
+    const record = this.#options.stateMachine.get(id);
     if (record === undefined) return undefined;
-    return canSee.canSee(sender, record.submission) ? record : undefined;
+    return accessChecks.canAccess(sender, record.submission)
+      ? record
+      : undefined;
   }
 
   /** Whether this replica may answer a read although it does not lead. */
-  async #canFollow({ mayFollow }: protocol.ReadRequest): Promise<boolean> {
+  async #canReadAsFollower(
+    { mayFollow }: protocol.ReadRequest,
+  ): Promise<boolean> {
     return mayFollow &&
-      await this.#options.barrier.awaitLeaderState(CATCH_UP_MS);
+      await this.#options.barrier.awaitLeaderState(CATCH_UP_TIMEOUT_MS);
   }
 
   /** A replica in a failure domain that answers and holds almost everything. */
-  #findReplica(failureDomain: string): string | undefined {
+  #findReplicaIn(failureDomain: string): string | undefined {
     const { group, getFailureDomain, id } = this.#options;
     if (getFailureDomain(id) === failureDomain) return id;
     const voters = group.listVoters();
     return group.getStatus()?.followers.find((follower) =>
       getFailureDomain(follower.id) === failureDomain &&
       voters.includes(follower.id) && follower.isAdmitted &&
-      follower.silentMs < READABLE_MS
+      follower.silentMs < MAX_READER_SILENCE_MS
     )?.id;
   }
 
@@ -153,7 +157,7 @@
   ): protocol.LeaderReply<string> {
     const { group } = this.#options;
     if (!group.hasAuthority()) return group.createNotLeader();
-    const record = this.#find(request);
+    const record = this.#findRecord(request);
     const item = record?.submission.items.find((other) =>
       other.id === request.item
     );
@@ -171,10 +175,10 @@
     });
     this.#options.log.write("info", "submission.ended", {
       submission: request.id,
-      listed: this.#options.machine.get(request.id)?.results.length,
+      listed: this.#options.stateMachine.get(request.id)?.results.length,
       outcome: reply.kind,
     });
-    return toEmpty(reply);
+    return toEmptyReply(reply);
   }
 
   async #nameVersion(
@@ -186,18 +190,23 @@
       version: request.version,
       outcome: reply.kind,
     });
-    return toEmpty(reply);
+    return toEmptyReply(reply);
   }
 
   async #retire(
     request: protocol.RetireRequest,
   ): Promise<protocol.LeaderReply<protocol.RetireState>> {
-    const { group, listStores, wantedVoters, machine } = this.#options;
+    const {
+      group,
+      listStoreIds: listStores,
+      wantedVoters,
+      stateMachine: machine,
+    } = this.#options;
     if (!group.hasAuthority()) return group.createNotLeader();
     const { box } = request;
-    const left = listStores().filter((id) => id !== box);
-    const isAsked = machine.listRetiring().includes(box);
-    if (!isAsked && left.length < wantedVoters) {
+    const remaining = listStores().filter((id) => id !== box);
+    const isRetiring = machine.listRetiring().includes(box);
+    if (!isRetiring && remaining.length < wantedVoters) {
       return { kind: "done", value: "tooFewLeft" };
     }
     const reply = await this.#propose({ kind: "retireBox", box });
@@ -212,7 +221,7 @@
   #readRetire(
     request: protocol.RetireRequest,
   ): protocol.LeaderReply<protocol.RetireState> {
-    const { group, machine, wantedVoters } = this.#options;
+    const { group, stateMachine: machine, wantedVoters } = this.#options;
     const status = group.getStatus();
     if (status === undefined || !group.hasAuthority()) {
       return group.createNotLeader();
@@ -220,18 +229,18 @@
     if (!machine.listRetiring().includes(request.box)) {
       return { kind: "unknown" };
     }
-    const set = group.getVoterSet();
-    if (set === undefined || !set.isCommitted) {
+    const voterSet = group.getVoterSet();
+    if (voterSet === undefined || !voterSet.isCommitted) {
       return { kind: "done", value: "running" };
     }
-    const { voters } = set;
-    const whole = status.followers.filter((follower) =>
+    const { voters } = voterSet;
+    const caughtUp = status.followers.filter((follower) =>
       voters.includes(follower.id) && follower.isAdmitted &&
       follower.matchIndex >= status.commitIndex &&
-      follower.silentMs < PRESENT_MS
+      follower.silentMs < MAX_VOTER_SILENCE_MS
     );
     const isCompleted = !voters.includes(request.box) &&
-      whole.length + 1 >= wantedVoters;
+      caughtUp.length + 1 >= wantedVoters;
     return { kind: "done", value: isCompleted ? "completed" : "running" };
   }
 
@@ -242,7 +251,7 @@
     if (!group.hasAuthority()) return group.createNotLeader();
     const result = await group.propose<commands.SubmissionAnswer>(
       command,
-      COMMIT_MS,
+      COMMIT_TIMEOUT_MS,
     );
     return toReply(result);
   }
@@ -265,7 +274,7 @@
   return { kind: "unsure", mayHaveRun: result.failure.outcome !== "notRun" };
 }
 
-function toEmpty<T>(
+function toEmptyReply<T>(
   reply: protocol.LeaderReply<T>,
 ): protocol.LeaderReply<null> {
   return reply.kind === "done" ? { kind: "done", value: null } : reply;
--- a/src/submission/submission_machine.ts
+++ b/src/submission/submission_state_machine.ts
@@ -1,10 +1,10 @@
 import type * as consensus from "../consensus/mod.ts";
-import * as capacityBooks from "../capacity/capacity_state.ts";
+import * as capacityStates from "../capacity/capacity_state.ts";
 import type * as accounts from "../client_account/mod.ts";
 import * as crashRecords from "../crash_record/mod.ts";
 import * as registry from "../registry/mod.ts";
-import * as usageBooks from "../usage/usage_book.ts";
-import * as canSee from "./can_see.ts";
+import * as usageStates from "../usage/usage_state.ts";
+import * as accessChecks from "./can_access.ts";
 import * as savedParts from "./saved_parts.ts";
 import type * as submissions from "./submission.ts";
 import type * as commands from "./submission_command.ts";
@@ -13,9 +13,9 @@
 export interface SubmissionRecord {
   readonly submission: submissions.Submission;
   readonly results: readonly submissions.ItemResult[];
-  readonly listed: ReadonlySet<string>;
+  readonly resultIds: ReadonlySet<string>;
   /** Texts of items that are not listed, by item. */
-  readonly kept: ReadonlyMap<string, submissions.KeptText>;
+  readonly storedTexts: ReadonlyMap<string, submissions.StoredText>;
   /** Newest version of its model when it was accepted. */
   readonly namedVersion: number;
   readonly isEnded: boolean;
@@ -30,8 +30,8 @@
 interface MutableRecord {
   readonly submission: MutableSubmission;
   readonly results: submissions.ItemResult[];
-  readonly listed: Set<string>;
-  readonly kept: Map<string, submissions.KeptText>;
+  readonly resultIds: Set<string>;
+  readonly storedTexts: Map<string, submissions.StoredText>;
   readonly namedVersion: number;
   isEnded: boolean;
 }
@@ -40,10 +40,10 @@
 const UNKNOWN: commands.SubmissionAnswer = { isKnown: false };
 
 /** Submissions, their results and the named versions, under the stores' log. */
-export class SubmissionMachine implements consensus.Machine {
+export class SubmissionStateMachine implements consensus.StateMachine {
   readonly #onChange: () => void;
-  readonly #usage = new usageBooks.UsageBook();
-  readonly #capacity = new capacityBooks.CapacityState();
+  readonly #usage = new usageStates.UsageState();
+  readonly #capacity = new capacityStates.CapacityState();
   readonly #crashes = new crashRecords.CrashTable();
   #records = new Map<string, MutableRecord>();
   #versions = new Map<string, number>();
@@ -74,12 +74,12 @@
   }
 
   /** What is agreed on about capacity. */
-  getCapacity(): capacityBooks.CapacityState {
+  getCapacity(): capacityStates.CapacityState {
     return this.#capacity;
   }
 
   /** What is agreed on about usage. */
-  getUsage(): usageBooks.UsageBook {
+  getUsage(): usageStates.UsageState {
     return this.#usage;
   }
 
@@ -98,23 +98,25 @@
    *
    * @returns Texts, whole ones first.
    */
-  findTexts(item: string): readonly submissions.KeptText[] {
+  findTexts(item: string): readonly submissions.StoredText[] {
     const records = this.listAll();
-    const whole = records.flatMap((record) =>
-      record.listed.has(item)
+    const completed = records.flatMap((record) =>
+      record.resultIds.has(item)
         ? record.results.filter((result) =>
           result.id === item && result.state === "completed"
         )
         : []
     );
-    const parts = records.flatMap((record) => record.kept.get(item) ?? []);
+    const partial = records.flatMap((record) =>
+      record.storedTexts.get(item) ?? []
+    );
     return [
-      ...whole.map(({ text, versions }) => ({
+      ...completed.map(({ text, versions }) => ({
         text,
         versions,
         lastId: undefined,
       })),
-      ...parts,
+      ...partial,
     ];
   }
 
@@ -140,7 +142,7 @@
       capacity: this.#capacity.save(),
       crashes: this.#crashes.list(),
     };
-    return [state, ...this.listAll().flatMap(savedParts.cutRecord)];
+    return [state, ...this.listAll().flatMap(savedParts.splitRecord)];
   }
 
   restore(parts: readonly unknown[]): void {
@@ -168,10 +170,12 @@
           break;
         case "results":
           record?.results.push(...part.results);
-          for (const { id } of part.results) record?.listed.add(id);
+          for (const { id } of part.results) record?.resultIds.add(id);
           break;
         case "texts":
-          for (const [item, text] of part.texts) record?.kept.set(item, text);
+          for (const [item, text] of part.texts) {
+            record?.storedTexts.set(item, text);
+          }
           break;
       }
     }
@@ -179,11 +183,11 @@
   }
 
   /** Keeps the latest start of an engine, whichever is told of first. */
-  #keepEngine(engine: registry.ServerReport): void {
+  #recordEngine(engine: registry.ServerReport): void {
     const known = this.#engines.get(engine.id);
-    const isFormer = known !== undefined &&
+    const isEarlierLifetime = known !== undefined &&
       registry.compareLifetimes(engine, known) === "former";
-    if (!isFormer) this.#engines.set(engine.id, engine);
+    if (!isEarlierLifetime) this.#engines.set(engine.id, engine);
   }
 
   #applyCommand(
@@ -193,15 +197,15 @@
       case "acceptSubmission":
         return this.#accept(command.submission);
       case "recordResults":
-        return this.#recordAll(command.results);
+        return this.#recordResults(command.results);
       case "keepTexts":
-        return this.#keepAll(command.texts);
+        return this.#storeTexts(command.texts);
       case "noteHolder":
         this.#holder = command.box;
         return KNOWN;
       case "keepEngines":
         for (const id of command.gone) this.#engines.delete(id);
-        for (const engine of command.added) this.#keepEngine(engine);
+        for (const engine of command.added) this.#recordEngine(engine);
         return KNOWN;
       case "keepCrashes":
         this.#crashes.removeExpired(command.nowMs);
@@ -236,15 +240,15 @@
   #accept(submission: submissions.Submission): commands.SubmissionAnswer {
     const known = this.#records.get(submission.id);
     if (known !== undefined) {
-      return canSee.canSee(submission.sender, known.submission)
+      return accessChecks.canAccess(submission.sender, known.submission)
         ? KNOWN
         : UNKNOWN;
     }
     this.#records.set(submission.id, {
       submission: { ...submission, items: [...submission.items] },
       results: [],
-      listed: new Set(),
-      kept: new Map(),
+      resultIds: new Set(),
+      storedTexts: new Map(),
       namedVersion: this.#versions.get(submission.model ?? "") ?? 1,
       isEnded: false,
     });
@@ -252,56 +256,60 @@
   }
 
   /** Answers that something is unknown if any text lacks its kept part. */
-  #recordAll(
+  #recordResults(
     results: readonly commands.RecordedResult[],
   ): commands.SubmissionAnswer {
-    const outcomes = results.map((result) => this.#record(result));
+    const outcomes = results.map((result) => this.#recordResult(result));
     return outcomes.includes(UNKNOWN) ? UNKNOWN : KNOWN;
   }
 
-  #record(
+  #recordResult(
     { submission, result, keptLastId }: commands.RecordedResult,
   ): commands.SubmissionAnswer {
     const record = this.#records.get(submission);
     if (record === undefined || record.isEnded) return KNOWN;
-    if (record.listed.has(result.id)) return KNOWN;
-    const kept = record.kept.get(result.id);
-    if (keptLastId !== undefined && kept?.lastId !== keptLastId) return UNKNOWN;
-    const text = keptLastId === undefined || kept === undefined
+    if (record.resultIds.has(result.id)) return KNOWN;
+    const stored = record.storedTexts.get(result.id);
+    if (keptLastId !== undefined && stored?.lastId !== keptLastId) {
+      return UNKNOWN;
+    }
+    const text = keptLastId === undefined || stored === undefined
       ? result.text
-      : joinTexts(kept.text, result.text);
-    record.kept.delete(result.id);
-    record.listed.add(result.id);
+      : joinTexts(stored.text, result.text);
+    record.storedTexts.delete(result.id);
+    record.resultIds.add(result.id);
     record.results.push({ ...result, text });
     return KNOWN;
   }
 
   /** Answers that something is unknown if any text lacks what is before it. */
-  #keepAll(texts: readonly commands.TextToKeep[]): commands.SubmissionAnswer {
-    const outcomes = texts.map((text) => this.#keep(text));
+  #storeTexts(
+    texts: readonly commands.TextToStore[],
+  ): commands.SubmissionAnswer {
+    const outcomes = texts.map((text) => this.#storeText(text));
     return outcomes.includes(UNKNOWN) ? UNKNOWN : KNOWN;
   }
 
   /** Keeps more of a text that follows what is kept, or one begun anew. */
-  #keep(more: commands.TextToKeep): commands.SubmissionAnswer {
-    const record = this.#records.get(more.submission);
+  #storeText(addition: commands.TextToStore): commands.SubmissionAnswer {
+    const record = this.#records.get(addition.submission);
     if (record === undefined || record.isEnded) return KNOWN;
-    if (record.listed.has(more.item)) return KNOWN;
-    const kept = record.kept.get(more.item);
-    const isNew = more.afterId === undefined;
-    if (!isNew && kept?.lastId !== more.afterId) return UNKNOWN;
-    const { lastId, versions } = more;
-    const text = isNew || kept === undefined
-      ? more.text
-      : joinTexts(kept.text, more.text);
-    record.kept.set(more.item, { text, lastId, versions });
+    if (record.resultIds.has(addition.item)) return KNOWN;
+    const stored = record.storedTexts.get(addition.item);
+    const isRestarted = addition.afterId === undefined;
+    if (!isRestarted && stored?.lastId !== addition.afterId) return UNKNOWN;
+    const { lastId, versions } = addition;
+    const text = isRestarted || stored === undefined
+      ? addition.text
+      : joinTexts(stored.text, addition.text);
+    record.storedTexts.set(addition.item, { text, lastId, versions });
     return KNOWN;
   }
 
   #end(id: string, sender: accounts.Sender): commands.SubmissionAnswer {
     const record = this.#records.get(id);
     if (record === undefined) return UNKNOWN;
-    if (!canSee.canSee(sender, record.submission)) return UNKNOWN;
+    if (!accessChecks.canAccess(sender, record.submission)) return UNKNOWN;
     record.isEnded = true;
     return KNOWN;
   }
@@ -313,16 +321,16 @@
   }
 }
 
-function joinTexts(front: string, rest: string): string {
-  return rest === "" ? front : `${front}\n${rest}`;
+function joinTexts(first: string, rest: string): string {
+  return rest === "" ? first : `${first}\n${rest}`;
 }
 
 function createRecord(saved: savedParts.SavedRecord): MutableRecord {
   return {
     submission: { ...saved.submission, items: [] },
     results: [],
-    listed: new Set(),
-    kept: new Map(),
+    resultIds: new Set(),
+    storedTexts: new Map(),
     namedVersion: saved.namedVersion,
     isEnded: saved.isEnded,
   };
--- a/src/submission/submission_test.ts
+++ b/src/submission/submission_test.ts
@@ -1,11 +1,11 @@
 import * as chai from "chai";
 import * as fastCheck from "fast-check";
 import * as itemFixtures from "./item_fixture_test.ts";
-import * as cutPage from "./cut_page.ts";
-import * as findForgettable from "./find_forgettable.ts";
+import * as resultPages from "./build_result_page.ts";
+import * as expiredSubmissions from "./find_expired_submissions.ts";
 import type * as submissions from "./submission.ts";
 import type * as commands from "./submission_command.ts";
-import * as machines from "./submission_machine.ts";
+import * as stateMachines from "./submission_state_machine.ts";
 
 const TERMS: submissions.SubmissionTerms = {
   host: "a.example",
@@ -37,8 +37,8 @@
   return { id, state: "completed", text, versions: [1], score: "s" };
 }
 
-function createMachine(): machines.SubmissionMachine {
-  const machine = new machines.SubmissionMachine(() => {});
+function createMachine(): stateMachines.SubmissionStateMachine {
+  const machine = new stateMachines.SubmissionStateMachine(() => {});
   machine.apply({
     kind: "acceptSubmission",
     submission: createSubmission("a", ["1", "2"]),
@@ -46,8 +46,8 @@
   return machine;
 }
 
-function record(
-  machine: machines.SubmissionMachine,
+function recordResult(
+  machine: stateMachines.SubmissionStateMachine,
   result: submissions.ItemResult,
   keptLastId?: number,
 ): commands.SubmissionAnswer {
@@ -57,8 +57,8 @@
   });
 }
 
-function keep(
-  machine: machines.SubmissionMachine,
+function storeText(
+  machine: stateMachines.SubmissionStateMachine,
   afterId: number | undefined,
   text: string,
   lastId: number,
@@ -76,14 +76,16 @@
   });
 }
 
-function listTexts(machine: machines.SubmissionMachine): readonly string[] {
+function listTexts(
+  machine: stateMachines.SubmissionStateMachine,
+): readonly string[] {
   return machine.get("a")?.results.map((result) => result.text) ?? [];
 }
 
 describe("submissions", () => {
   it("takes a submission once, however often it comes", () => {
     const machine = createMachine();
-    record(machine, createResult("1", "first"));
+    recordResult(machine, createResult("1", "first"));
     machine.apply({
       kind: "acceptSubmission",
       submission: createSubmission("a", ["9"]),
@@ -94,16 +96,16 @@
 
   it("never moves or changes a result, and lists none after the end", () => {
     const machine = createMachine();
-    record(machine, createResult("2", "two"));
-    record(machine, createResult("2", "another"));
-    record(machine, createResult("1", "one"));
+    recordResult(machine, createResult("2", "two"));
+    recordResult(machine, createResult("2", "another"));
+    recordResult(machine, createResult("1", "one"));
     chai.expect(listTexts(machine)).to.deep.equal(["two", "one"]);
     machine.apply({
       kind: "endSubmission",
       id: "a",
       sender: { kind: "unasked" },
     });
-    record(machine, createResult("3", "late"));
+    recordResult(machine, createResult("3", "late"));
     chai.expect(listTexts(machine)).to.deep.equal(["two", "one"]);
   });
 
@@ -118,42 +120,44 @@
 
   it("says when a text does not follow the part that is kept", () => {
     const machine = createMachine();
-    chai.expect(keep(machine, undefined, "a", 1).isKnown).to.equal(true);
-    chai.expect(keep(machine, 3, "d", 4).isKnown).to.equal(false);
-    chai.expect(machine.get("a")?.kept.get("1")?.lastId).to.equal(1);
-    chai.expect(keep(machine, undefined, "a\nb", 2).isKnown).to.equal(true);
-    chai.expect(machine.get("a")?.kept.get("1")?.text).to.equal("a\nb");
+    chai.expect(storeText(machine, undefined, "a", 1).isKnown).to.equal(true);
+    chai.expect(storeText(machine, 3, "d", 4).isKnown).to.equal(false);
+    chai.expect(machine.get("a")?.storedTexts.get("1")?.lastId).to.equal(1);
+    chai.expect(storeText(machine, undefined, "a\nb", 2).isKnown).to.equal(
+      true,
+    );
+    chai.expect(machine.get("a")?.storedTexts.get("1")?.text).to.equal("a\nb");
   });
 
   it("joins a result with the part of its text that was kept", () => {
     const machine = createMachine();
-    keep(machine, undefined, "e1\ne2", 2);
-    keep(machine, 2, "e3", 3);
-    keep(machine, 2, "doubled", 3);
-    record(machine, createResult("1", "e4"), 3);
+    storeText(machine, undefined, "e1\ne2", 2);
+    storeText(machine, 2, "e3", 3);
+    storeText(machine, 2, "doubled", 3);
+    recordResult(machine, createResult("1", "e4"), 3);
     chai.expect(listTexts(machine)).to.deep.equal(["e1\ne2\ne3\ne4"]);
   });
 
   it("refuses a result whose kept part is another, and lists nothing of it", () => {
     const machine = createMachine();
-    keep(machine, undefined, "e1\ne2", 2);
-    const answer = record(machine, createResult("1", "e4"), 3);
+    storeText(machine, undefined, "e1\ne2", 2);
+    const answer = recordResult(machine, createResult("1", "e4"), 3);
     chai.expect(answer.isKnown).to.equal(false);
     chai.expect(listTexts(machine)).to.deep.equal([]);
   });
 
   it("lets a text that begins anew replace what was kept of the old one", () => {
     const machine = createMachine();
-    keep(machine, undefined, "old1\nold2", 2);
-    keep(machine, undefined, "new1", 1);
-    record(machine, createResult("1", "new2"), 1);
+    storeText(machine, undefined, "old1\nold2", 2);
+    storeText(machine, undefined, "new1", 1);
+    recordResult(machine, createResult("1", "new2"), 1);
     chai.expect(listTexts(machine)).to.deep.equal(["new1\nnew2"]);
   });
 
   it("finds the text of an item that comes again in a later submission", () => {
     const machine = createMachine();
-    record(machine, createResult("2", "whole"));
-    keep(machine, undefined, "e1", 1);
+    recordResult(machine, createResult("2", "whole"));
+    storeText(machine, undefined, "e1", 1);
     machine.apply({
       kind: "endSubmission",
       id: "a",
@@ -217,14 +221,14 @@
         fastCheck.array(command, { maxLength: 30 }),
         fastCheck.nat(30),
         (commands, at) => {
-          const straight = new machines.SubmissionMachine(() => {});
-          let restored = new machines.SubmissionMachine(() => {});
+          const straight = new stateMachines.SubmissionStateMachine(() => {});
+          let restored = new stateMachines.SubmissionStateMachine(() => {});
           commands.forEach((item, index) => {
             straight.apply(item);
             restored.apply(item);
             if (index !== at) return;
             const saved = JSON.parse(JSON.stringify(restored.save()));
-            restored = new machines.SubmissionMachine(() => {});
+            restored = new stateMachines.SubmissionStateMachine(() => {});
             restored.restore(saved);
           });
           chai.expect(JSON.stringify(restored.save())).to.equal(
@@ -243,19 +247,21 @@
   it("cuts pages that begin where the last one ended", () => {
     const machine = createMachine();
     const long = "x".repeat(600_000);
-    record(machine, createResult("1", long));
-    record(machine, createResult("2", long));
-    const known = machine.get("a");
-    if (known === undefined) throw new Error("it is not there");
-    const first = cutPage.cutPage(known, 0);
+    recordResult(machine, createResult("1", long));
+    recordResult(machine, createResult("2", long));
+    const record = machine.get("a");
+    if (record === undefined) throw new Error("it is not there");
+    const first = resultPages.buildResultPage(record, 0);
     chai.expect([first.results.length, first.next, first.total]).to.deep.equal([
       1,
       1,
       2,
     ]);
-    const second = cutPage.cutPage(known, first.next);
+    const second = resultPages.buildResultPage(record, first.next);
     chai.expect(second.results[0]?.id).to.equal("2");
-    chai.expect(cutPage.cutPage(known, 2).results).to.deep.equal([]);
+    chai.expect(resultPages.buildResultPage(record, 2).results).to.deep.equal(
+      [],
+    );
   });
 
   it("forgets only what was promised for long enough", () => {
@@ -266,11 +272,14 @@
       getKnownMs: () => 60_000,
     };
     function find(): readonly string[] {
-      return findForgettable.findForgettable(machine.listAll(), times);
+      return expiredSubmissions.findExpiredSubmissions(
+        machine.listAll(),
+        times,
+      );
     }
     chai.expect(find()).to.deep.equal(["a"]);
     chai.expect(
-      findForgettable.findForgettable(machine.listAll(), {
+      expiredSubmissions.findExpiredSubmissions(machine.listAll(), {
         ...times,
         nowMs: 65_500,
       }),
@@ -284,11 +293,14 @@
   // difference between two boxes' clocks. They could not be read again.
   it("is not forgotten by a leader whose clock is ahead", () => {
     const machine = createMachine();
-    const forgettable = findForgettable.findForgettable(machine.listAll(), {
-      nowMs: 3_600_000,
-      resultsKeepMs: 50_000,
-      getKnownMs: () => 49_000,
-    });
+    const forgettable = expiredSubmissions.findExpiredSubmissions(
+      machine.listAll(),
+      {
+        nowMs: 3_600_000,
+        resultRetentionMs: 50_000,
+        getAgeMs: () => 49_000,
+      },
+    );
     chai.expect(forgettable).to.deep.equal([]);
   });
 
--- a/src/traffic_config/check_configuration.ts
+++ b/src/traffic_config/check_configuration.ts
@@ -19,7 +19,7 @@
     const fault = findScalingFault(service);
     if (fault !== undefined) return `service ${service.name}: ${fault}`;
   }
-  return accounts.findAccountFault(configuration.accounts?.list() ?? []);
+  return accounts.findAccountError(configuration.accounts?.list() ?? []);
 }
 
 function findScalingFault(
--- a/src/traffic_config/configuration_machine.ts
+++ b/src/traffic_config/configuration_machine.ts
@@ -14,7 +14,7 @@
 }
 
 /** Replicated state machine that holds the newest configuration. */
-export class ConfigurationMachine implements consensus.Machine {
+export class ConfigurationMachine implements consensus.StateMachine {
   readonly #onChange: (stored: configurations.StoredConfiguration) => void;
   #stored: configurations.StoredConfiguration | undefined;
   #notifiedVersion = 0;
--- a/src/traffic_config/configuration_service.ts
+++ b/src/traffic_config/configuration_service.ts
@@ -20,7 +20,7 @@
 /** Reply to a `PutRequest`, with the version stored afterwards. */
 export type PutReply =
   | replicaGroups.NotLeader
-  | replicaGroups.Unsure
+  | replicaGroups.UnconfirmedChange
   | { readonly kind: "done"; readonly version: number };
 
 /** Reply to a read, with the leader's newest configuration. */
@@ -33,7 +33,7 @@
 
 /** Dependencies of a `ConfigurationService`. */
 export interface ConfigurationServiceOptions {
-  readonly server: rpc.MethodTable;
+  readonly server: rpc.MethodRegistry;
   readonly group: replicaGroups.ReplicaGroup;
   readonly machine: configurationMachines.ConfigurationMachine;
 }
--- a/src/trainer/peer_calls.ts
+++ b/src/trainer/peer_clients.ts
@@ -5,7 +5,7 @@
 const CALL_TIMEOUT_MS = 30_000;
 
 /** Calls other boxes, over connections that are kept. */
-export class PeerCalls {
+export class PeerClients {
   readonly #clients = new Map<string, rpc.RpcClient>();
 
   /**
@@ -22,7 +22,11 @@
     params: object,
   ): Promise<T | undefined> {
     try {
-      return await this.#get(box).call<T>(method, params, CALL_TIMEOUT_MS);
+      return await this.#getClient(box).call<T>(
+        method,
+        params,
+        CALL_TIMEOUT_MS,
+      );
     } catch {
       return undefined;
     }
@@ -32,10 +36,10 @@
     for (const client of this.#clients.values()) client.close();
   }
 
-  #get(box: control.BoxView): rpc.RpcClient {
+  #getClient(box: control.BoxView): rpc.RpcClient {
     const key = `${box.address}:${box.peerPort}`;
-    const known = this.#clients.get(key);
-    if (known !== undefined) return known;
+    const existing = this.#clients.get(key);
+    if (existing !== undefined) return existing;
     const client = new rpc.RpcClient({
       address: box.address,
       port: box.peerPort,
--- a/src/trainer/step_feed.ts
+++ b/src/trainer/step_feed.ts
@@ -15,7 +15,7 @@
 
 const PROPOSE_TIMEOUT_MS = 5_000;
 const GENERATION_TIMEOUT_MS = 600_000;
-const RETRY_MS = 100;
+const RETRY_DELAY_MS = 100;
 
 /** What feeds work with. */
 export interface FeedContext {
@@ -32,7 +32,7 @@
 interface ReadySample {
   readonly sample: Omit<steps.Sample, "ageMs">;
   /** Monotonic time of its first token, in ms. */
-  readonly startedMs: number;
+  readonly firstTokenAtMs: number;
 }
 
 /**
@@ -97,13 +97,13 @@
     for (;;) {
       const bound = await this.#bindReady();
       if (bound.kind === "failure") return bound;
-      const leftMs = endMs - clock.getMonotonicMs();
-      const isDone = this.#bound.size > 0 || this.isComplete() ||
+      const remainingMs = endMs - clock.getMonotonicMs();
+      const hasResult = this.#bound.size > 0 || this.isComplete() ||
         this.isStopped();
-      if (isDone || leftMs <= 0) {
+      if (hasResult || remainingMs <= 0) {
         return results.createOk([...this.#bound.values()]);
       }
-      if (this.#ready.size === 0) await this.#changed.wait(clock, leftMs);
+      if (this.#ready.size === 0) await this.#changed.wait(clock, remainingMs);
     }
   }
 
@@ -150,7 +150,7 @@
 
   #startSlot(slot: number): void {
     this.#running.add(slot);
-    this.#makeSample(slot).then((sample) => {
+    this.#generateSample(slot).then((sample) => {
       if (sample !== undefined) this.#ready.set(slot, sample);
     }).catch((error: unknown) => {
       this.#context.log.write("error", "sample.failed", {
@@ -160,12 +160,12 @@
     }).finally(() => {
       this.#running.delete(slot);
       this.#changed.notify();
-      const delayMs = this.#ready.has(slot) ? 0 : RETRY_MS;
+      const delayMs = this.#ready.has(slot) ? 0 : RETRY_DELAY_MS;
       this.#context.clock.startTimer(delayMs, () => this.#scheduleSlots());
     });
   }
 
-  async #makeSample(slot: number): Promise<ReadySample | undefined> {
+  async #generateSample(slot: number): Promise<ReadySample | undefined> {
     const { clock, client, table, scorer, connectTimeoutMs } = this.#context;
     const view = client.getView();
     const template = view.templates.get(this.#template);
@@ -175,8 +175,8 @@
     const prompt = this.#getPrompt(slot);
     const tokens: number[] = [];
     let spans: readonly steps.VersionSpan[] = [];
-    let startedMs = clock.getMonotonicMs();
-    const end = await generation.generateTokens({
+    let firstTokenAtMs = clock.getMonotonicMs();
+    const generated = await generation.generateTokens({
       service: models.getServiceName(parameters.model),
       model: parameters.model,
       prompt,
@@ -191,18 +191,18 @@
       connectTimeoutMs,
       cancellation: this.#stopped,
       onToken: (token) => {
-        if (tokens.length === 0) startedMs = clock.getMonotonicMs();
+        if (tokens.length === 0) firstTokenAtMs = clock.getMonotonicMs();
         tokens.push(token.tokenId);
-        spans = steps.addToken(spans, token.weightVersion);
+        spans = steps.appendToken(spans, token.weightVersion);
       },
     });
-    if (end.kind === "failure" || tokens.length === 0) return undefined;
+    if (generated.kind === "failure" || tokens.length === 0) return undefined;
     const score = await scorer.score(prompt, tokens);
     if (score.kind === "failure") return undefined;
     const sampleId = crypto.randomUUID();
     return {
       sample: { sampleId, slot, tokens, spans, score: score.value },
-      startedMs,
+      firstTokenAtMs: firstTokenAtMs,
     };
   }
 
@@ -211,13 +211,16 @@
     account: Parameters<typeof templates.getStalenessBound>[1],
   ): number {
     const bound = templates.getStalenessBound(template, account);
-    const known = this.#context.client.getView().models.get(
+    const model = this.#context.client.getView().models.get(
       template.parameters.model,
     );
-    const current = Math.max(known?.weightVersion ?? 0, this.#trainerVersion);
+    const newestVersion = Math.max(
+      model?.weightVersion ?? 0,
+      this.#trainerVersion,
+    );
     return Math.max(
       template.parameters.minWeightVersion,
-      current - bound.versions,
+      newestVersion - bound.versions,
     );
   }
 
@@ -228,19 +231,19 @@
 
   /** Fetches that come at once share one binding. */
   #bindReady(): Promise<results.Result<undefined>> {
-    this.#binding ??= this.#offerReady().finally(() => {
+    this.#binding ??= this.#proposeReady().finally(() => {
       this.#binding = undefined;
     });
     return this.#binding;
   }
 
-  async #offerReady(): Promise<results.Result<undefined>> {
-    const offered = [...this.#ready.values()];
-    if (offered.length === 0 || this.isStopped()) {
+  async #proposeReady(): Promise<results.Result<undefined>> {
+    const ready = [...this.#ready.values()];
+    if (ready.length === 0 || this.isStopped()) {
       return results.createOk(undefined);
     }
     const nowMs = this.#context.clock.getMonotonicMs();
-    const samples = offered.map(({ sample, startedMs }) => ({
+    const samples = ready.map(({ sample, firstTokenAtMs: startedMs }) => ({
       ...sample,
       ageMs: Math.ceil(nowMs - startedMs),
     }));
@@ -258,12 +261,12 @@
         `Cannot bind samples: ${answer.value.kind}`,
       );
     }
-    for (const item of answer.value.answers) this.#takeAnswer(item, samples);
+    for (const item of answer.value.answers) this.#handleAnswer(item, samples);
     this.#scheduleSlots();
     return results.createOk(undefined);
   }
 
-  #takeAnswer(
+  #handleAnswer(
     answer: steps.BindAnswer,
     samples: readonly steps.Sample[],
   ): void {
--- a/src/trainer/step_feed_test.ts
+++ b/src/trainer/step_feed_test.ts
@@ -102,27 +102,33 @@
 
 describe("step feed", () => {
   it("shows the same samples again until they are acknowledged, at the next owner too", async () => {
-    const fake = new FakeControl();
-    fake.openStep("box-1");
-    fake.bind(1, [createSample(0), createSample(1)]);
-    const second = fake.createFeed(fake.openStep("box-2"));
-    chai.expect(await fetchIds(second)).to.deep.equal(["s0", "s1"]);
-    chai.expect(await fetchIds(second)).to.deep.equal(["s0", "s1"]);
-    await second.acknowledge([0]);
-    await second.acknowledge([0]);
-    chai.expect(await fetchIds(second)).to.deep.equal(["s1"]);
-    const third = fake.createFeed(fake.openStep("box-3"));
-    chai.expect(await fetchIds(third)).to.deep.equal(["s1"]);
-    await third.acknowledge([1]);
-    chai.expect(third.isComplete()).to.equal(true);
+    const fakeControl = new FakeControl();
+    fakeControl.openStep("box-1");
+    fakeControl.bind(1, [createSample(0), createSample(1)]);
+    const secondFeed = fakeControl.createFeed(fakeControl.openStep("box-2"));
+    chai.expect(await fetchIds(secondFeed)).to.deep.equal(["s0", "s1"]);
+    chai.expect(await fetchIds(secondFeed)).to.deep.equal(["s0", "s1"]);
+    await secondFeed.acknowledge([0]);
+    await secondFeed.acknowledge([0]);
+    chai.expect(await fetchIds(secondFeed)).to.deep.equal(["s1"]);
+    const thirdFeed = fakeControl.createFeed(fakeControl.openStep("box-3"));
+    chai.expect(await fetchIds(thirdFeed)).to.deep.equal(["s1"]);
+    await thirdFeed.acknowledge([1]);
+    chai.expect(thirdFeed.isComplete()).to.equal(true);
   });
 
   it("is complete at once for a step whose every slot was acknowledged before", () => {
-    const fake = new FakeControl();
-    fake.openStep("box-1");
-    fake.bind(1, [createSample(0), createSample(1)]);
-    fake.apply({ kind: "acknowledgeSamples", stepId: STEP_ID, slots: [0, 1] });
-    chai.expect(fake.createFeed(fake.openStep("box-2")).isComplete()).to.equal(
+    const fakeControl = new FakeControl();
+    fakeControl.openStep("box-1");
+    fakeControl.bind(1, [createSample(0), createSample(1)]);
+    fakeControl.apply({
+      kind: "acknowledgeSamples",
+      stepId: STEP_ID,
+      slots: [0, 1],
+    });
+    chai.expect(
+      fakeControl.createFeed(fakeControl.openStep("box-2")).isComplete(),
+    ).to.equal(
       true,
     );
   });
--- a/src/trainer/trainer_service.ts
+++ b/src/trainer/trainer_service.ts
@@ -7,7 +7,7 @@
 import type * as rpc from "../rpc/mod.ts";
 import * as steps from "../rollout_step/mod.ts";
 import * as templates from "../rollout_template/mod.ts";
-import * as peerCalls from "./peer_calls.ts";
+import * as peerClients from "./peer_clients.ts";
 import * as stepFeeds from "./step_feed.ts";
 
 const MAX_PROMPTS = 8_192;
@@ -48,7 +48,7 @@
 }
 
 /** Where a step is worked on. */
-type Place =
+type StepOwner =
   | { readonly kind: "here"; readonly feed: stepFeeds.StepFeed }
   | { readonly kind: "other"; readonly box: string };
 
@@ -59,7 +59,7 @@
 export class TrainerService implements callers.TrainerHandler {
   readonly #context: stepFeeds.FeedContext;
   readonly #feeds = new Map<string, stepFeeds.StepFeed>();
-  readonly #peers = new peerCalls.PeerCalls();
+  readonly #peers = new peerClients.PeerClients();
 
   /** @param server Takes the requests that other boxes pass on. */
   constructor(context: stepFeeds.FeedContext, server: rpc.RpcServer) {
@@ -81,7 +81,7 @@
   ): Promise<void> {
     const body = httpServer.parseObject(call.body);
     if (body.kind === "failure") {
-      return httpServer.answerFailure(call.response, body.failure);
+      return httpServer.respondFailure(call.response, body.failure);
     }
     const { trainer, action } = route;
     const request = {
@@ -92,34 +92,34 @@
     };
     const answer = await this.#answer(request, true);
     if (answer.kind === "failure") {
-      return httpServer.answerFailure(call.response, answer.failure);
+      return httpServer.respondFailure(call.response, answer.failure);
     }
-    httpServer.answerJson(call.response, 200, answer.value);
+    httpServer.respondJson(call.response, 200, answer.value);
   }
 
   async #answer(
     request: TrainerRequest,
     canForward: boolean,
   ): Promise<results.Result<object>> {
-    const known = readStep(request);
-    if (known.kind === "failure") return known;
-    const place = await this.#findPlace(request, known.value, []);
-    if (place.kind === "failure") return place;
-    if (place.value.kind === "here") {
-      return await this.#serve(request, place.value.feed);
+    const stepId = parseStepId(request);
+    if (stepId.kind === "failure") return stepId;
+    const owner = await this.#resolveOwner(request, stepId.value, []);
+    if (owner.kind === "failure") return owner;
+    if (owner.value.kind === "here") {
+      return await this.#serve(request, owner.value.feed);
     }
-    if (!canForward) return refuseMoved();
-    return await this.#forward(request, known.value, place.value.box);
+    if (!canForward) return createMovedFailure();
+    return await this.#forward(request, stepId.value, owner.value.box);
   }
 
   /** Passes a request on; an owner that does not answer loses the step. */
   async #forward(
     request: TrainerRequest,
     stepId: string,
-    owner: string,
+    ownerBox: string,
   ): Promise<results.Result<object>> {
     const { boxes } = this.#context.client.getView().membership;
-    const box = boxes.find((candidate) => candidate.id === owner);
+    const box = boxes.find((candidate) => candidate.id === ownerBox);
     const answer = box === undefined
       ? undefined
       : await this.#peers.call<results.Result<object>>(
@@ -128,10 +128,10 @@
         request,
       );
     if (answer !== undefined) return answer;
-    const place = await this.#findPlace(request, stepId, [owner]);
-    if (place.kind === "failure") return place;
-    if (place.value.kind === "other") return refuseMoved();
-    return await this.#serve(request, place.value.feed);
+    const newOwner = await this.#resolveOwner(request, stepId, [ownerBox]);
+    if (newOwner.kind === "failure") return newOwner;
+    if (newOwner.value.kind === "other") return createMovedFailure();
+    return await this.#serve(request, newOwner.value.feed);
   }
 
   async #serve(
@@ -154,21 +154,21 @@
   ): Promise<results.Result<object>> {
     const parsed = httpServer.parseFields(acknowledgeSchema, body);
     if (parsed.kind === "failure") return parsed;
-    const done = await feed.acknowledge(parsed.value.slots);
-    if (done.kind === "failure") return done;
+    const acknowledged = await feed.acknowledge(parsed.value.slots);
+    if (acknowledged.kind === "failure") return acknowledged;
     return results.createOk({ isComplete: feed.isComplete() });
   }
 
-  async #findPlace(
+  async #resolveOwner(
     request: TrainerRequest,
     stepId: string,
-    deadBoxes: readonly string[],
-  ): Promise<results.Result<Place>> {
-    const known = this.#feeds.get(stepId);
-    if (known !== undefined && !known.isStopped()) {
-      return results.createOk({ kind: "here", feed: known });
+    unreachableBoxes: readonly string[],
+  ): Promise<results.Result<StepOwner>> {
+    const existing = this.#feeds.get(stepId);
+    if (existing !== undefined && !existing.isStopped()) {
+      return results.createOk({ kind: "here", feed: existing });
     }
-    const command = this.#createCommand(request, stepId, deadBoxes);
+    const command = this.#createCommand(request, stepId, unreachableBoxes);
     if (command.kind === "failure") return command;
     const answer = await this.#context.client.propose(
       command.value,
@@ -194,23 +194,25 @@
   #createCommand(
     request: TrainerRequest,
     stepId: string,
-    deadBoxes: readonly string[],
+    unreachableBoxes: readonly string[],
   ): results.Result<replicated.OpenStep | replicated.TakeStep> {
     const { client } = this.#context;
     const box = client.getBoxView().id;
     const liveBoxes = client.getView().membership.boxes
-      .filter((other) => !other.isDraining && !deadBoxes.includes(other.id))
+      .filter((other) =>
+        !other.isDraining && !unreachableBoxes.includes(other.id)
+      )
       .map((other) => other.id);
     if (request.action !== "open") {
       return results.createOk({ kind: "takeStep", stepId, box, liveBoxes });
     }
-    const opened = this.#createStepRequest(request);
-    if (opened.kind === "failure") return opened;
+    const stepRequest = this.#createStepRequest(request);
+    if (stepRequest.kind === "failure") return stepRequest;
     return results.createOk({
       kind: "openStep",
       box,
       liveBoxes,
-      request: opened.value,
+      request: stepRequest.value,
     });
   }
 
@@ -241,16 +243,16 @@
   }
 
   #startFeed(view: replicated.StepView): stepFeeds.StepFeed {
-    const known = this.#feeds.get(view.stepId);
-    if (known !== undefined && !known.isStopped()) return known;
-    this.#dropFinished();
+    const existing = this.#feeds.get(view.stepId);
+    if (existing !== undefined && !existing.isStopped()) return existing;
+    this.#removeFinishedFeeds();
     const feed = new stepFeeds.StepFeed(this.#context, view);
     this.#feeds.set(view.stepId, feed);
     feed.start();
     return feed;
   }
 
-  #dropFinished(): void {
+  #removeFinishedFeeds(): void {
     for (const [stepId, feed] of this.#feeds) {
       if (feed.isStopped() || feed.isComplete()) this.#feeds.delete(stepId);
     }
@@ -272,7 +274,7 @@
   });
 }
 
-function readStep(request: TrainerRequest): results.Result<string> {
+function parseStepId(request: TrainerRequest): results.Result<string> {
   const parsed = httpServer.parseFields(z.object(stepFields), request.body);
   if (parsed.kind === "failure") return parsed;
   return results.createOk(
@@ -280,7 +282,7 @@
   );
 }
 
-function refuseMoved(): results.Result<object> {
+function createMovedFailure(): results.Result<object> {
   return results.createFailure(
     "unknownStep",
     "Cannot serve the step: it moves to another box",
--- a/src/usage/clock_ahead_test.ts
+++ b/src/usage/clock_ahead_test.ts
@@ -4,7 +4,7 @@
 import type * as replicaGroups from "../replica_group/mod.ts";
 import type * as rpc from "../rpc/mod.ts";
 import * as protocol from "./protocol.ts";
-import * as usageBooks from "./usage_book.ts";
+import * as usageStates from "./usage_state.ts";
 import * as usageReporters from "./usage_reporter.ts";
 import type * as usageWindows from "./usage_window.ts";
 
@@ -15,21 +15,24 @@
  * windows comes late and is never reported, for as long as the clock was ahead.
  */
 
-const TIMES: usageWindows.WindowTimes = { windowMs: 5_000, lateMs: 10_000 };
+const TIMES: usageWindows.WindowTimings = {
+  windowMs: 5_000,
+  reportDelayMs: 10_000,
+};
 const START_MS = 1_000_000;
 const AHEAD_MS = 300_000;
 const AHEAD_FOR_MS = 8_000;
-const LATER_MS = 30_000;
+const SETTLED_MS = 30_000;
 
 describe("usage under a leader whose clock was ahead for a while", () => {
   it("is reported once the clock is right again", async () => {
     const clock = new clocks.FakeClock(START_MS);
-    const book = new usageBooks.UsageBook();
+    const state = new usageStates.UsageState();
     const methods = new Map<string, rpc.RpcHandler>();
     let isSending = false;
     const reporter = new usageReporters.UsageReporter({
       clock,
-      book,
+      state: state,
       times: TIMES,
       log: { write: () => {} } as never,
       metrics: { setUnreportedMs: () => {} } as never,
@@ -42,8 +45,8 @@
       server: { add: (method, handler) => void methods.set(method, handler) },
       group: {
         hasAuthority: () => true,
-        propose: (command: usageBooks.UsageCommand) => {
-          book.apply(command);
+        propose: (command: usageStates.UsageCommand) => {
+          state.apply(command);
           return Promise.resolve({ kind: "ok" });
         },
       } as unknown as replicaGroups.ReplicaGroup,
@@ -63,13 +66,13 @@
     reporter.start();
     async function run(ms: number): Promise<void> {
       for (let left = ms; left > 0; left -= 100) {
-        clock.extendBy(100);
+        clock.advance(100);
         for (let turn = 0; turn < 4; turn += 1) {
           await new Promise((resolve) => setImmediate(resolve));
         }
       }
     }
-    await run(LATER_MS);
+    await run(SETTLED_MS);
     clock.stepWall(AHEAD_MS);
     await run(AHEAD_FOR_MS);
     clock.stepWall(-AHEAD_MS);
@@ -78,10 +81,13 @@
       source: "10.0.0.1 1",
       totals: [{ window, account: "north", count: 7 }],
     } as never);
-    await run(LATER_MS);
+    await run(SETTLED_MS);
     reporter.stop();
-    const closed = book.listUnreported().find((item) => item.window === window);
-    const told = `window ${window}, agreed on up to ${book.getLastClosed()}`;
-    chai.expect(closed?.counts, told).to.deep.equal({ north: 7 });
+    const closed = state.listUnreported().find((item) =>
+      item.window === window
+    );
+    const description =
+      `window ${window}, agreed on up to ${state.getLastClosed()}`;
+    chai.expect(closed?.counts, description).to.deep.equal({ north: 7 });
   });
 });
--- a/src/usage/mod.ts
+++ b/src/usage/mod.ts
@@ -11,8 +11,8 @@
  * @module
  */
 export * from "./protocol.ts";
-export * from "./usage_book.ts";
+export * from "./usage_state.ts";
 export * from "./usage_reporter.ts";
-export * from "./usage_tally.ts";
-export * from "./usage_teller.ts";
+export * from "./usage_totals.ts";
+export * from "./usage_recorder.ts";
 export * from "./usage_window.ts";
--- a/src/usage/usage_reporter.ts
+++ b/src/usage/usage_reporter.ts
@@ -7,28 +7,28 @@
 import type * as replicaGroups from "../replica_group/mod.ts";
 import type * as rpc from "../rpc/mod.ts";
 import * as protocol from "./protocol.ts";
-import type * as usageBooks from "./usage_book.ts";
-import * as steadyTimes from "./_steady_time.ts";
-import * as usageTallies from "./usage_tally.ts";
+import type * as usageStates from "./usage_state.ts";
+import * as stepFilteredClocks from "./_step_filtered_clock.ts";
+import * as usageTotals from "./usage_totals.ts";
 import * as usageWindows from "./usage_window.ts";
 
 /** Between two looks at what is to be agreed on and reported, in ms. */
-const TICK_MS = 200;
+const CHECK_INTERVAL_MS = 200;
 /** Longest wait for a commit, in ms. */
-const COMMIT_MS = 1_000;
+const COMMIT_TIMEOUT_MS = 1_000;
 /**
  * Time for which a new leader awaits what boxes tell it, in ms. They learn of it
  * within some 500 ms and tell it within 300 more.
  */
-const COLLECT_MS = 1_500;
+const COLLECT_DELAY_MS = 1_500;
 /** Pause after a report that was not taken, in ms; it doubles up to the most. */
-const RETRY_MS = 250;
-const MAX_RETRY_MS = 2_000;
+const INITIAL_BACKOFF_MS = 250;
+const MAX_BACKOFF_MS = 2_000;
 /** Closed windows whose totals are kept, to tell late ones from repeated ones. */
-const KEPT_WINDOWS = 4;
+const RETAINED_WINDOWS = 4;
 /** Statuses after which the same report may still be taken. */
-const BUSY_STATUS = 429;
-const FIRST_SERVER_ERROR = 500;
+const TOO_MANY_REQUESTS_STATUS = 429;
+const FIRST_SERVER_ERROR_STATUS = 500;
 
 /** What a usage reporter needs. */
 export interface UsageReporterOptions {
@@ -36,11 +36,11 @@
   readonly log: logs.Log;
   readonly metrics: metricTypes.FleetMetrics;
   readonly dialect: dialects.Dialect;
-  readonly server: rpc.MethodTable;
+  readonly server: rpc.MethodRegistry;
   readonly group: replicaGroups.ReplicaGroup;
   readonly duty: duties.DutyLease;
-  readonly book: usageBooks.UsageBook;
-  readonly times: usageWindows.WindowTimes;
+  readonly state: usageStates.UsageState;
+  readonly times: usageWindows.WindowTimings;
   /** Address of the infrastructure. */
   readonly endpoint: fleetSettings.Endpoint;
 }
@@ -51,49 +51,53 @@
  */
 export class UsageReporter {
   readonly #options: UsageReporterOptions;
-  readonly #time: steadyTimes.SteadyTime;
-  readonly #totals = new usageTallies.UsageTotals();
+  readonly #filteredClock: stepFilteredClocks.StepFilteredClock;
+  readonly #totals = new usageTotals.UsageTotals();
   #isBusy = false;
   #isStopped = false;
-  #pauseMs = RETRY_MS;
+  #backoffMs = INITIAL_BACKOFF_MS;
   #retryAtMs = 0;
 
   constructor(options: UsageReporterOptions) {
     this.#options = options;
-    this.#time = new steadyTimes.SteadyTime(options.clock);
+    this.#filteredClock = new stepFilteredClocks.StepFilteredClock(
+      options.clock,
+    );
     options.server.add(
       protocol.METHODS.tell,
-      (request: protocol.TellRequest) => this.#take(request),
+      (request: protocol.TotalsRequest) => this.#handleTotals(request),
     );
   }
 
   start(): void {
     if (this.#isStopped) return;
-    if (!this.#isBusy) void this.#act();
-    this.#options.clock.startTimer(TICK_MS, () => this.start());
+    if (!this.#isBusy) void this.#runOnce();
+    this.#options.clock.startTimer(CHECK_INTERVAL_MS, () => this.start());
   }
 
   stop(): void {
     this.#isStopped = true;
   }
 
-  #take({ source, totals }: protocol.TellRequest): protocol.TellReply {
-    const { group, book, log, clock, times } = this.#options;
+  #handleTotals(
+    { source, totals }: protocol.TotalsRequest,
+  ): protocol.TotalsReply {
+    const { group, state: state, log, clock, times } = this.#options;
     if (!group.hasAuthority()) return group.createNotLeader();
-    const lastClosed = book.getLastClosed();
-    const closed = lastClosed ?? Number.NEGATIVE_INFINITY;
+    const lastClosed = state.getLastClosed();
+    const closedThrough = lastClosed ?? Number.NEGATIVE_INFINITY;
     const wallMs = clock.getWallMs();
-    const sound = totals.filter((total) =>
-      usageTallies.isPlausible(total, wallMs, times)
+    const valid = totals.filter((total) =>
+      usageTotals.isPlausible(total, wallMs, times)
     );
-    if (sound.length < totals.length) {
+    if (valid.length < totals.length) {
       log.write("warn", "usage.nonsense", {
         source,
-        totals: totals.length - sound.length,
+        totals: totals.length - valid.length,
       });
     }
-    const news = sound.filter((total) => this.#totals.merge(source, total));
-    const late = news.filter(({ window }) => window <= closed);
+    const updated = valid.filter((total) => this.#totals.merge(source, total));
+    const late = updated.filter(({ window }) => window <= closedThrough);
     if (late.length > 0) {
       log.write("info", "usage.late", {
         source,
@@ -104,33 +108,33 @@
     return { kind: "done", lastClosed };
   }
 
-  async #act(): Promise<void> {
+  async #runOnce(): Promise<void> {
     if (!this.#options.duty.canAct()) return;
     this.#isBusy = true;
     try {
-      await this.#closeDue();
-      this.#measureAge();
-      await this.#reportNext();
+      await this.#closeDueWindows();
+      this.#updateAgeMetric();
+      await this.#reportOldest();
     } finally {
       this.#isBusy = false;
     }
   }
 
-  #measureAge(): void {
-    const { book, metrics, clock, times } = this.#options;
-    const [oldest] = book.listUnreported();
+  #updateAgeMetric(): void {
+    const { state: state, metrics, clock, times } = this.#options;
+    const [oldest] = state.listUnreported();
     const ageMs = oldest === undefined
       ? 0
       : clock.getWallMs() - (oldest.window + 1) * times.windowMs;
-    metrics.setUnreportedMs(ageMs);
+    metrics.setUnreportedUsageMs(ageMs);
   }
 
-  async #closeDue(): Promise<void> {
-    const { duty, book, times, log } = this.#options;
-    const wallMs = this.#time.getWallMs();
-    if (duty.getReignMs() < COLLECT_MS) return;
+  async #closeDueWindows(): Promise<void> {
+    const { duty, state: state, times, log } = this.#options;
+    const wallMs = this.#filteredClock.getWallMs();
+    if (duty.getReignMs() < COLLECT_DELAY_MS) return;
     const due = usageWindows.listDueWindows(
-      book.getLastClosed(),
+      state.getLastClosed(),
       wallMs,
       times,
     );
@@ -147,14 +151,15 @@
         isAgreed: isClosed,
       });
       if (!isClosed) return;
-      this.#totals.forgetThrough(window - KEPT_WINDOWS);
+      this.#totals.discardThrough(window - RETAINED_WINDOWS);
     }
   }
 
   /** Reports the oldest window; what is sent was agreed on before. */
-  async #reportNext(): Promise<void> {
-    const { clock, duty, book, dialect, endpoint, log, times } = this.#options;
-    const [next] = book.listUnreported();
+  async #reportOldest(): Promise<void> {
+    const { clock, duty, state: state, dialect, endpoint, log, times } =
+      this.#options;
+    const [next] = state.listUnreported();
     if (next === undefined || clock.getMonotonicMs() < this.#retryAtMs) return;
     const { window } = next;
     if (window < usageWindows.getOldestWindow(clock.getWallMs(), times)) {
@@ -176,30 +181,33 @@
       status: "status" in outcome ? outcome.status : undefined,
       reason: "reason" in outcome ? outcome.reason : undefined,
     });
-    if (!isSettled(outcome)) return this.#schedulePause();
-    this.#pauseMs = RETRY_MS;
+    if (!isFinal(outcome)) return this.#scheduleRetry();
+    this.#backoffMs = INITIAL_BACKOFF_MS;
     await this.#propose({ kind: "noteUsageReported", window });
   }
 
-  #schedulePause(): void {
-    this.#retryAtMs = this.#options.clock.getMonotonicMs() + this.#pauseMs;
-    this.#pauseMs = Math.min(2 * this.#pauseMs, MAX_RETRY_MS);
+  #scheduleRetry(): void {
+    this.#retryAtMs = this.#options.clock.getMonotonicMs() + this.#backoffMs;
+    this.#backoffMs = Math.min(2 * this.#backoffMs, MAX_BACKOFF_MS);
   }
 
-  async #propose(command: usageBooks.UsageCommand): Promise<boolean> {
-    const result = await this.#options.group.propose(command, COMMIT_MS);
+  async #propose(command: usageStates.UsageCommand): Promise<boolean> {
+    const result = await this.#options.group.propose(
+      command,
+      COMMIT_TIMEOUT_MS,
+    );
     return result.kind === "ok";
   }
 }
 
 /** Whether a report was taken, or refused so that repeating it is no use. */
-function isSettled(outcome: duties.DutyCallOutcome): boolean {
+function isFinal(outcome: duties.DutyCallOutcome): boolean {
   switch (outcome.kind) {
     case "taken":
       return true;
     case "refused":
-      return outcome.status !== BUSY_STATUS &&
-        outcome.status < FIRST_SERVER_ERROR;
+      return outcome.status !== TOO_MANY_REQUESTS_STATUS &&
+        outcome.status < FIRST_SERVER_ERROR_STATUS;
     case "unanswered":
       return false;
   }
--- a/src/usage/usage_book.ts
+++ b/src/usage/usage_state.ts
@@ -16,7 +16,7 @@
 }
 
 /** The windows whose counts all replicas agree on. */
-export class UsageBook {
+export class UsageState {
   #lastClosed: number | undefined;
   #unreported: readonly usageWindows.ClosedWindow[] = [];
 
@@ -33,7 +33,7 @@
   apply(command: UsageCommand): void {
     switch (command.kind) {
       case "closeUsageWindow":
-        return this.#close(command.closed);
+        return this.#closeWindow(command.closed);
       case "noteUsageReported":
         this.#unreported = this.#unreported.filter(({ window }) =>
           window !== command.window
@@ -51,7 +51,7 @@
   }
 
   /** The counts that were fixed first hold. */
-  #close(closed: usageWindows.ClosedWindow): void {
+  #closeWindow(closed: usageWindows.ClosedWindow): void {
     if (closed.window <= (this.#lastClosed ?? -1)) return;
     this.#lastClosed = closed.window;
     this.#unreported = [...this.#unreported, closed];
--- a/src/usage/usage_test.ts
+++ b/src/usage/usage_test.ts
@@ -1,10 +1,13 @@
 import * as chai from "chai";
 import * as fastCheck from "fast-check";
-import * as usageBooks from "./usage_book.ts";
-import * as usageTallies from "./usage_tally.ts";
+import * as usageStates from "./usage_state.ts";
+import * as usageTotals from "./usage_totals.ts";
 import * as usageWindows from "./usage_window.ts";
 
-const TIMES: usageWindows.WindowTimes = { windowMs: 5_000, lateMs: 10_000 };
+const TIMES: usageWindows.WindowTimings = {
+  windowMs: 5_000,
+  reportDelayMs: 10_000,
+};
 
 describe("usage", () => {
   it("counts by windows of wall time", () => {
@@ -25,9 +28,9 @@
     chai.expect(usageWindows.listDueWindows(1, 29_500, TIMES)).to.deep.equal(
       [2, 3, 4],
     );
-    const late = usageWindows.listDueWindows(1, 3_600_000, TIMES);
-    chai.expect(late).to.have.length(5);
-    chai.expect(late.at(-1)).to.equal(718);
+    const overdue = usageWindows.listDueWindows(1, 3_600_000, TIMES);
+    chai.expect(overdue).to.have.length(5);
+    chai.expect(overdue.at(-1)).to.equal(718);
   });
 
   it("begins with the newest ended window", () => {
@@ -48,7 +51,7 @@
     );
     fastCheck.assert(
       fastCheck.property(orders, (order) => {
-        const sum = new usageTallies.UsageTotals();
+        const sum = new usageTotals.UsageTotals();
         for (const { source, count } of order) {
           sum.merge(source, { window: 7, account: "north", count });
         }
@@ -60,14 +63,14 @@
   });
 
   it("takes no nonsense for a total", () => {
-    const sound = { window: 100, account: "north", count: 1 };
-    function judge(changes: object): boolean {
-      const total = { ...sound, ...changes };
-      return usageTallies.isPlausible(total, 500_000, TIMES);
+    const valid = { window: 100, account: "north", count: 1 };
+    function isAccepted(changes: object): boolean {
+      const total = { ...valid, ...changes };
+      return usageTotals.isPlausible(total, 500_000, TIMES);
     }
-    chai.expect(judge({})).to.equal(true);
-    chai.expect(judge({ window: 101 })).to.equal(true);
-    const nonsense = [
+    chai.expect(isAccepted({})).to.equal(true);
+    chai.expect(isAccepted({ window: 101 })).to.equal(true);
+    const invalid = [
       { window: 102 },
       { window: 93 },
       { window: -1 },
@@ -77,32 +80,32 @@
       { count: Number.NaN },
       { account: undefined },
     ];
-    chai.expect(nonsense.filter(judge)).to.deep.equal([]);
+    chai.expect(invalid.filter(isAccepted)).to.deep.equal([]);
   });
 
   it("keeps the totals of a box until they are agreed on", () => {
-    const tally = new usageTallies.UsageTally();
-    tally.count(7, "north");
-    tally.count(7, "north");
-    tally.count(8, "south");
-    chai.expect(tally.hasNews()).to.equal(true);
-    chai.expect(tally.take()).to.deep.equal([
+    const counter = new usageTotals.UsageCounter();
+    counter.count(7, "north");
+    counter.count(7, "north");
+    counter.count(8, "south");
+    chai.expect(counter.hasUnsent()).to.equal(true);
+    chai.expect(counter.takeTotals()).to.deep.equal([
       { window: 7, account: "north", count: 2 },
       { window: 8, account: "south", count: 1 },
     ]);
-    chai.expect(tally.hasNews()).to.equal(false);
-    chai.expect(tally.take()).to.have.length(2);
-    tally.forgetThrough(7);
-    chai.expect(tally.take()).to.have.length(1);
-    tally.forgetThrough(8);
-    chai.expect(tally.isEmpty()).to.equal(true);
+    chai.expect(counter.hasUnsent()).to.equal(false);
+    chai.expect(counter.takeTotals()).to.have.length(2);
+    counter.discardThrough(7);
+    chai.expect(counter.takeTotals()).to.have.length(1);
+    counter.discardThrough(8);
+    chai.expect(counter.isEmpty()).to.equal(true);
   });
 
   it("holds to the counts that were agreed on first, over a restart too", () => {
-    const book = new usageBooks.UsageBook();
+    const state = new usageStates.UsageState();
     function close(window: number, count: number): void {
       const counts = { north: count };
-      book.apply({ kind: "closeUsageWindow", closed: { window, counts } });
+      state.apply({ kind: "closeUsageWindow", closed: { window, counts } });
     }
     close(7, 1);
     close(7, 2);
@@ -112,9 +115,9 @@
       { window: 7, counts: { north: 1 } },
       { window: 8, counts: { north: 4 } },
     ];
-    chai.expect(book.listUnreported()).to.deep.equal(expected);
-    const restored = new usageBooks.UsageBook();
-    restored.restore(JSON.parse(JSON.stringify(book.save())));
+    chai.expect(state.listUnreported()).to.deep.equal(expected);
+    const restored = new usageStates.UsageState();
+    restored.restore(JSON.parse(JSON.stringify(state.save())));
     chai.expect(restored.listUnreported()).to.deep.equal(expected);
     restored.apply({ kind: "noteUsageReported", window: 7 });
     chai.expect(restored.listUnreported()).to.deep.equal([expected[1]]);
--- a/src/usage/usage_tally.ts
+++ b/src/usage/usage_totals.ts
@@ -19,7 +19,7 @@
 export function isPlausible(
   { window, account, count }: UsageTotal,
   wallMs: number,
-  times: usageWindows.WindowTimes,
+  times: usageWindows.WindowTimings,
 ): boolean {
   if (!Number.isInteger(window) || !Number.isInteger(count)) return false;
   if (typeof account !== "string" || count <= 0) return false;
@@ -28,21 +28,21 @@
 }
 
 /** What one box counted since its start. */
-export class UsageTally {
+export class UsageCounter {
   readonly #windows = new Map<number, Map<string, number>>();
-  #hasNews = false;
+  #hasUnsent = false;
 
   /** Counts a request of an account in a window. */
   count(window: number, account: string): void {
     const counts = this.#windows.get(window) ?? new Map<string, number>();
     counts.set(account, (counts.get(account) ?? 0) + 1);
     this.#windows.set(window, counts);
-    this.#hasNews = true;
+    this.#hasUnsent = true;
   }
 
   /** Whether something was counted since the totals were taken. */
-  hasNews(): boolean {
-    return this.#hasNews;
+  hasUnsent(): boolean {
+    return this.#hasUnsent;
   }
 
   isEmpty(): boolean {
@@ -50,20 +50,20 @@
   }
 
   /** Running totals of all windows that are not forgotten. */
-  take(): readonly UsageTotal[] {
-    this.#hasNews = false;
+  takeTotals(): readonly UsageTotal[] {
+    this.#hasUnsent = false;
     return [...this.#windows].flatMap(([window, counts]) =>
       [...counts].map(([account, count]) => ({ window, account, count }))
     );
   }
 
   /** Has the totals told again, as none of them may have arrived. */
-  markUntold(): void {
-    this.#hasNews = true;
+  markUnsent(): void {
+    this.#hasUnsent = true;
   }
 
   /** Forgets windows up to one that is agreed on. */
-  forgetThrough(window: number): void {
+  discardThrough(window: number): void {
     deleteThrough(this.#windows, window);
   }
 }
@@ -80,13 +80,13 @@
    * @returns Whether it says more than was known.
    */
   merge(source: string, total: UsageTotal): boolean {
-    const known = this.#windows.get(total.window) ?? new Map();
+    const totals = this.#windows.get(total.window) ?? new Map();
     const key = `${source} ${total.account}`;
-    const before = known.get(key)?.count ?? 0;
-    const isNews = total.count > before;
-    if (isNews) known.set(key, total);
-    this.#windows.set(total.window, known);
-    return isNews;
+    const previous = totals.get(key)?.count ?? 0;
+    const isHigher = total.count > previous;
+    if (isHigher) totals.set(key, total);
+    this.#windows.set(total.window, totals);
+    return isHigher;
   }
 
   /** Sums a window over all boxes, by account. */
@@ -99,7 +99,7 @@
   }
 
   /** Forgets windows up to one that is agreed on. */
-  forgetThrough(window: number): void {
+  discardThrough(window: number): void {
     deleteThrough(this.#windows, window);
   }
 }
@@ -108,7 +108,7 @@
   windows: Map<number, unknown>,
   window: number,
 ): void {
-  for (const known of windows.keys()) {
-    if (known <= window) windows.delete(known);
+  for (const key of windows.keys()) {
+    if (key <= window) windows.delete(key);
   }
 }
--- a/src/usage/usage_window.ts
+++ b/src/usage/usage_window.ts
@@ -1,9 +1,9 @@
 /** Windows of wall-clock time in which usage is counted. */
-export interface WindowTimes {
+export interface WindowTimings {
   /** Length of a window, in ms; window k begins k lengths after 1970. */
   readonly windowMs: number;
   /** Time after a window's end at which its report is due, in ms. */
-  readonly lateMs: number;
+  readonly reportDelayMs: number;
 }
 
 /** Requests that began to run, by the name of their client account. */
@@ -20,7 +20,7 @@
  * boxes tell late is lost to the report; what remains is for its way, and for
  * another holder, which takes some 3.3 s to begin.
  */
-const SETTLE_SHARE = 0.4;
+const SETTLE_FRACTION = 0.4;
 /**
  * Age up to which windows are still reported, as a multiple of the time until
  * they are due. Older ones help nobody, as after an hour without a quorum.
@@ -34,7 +34,7 @@
  * @param times Windows.
  * @returns The window's number.
  */
-export function getWindow(wallMs: number, times: WindowTimes): number {
+export function getWindow(wallMs: number, times: WindowTimings): number {
   return Math.floor(wallMs / times.windowMs);
 }
 
@@ -50,16 +50,16 @@
 export function listDueWindows(
   lastClosed: number | undefined,
   wallMs: number,
-  times: WindowTimes,
+  times: WindowTimings,
 ): readonly number[] {
-  const settleMs = times.lateMs * SETTLE_SHARE;
+  const settleMs = times.reportDelayMs * SETTLE_FRACTION;
   const newest = getWindow(wallMs - settleMs, times) - 1;
   const oldest = getOldestWindow(wallMs, times);
   const first = lastClosed === undefined
     ? newest
     : Math.max(lastClosed + 1, oldest);
   const count = Math.max(0, newest - first + 1);
-  return Array.from({ length: count }, (_, at) => first + at);
+  return Array.from({ length: count }, (_, index) => first + index);
 }
 
 /**
@@ -69,6 +69,6 @@
  * @param times Windows.
  * @returns The window's number.
  */
-export function getOldestWindow(wallMs: number, times: WindowTimes): number {
-  return getWindow(wallMs - STALE_FACTOR * times.lateMs, times);
+export function getOldestWindow(wallMs: number, times: WindowTimings): number {
+  return getWindow(wallMs - STALE_FACTOR * times.reportDelayMs, times);
 }
--- a/src/weight_orders/engine_restart_test.ts
+++ b/src/weight_orders/engine_restart_test.ts
@@ -91,7 +91,7 @@
     clock = new clocks.FakeClock();
     servers = new registry.ServerRegistry(clock, 60_000);
     engines = new dispatch.EngineTable(clock);
-    const machine = new submissions.SubmissionMachine(() => {});
+    const machine = new submissions.SubmissionStateMachine(() => {});
     machine.apply({ kind: "nameVersion", model: "m", version: 2 });
     scheduler = new weightOrderSchedulers.WeightOrderScheduler({
       clock,
@@ -127,7 +127,7 @@
   async function waitUntil(isDone: () => boolean): Promise<number> {
     const startMs = clock.getMonotonicMs();
     for (let attempt = 0; attempt < MAX_WAITS && !isDone(); attempt += 1) {
-      clock.extendBy(STEP_MS);
+      clock.advance(STEP_MS);
       await new Promise((resolve) => setTimeout(resolve, 1));
     }
     return clock.getMonotonicMs() - startMs;
@@ -144,7 +144,7 @@
     servers.merge(createProcess(2_000));
     chai.expect(getVersion()).to.equal(1);
     await waitUntil(() => getVersion() === 2);
-    chai.expect(orders.map((order) => order.expectedOrders)).to.deep.equal([
+    chai.expect(orders.map((order) => order.expectedOrderCount)).to.deep.equal([
       0,
       0,
     ]);
--- a/src/weight_orders/engine_tracker.ts
+++ b/src/weight_orders/engine_tracker.ts
@@ -24,7 +24,7 @@
     replicaGroups.ReplicaGroup,
     "hasAuthority" | "getTerm" | "propose"
   >;
-  readonly machine: submissions.SubmissionMachine;
+  readonly machine: submissions.SubmissionStateMachine;
   readonly refusedReports: Pick<registry.RefusalRecorder, "record">;
   readonly isService: listReadyEngines.IsConfiguredService;
   /** Called when a probe has found an engine before its first heartbeat. */
--- a/src/weight_orders/engine_tracker_test.ts
+++ b/src/weight_orders/engine_tracker_test.ts
@@ -31,7 +31,7 @@
   let states: Readonly<Record<string, boolean>> = {};
   let probed: readonly string[] = [];
   let clock = new clocks.FakeClock();
-  let machine = new submissions.SubmissionMachine(() => {});
+  let machine = new submissions.SubmissionStateMachine(() => {});
   let servers = new registry.ServerRegistry(clock, 1_000);
   let discoveries = 0;
   let tracker: engineTrackers.EngineTracker | undefined;
@@ -68,7 +68,7 @@
     discoveries = 0;
     term = 1;
     clock = new clocks.FakeClock();
-    machine = new submissions.SubmissionMachine(() => {});
+    machine = new submissions.SubmissionStateMachine(() => {});
     servers = new registry.ServerRegistry(clock, 1_000);
     tracker = new engineTrackers.EngineTracker({
       clock,
@@ -141,7 +141,7 @@
     servers.merge(createEngine("registered"));
     tracker?.start();
     await awaitProbes(1);
-    clock.extendBy(100);
+    clock.advance(100);
     await awaitProbes(1);
     chai.expect(probed).to.deep.equal(["recorded"]);
   });
@@ -155,7 +155,7 @@
     chai.expect(listBorn()).to.deep.equal([1_000]);
     servers.merge({ ...createEngine("a"), born: 2_000, sequence: 0 });
     await Promise.resolve();
-    clock.extendBy(100);
+    clock.advance(100);
     chai.expect(listBorn()).to.deep.equal([2_000]);
     const added = [{ ...createEngine("a"), born: 1_000 }];
     machine.apply({ kind: "keepEngines", added, gone: [] });
@@ -188,9 +188,9 @@
     tracker?.start();
     chai.expect(listRecorded()).to.deep.equal(["a", "b"]);
     servers.markGone({ id: "a", born: undefined });
-    clock.extendBy(300);
+    clock.advance(300);
     return Promise.resolve().then(() => {
-      clock.extendBy(100);
+      clock.advance(100);
       chai.expect(listRecorded()).to.deep.equal(["b"]);
     });
   });
--- a/src/weight_orders/load_tracker_test.ts
+++ b/src/weight_orders/load_tracker_test.ts
@@ -14,7 +14,7 @@
   it("counts a load as running until it ends", () => {
     tracker.begin("a");
     tracker.begin("b");
-    clock.extendBy(500);
+    clock.advance(500);
     chai.expect(tracker.countRunning()).to.equal(2);
     tracker.end("a", true);
     chai.expect(tracker.countRunning()).to.equal(1);
@@ -22,19 +22,19 @@
 
   it("stops counting an unobserved load after the expected duration", () => {
     tracker.begin("silent");
-    clock.extendBy(901);
+    clock.advance(901);
     chai.expect(tracker.countRunning()).to.equal(0);
   });
 
   it("averages the durations of observed loads only", () => {
     for (let load = 0; load < 40; load += 1) {
       tracker.begin("a");
-      clock.extendBy(2_000);
+      clock.advance(2_000);
       tracker.end("a", true);
     }
     chai.expect(tracker.getExpectedLoadMs()).to.be.closeTo(1_800, 10);
     tracker.begin("a");
-    clock.extendBy(9_000);
+    clock.advance(9_000);
     tracker.end("a", false);
     chai.expect(tracker.getExpectedLoadMs()).to.be.closeTo(1_800, 10);
   });
--- a/src/weight_orders/order_client.ts
+++ b/src/weight_orders/order_client.ts
@@ -121,7 +121,7 @@
 
 function send(
   engine: registry.ServerReport,
-  request: dialects.RawRequestWithBody,
+  request: dialects.OutboundRequest,
   isFreshConnection: boolean,
 ): Promise<httpClient.HttpOutcome> {
   const { method, target, headers, body } = request;
--- a/src/weight_orders/weight_order_scheduler.ts
+++ b/src/weight_orders/weight_order_scheduler.ts
@@ -33,7 +33,7 @@
   readonly servers: registry.ServerRegistry;
   /** Lease that permits this box to send orders. */
   readonly duty: duties.DutyLease;
-  readonly machine: submissions.SubmissionMachine;
+  readonly machine: submissions.SubmissionStateMachine;
   readonly engines: dispatch.EngineTable;
   readonly refusedReports: Pick<registry.RefusalRecorder, "record">;
   readonly isService: listReadyEngines.IsConfiguredService;
@@ -202,8 +202,8 @@
       version,
       holder: duty.getName(),
       fence: duty.getFence(),
-      letsRunsEnd: this.#hasSingleVersionSubmission(model),
-      expectedOrders: this.#orderCounts.get(engine.lifetime),
+      waitsForRuns: this.#hasSingleVersionSubmission(model),
+      expectedOrderCount: this.#orderCounts.get(engine.lifetime),
     };
     const outcome = await orderClients.sendOrder(engine, order, dialect);
     metrics.countOrder(outcome.kind);
@@ -212,7 +212,7 @@
       model,
       version,
       fence: order.fence,
-      expectedOrders: order.expectedOrders,
+      expectedOrders: order.expectedOrderCount,
       outcome: outcome.kind,
       reason: "reason" in outcome ? outcome.reason : undefined,
       status: "status" in outcome ? outcome.status : undefined,
--- a/src/weight_store/weight_store_client.ts
+++ b/src/weight_store/weight_store_client.ts
@@ -2,7 +2,7 @@
 import * as httpClient from "../http_client/mod.ts";
 import * as results from "../results/mod.ts";
 
-const latestSchema = z.object({
+const latestVersionsSchema = z.object({
   models: z.array(
     z.object({
       model: z.string(),
@@ -17,7 +17,7 @@
   readonly weightVersion: number;
 }
 
-const TIMEOUT_MS = 1_000;
+const CALL_TIMEOUT_MS = 1_000;
 
 /** Reads the weight store: `GET /v1/models`. */
 export class WeightStoreClient {
@@ -34,10 +34,10 @@
       baseUrl: this.#baseUrl,
       path: "/v1/models",
       method: "GET",
-      timeoutMs: TIMEOUT_MS,
+      timeoutMs: CALL_TIMEOUT_MS,
     });
     if (answer.kind === "failure") return answer;
-    const parsed = latestSchema.safeParse(answer.value.json);
+    const parsed = latestVersionsSchema.safeParse(answer.value.json);
     if (answer.value.status === 200 && parsed.success) {
       return results.createOk(parsed.data.models);
     }
--- a/tools/bench/bench_control.ts
+++ b/tools/bench/bench_control.ts
@@ -1,10 +1,10 @@
 import * as httpClient from "../../src/http_client/mod.ts";
-import * as cascades from "../deployment/cascade.ts";
-import * as askAdmin from "../deployment/ask_admin.ts";
+import * as cascades from "../deployment/topology.ts";
+import * as askAdmin from "../deployment/send_admin_request.ts";
 import type * as deployments from "../deployment/deployment.ts";
 import * as controlDeployments from "./control_deployment.ts";
 import * as ledgers from "../stand_ins/ledger.ts";
-import * as judges from "../demo/judge.ts";
+import * as judges from "../demo/verify_ledgers.ts";
 import * as processUsages from "./process_usage.ts";
 import * as sleeps from "../stand_ins/sleep.ts";
 
@@ -125,13 +125,13 @@
     };
     const startMs = Date.now();
     this.#stoppedBox = status.leader;
-    this.#deployment.get(status.leader).kill(signal);
+    this.#deployment.getChild(status.leader).kill(signal);
     await this.#changeTemplate(`after-${signal}`, 0);
     const tookMs = Date.now() - startMs;
     await this.#publishWeights();
     await sleeps.sleep(4_000);
     if (signal === "SIGSTOP") {
-      this.#deployment.get(status.leader).kill("SIGCONT");
+      this.#deployment.getChild(status.leader).kill("SIGCONT");
     } else this.#deployment.startBox(status.leader);
     this.#stoppedBox = undefined;
     await sleeps.sleep(4_000);
@@ -194,7 +194,7 @@
     const box = runningBoxes[
       this.#requestCount % runningBoxes.length
     ] as cascades.DeployedBox;
-    return await askAdmin.askAdmin(box.address, {
+    return await askAdmin.sendAdminRequest(box.address, {
       method,
       path,
       timeoutMs: method === "GET" ? 3_000 : CALL_TIMEOUT_MS,
@@ -230,7 +230,7 @@
 
   #readUsages(): readonly processUsages.ProcessUsage[] {
     return this.#boxes.map((box) =>
-      processUsages.readUsage(this.#deployment.get(box.box).getPid())
+      processUsages.readUsage(this.#deployment.getChild(box.box).getPid())
     );
   }
 
@@ -278,7 +278,7 @@
 
   async #countRevertedBoxes(): Promise<number> {
     const revisions = await Promise.all(this.#boxes.map(async (box) => {
-      const answer = await askAdmin.askAdmin(box.address, {
+      const answer = await askAdmin.sendAdminRequest(box.address, {
         method: "GET",
         path: controlDeployments.TEMPLATE_PATH,
         timeoutMs: 2_000,
--- a/tools/bench/bench_load.ts
+++ b/tools/bench/bench_load.ts
@@ -1,7 +1,7 @@
 import * as admission from "../../src/admission/mod.ts";
 import * as clocks from "../../src/clock/mod.ts";
 import * as forwarding from "../../src/forwarding/mod.ts";
-import * as loadReplays from "../../src/fixtures/load_replay.ts";
+import * as loadReplays from "../../src/fixtures/load_simulation.ts";
 import * as serverFixtures from "../../src/fixtures/create_server.ts";
 
 const SEEDS = [1, 2, 3] as const;
@@ -29,7 +29,7 @@
   weighed: boolean,
 ): Promise<LoadRow> {
   const outcomes = await Promise.all(
-    SEEDS.map((seed) => loadReplays.replayLoad(pattern, seed, weighed)),
+    SEEDS.map((seed) => loadReplays.simulateLoad(pattern, seed, weighed)),
   );
   const asked = sum(outcomes, "asked");
   return {
@@ -83,21 +83,21 @@
 
 /** Measures the time to dequeue and enqueue a request among `count`, in us. */
 function measureQueueTurn(count: number): number {
-  const queue = new admission.WaitingLine();
+  const queue = new admission.AdmissionQueue();
   let nowMs = 0;
   function enterNext(): void {
     nowMs += 1;
-    queue.enter({
+    queue.enqueue({
       id: `${nowMs}`,
       priority: nowMs % 3,
       targetAtMs: nowMs + 100,
-      giveUpAtMs: Number.POSITIVE_INFINITY,
+      deadlineAtMs: Number.POSITIVE_INFINITY,
     }, nowMs);
   }
   for (let index = 0; index < count; index += 1) enterNext();
   return measureMeanUs(() => {
-    queue.noteFreed(nowMs);
-    queue.takeNext(nowMs);
+    queue.recordFreedSlot(nowMs);
+    queue.dequeue(nowMs);
     enterNext();
   });
 }
--- a/tools/bench/bench_path.ts
+++ b/tools/bench/bench_path.ts
@@ -4,7 +4,7 @@
 import * as yaml from "yaml";
 import * as accounts from "../../src/client_account/mod.ts";
 import * as httpClient from "../../src/http_client/mod.ts";
-import * as cascades from "../deployment/cascade.ts";
+import * as cascades from "../deployment/topology.ts";
 import * as children from "../deployment/child.ts";
 import * as linkRelays from "../deployment/link_relay.ts";
 import * as httpLoads from "./http_load.ts";
--- a/tools/bench/bench_rolling.ts
+++ b/tools/bench/bench_rolling.ts
@@ -1,7 +1,7 @@
 import * as httpClient from "../../src/http_client/mod.ts";
-import * as cascades from "../deployment/cascade.ts";
+import * as cascades from "../deployment/topology.ts";
 import * as deployments from "../deployment/deployment.ts";
-import * as judges from "../demo/judge.ts";
+import * as judges from "../demo/verify_ledgers.ts";
 import type * as callerRuns from "../stand_ins/run_callers.ts";
 import * as ledgers from "../stand_ins/ledger.ts";
 import * as sleeps from "../stand_ins/sleep.ts";
@@ -84,7 +84,7 @@
       target: box.box,
       atMs: startMs,
     });
-    const child = this.#deployment.get(box.box);
+    const child = this.#deployment.getChild(box.box);
     child.kill("SIGTERM");
     const end = await child.ended;
     const stoppedMs = Date.now();
@@ -151,7 +151,7 @@
 
   #report(rollingMs: number): void {
     const entries = ledgers.readLedgers(this.#deployment.getLedgerFolder());
-    const verdict = judges.judgeLedgers(entries, {
+    const verdict = judges.verifyLedgers(entries, {
       lengths: ANSWER_LENGTHS,
       sampleTokens: 0,
       completionTokens: COMPLETION_TOKENS,
--- a/tools/bench/bench_slopes.ts
+++ b/tools/bench/bench_slopes.ts
@@ -1,9 +1,9 @@
-import * as cascades from "../deployment/cascade.ts";
-import * as askAdmin from "../deployment/ask_admin.ts";
+import * as cascades from "../deployment/topology.ts";
+import * as askAdmin from "../deployment/send_admin_request.ts";
 import type * as deployments from "../deployment/deployment.ts";
 import * as controlDeployments from "./control_deployment.ts";
 import * as linkRelays from "../deployment/link_relay.ts";
-import * as judges from "../demo/judge.ts";
+import * as judges from "../demo/verify_ledgers.ts";
 import * as processUsages from "./process_usage.ts";
 import * as sleeps from "../stand_ins/sleep.ts";
 
@@ -180,7 +180,7 @@
   }
 
   #readUsage(box: string): processUsages.ProcessUsage {
-    return processUsages.readUsage(this.#deployment.get(box).getPid());
+    return processUsages.readUsage(this.#deployment.getChild(box).getPid());
   }
 
   #getMeanFraction(
@@ -204,7 +204,7 @@
     json?: unknown,
   ): Promise<unknown> {
     const box = this.#boxes.at(-2) as cascades.DeployedBox;
-    return await askAdmin.askAdmin(box.address, {
+    return await askAdmin.sendAdminRequest(box.address, {
       method,
       path,
       timeoutMs: CALL_TIMEOUT_MS,
--- a/tools/bench/bench_steps.ts
+++ b/tools/bench/bench_steps.ts
@@ -1,5 +1,5 @@
 import type * as stepLoads from "../../src/fixtures/step_load.ts";
-import * as stepReplays from "../../src/fixtures/step_replay.ts";
+import * as stepReplays from "../../src/fixtures/step_simulation.ts";
 import type * as stepSchedule from "../../src/step_schedule/mod.ts";
 
 const SEEDS = [1, 2] as const;
@@ -11,7 +11,7 @@
 /** Factors of the time for an event; engines take them in turn. */
 const SLOWDOWN_FACTORS = [0.95, 0.95, 1.3] as const;
 
-const TRAINERS: readonly stepLoads.ReplayedTrainer[] = [
+const TRAINERS: readonly stepLoads.SimulatedTrainer[] = [
   { name: "long", priority: 0, groups: 6, size: 16, meanEvents: 20 },
   { name: "short", priority: 0, groups: 10, size: 8, meanEvents: 12 },
   { name: "many", priority: 1, groups: 12, size: 8, meanEvents: 20 },
@@ -48,10 +48,10 @@
     engines,
     slots: SLOTS_PER_ENGINE,
     durationMs: 36_000,
-    everyMs: 4_000,
+    stepIntervalMs: 4_000,
     dueMs: 7_500,
-    limitMs: 12_000,
-    desired: 0.9,
+    stepTimeoutMs: 12_000,
+    desiredShare: 0.9,
     losses: [],
     knowsLengths,
   };
@@ -62,7 +62,7 @@
   policy: stepSchedule.SchedulePolicy,
 ): Readonly<Record<string, number>> {
   const outcomes = SEEDS.map((seed) =>
-    stepReplays.replaySteps(load, policy, seed)
+    stepReplays.simulateSteps(load, policy, seed)
   );
   return {
     worth: findMean(outcomes.map(({ worth }) => worth)),
--- a/tools/bench/control_deployment.ts
+++ b/tools/bench/control_deployment.ts
@@ -1,4 +1,4 @@
-import * as cascades from "../deployment/cascade.ts";
+import * as cascades from "../deployment/topology.ts";
 import * as deployments from "../deployment/deployment.ts";
 
 /** Model whose new weight versions cause orders from the leader. */
--- a/tools/build/build_binary.ts
+++ b/tools/build/build_binary.ts
@@ -11,7 +11,7 @@
 const BUNDLE = "dist/hoistscale.cjs";
 const BLOB = "dist/hoistscale.blob";
 const BINARY = "dist/hoistscale";
-const UNINSTALLED = "dist/hoistscale.new";
+const STAGED_BINARY = "dist/hoistscale.new";
 const SEA_FUSE = "NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2";
 function buildBlob(): void {
   const config = "dist/sea.json";
@@ -30,20 +30,20 @@
   ], { stdio: "pipe" });
 }
 
-function installBlob(): void {
-  fs.rmSync(UNINSTALLED, { force: true });
+function insertBlob(): void {
+  fs.rmSync(STAGED_BINARY, { force: true });
   fs.rmSync(BINARY, { force: true });
-  fs.copyFileSync(process.execPath, UNINSTALLED);
+  fs.copyFileSync(process.execPath, STAGED_BINARY);
   childProcess.execFileSync(process.execPath, [
     "node_modules/postject/dist/cli.js",
-    UNINSTALLED,
+    STAGED_BINARY,
     "NODE_SEA_BLOB",
     BLOB,
     "--sentinel-fuse",
     SEA_FUSE,
   ], { stdio: "pipe" });
-  fs.copyFileSync(UNINSTALLED, BINARY);
-  fs.rmSync(UNINSTALLED);
+  fs.copyFileSync(STAGED_BINARY, BINARY);
+  fs.rmSync(STAGED_BINARY);
   fs.chmodSync(BINARY, 0o755);
 }
 
@@ -51,7 +51,7 @@
   fs.mkdirSync("dist", { recursive: true });
   await bundles.buildBundle("src/main.ts", BUNDLE);
   buildBlob();
-  installBlob();
+  insertBlob();
   console.log(`built ${BINARY}`);
 }
 
--- a/tools/check/format.ts
+++ b/tools/check/format.ts
@@ -30,17 +30,17 @@
 
 function runFormat(write: boolean): number {
   const formatter = createFormatter();
-  const wrong = ROOTS.flatMap(listFiles).filter((file) => {
+  const unformatted = ROOTS.flatMap(listFiles).filter((file) => {
     const before = fs.readFileSync(file, "utf8");
     const after = formatter.formatText({ filePath: file, fileText: before });
     if (after === before) return false;
     if (write) fs.writeFileSync(file, after);
     return true;
   });
-  for (const file of wrong) {
+  for (const file of unformatted) {
     console.log(`${write ? "formatted" : "not formatted"}: ${file}`);
   }
-  return write ? 0 : Math.min(wrong.length, 1);
+  return write ? 0 : Math.min(unformatted.length, 1);
 }
 
 process.exitCode = runFormat(process.argv.includes("--write"));
--- a/tools/demo/config_watch.ts
+++ b/tools/demo/config_watcher.ts
@@ -8,7 +8,7 @@
 }
 
 /** What a box served as the template's revision and parameters. */
-export interface WatchedValue {
+export interface ServedTemplate {
   readonly revision: number;
   readonly parameters: Readonly<Record<string, unknown>>;
 }
@@ -17,7 +17,7 @@
 const READ_TIMEOUT_MS = 500;
 
 /** What the watch needs. */
-export interface ConfigWatchOptions {
+export interface ConfigWatcherOptions {
   readonly boxes: readonly WatchedBox[];
   readonly path: string;
   readonly token: string;
@@ -29,13 +29,13 @@
  * Asks every box for a template, again and again, from outside: notes when
  * each revision is served everywhere, and any revision that goes back.
  */
-export class ConfigWatch {
-  readonly #options: ConfigWatchOptions;
-  readonly #seen = new Map<string, WatchedValue>();
-  #reverted = 0;
+export class ConfigWatcher {
+  readonly #options: ConfigWatcherOptions;
+  readonly #lastServed = new Map<string, ServedTemplate>();
+  #revertedCount = 0;
   #isStopped = false;
 
-  constructor(options: ConfigWatchOptions) {
+  constructor(options: ConfigWatcherOptions) {
     this.#options = options;
   }
 
@@ -49,7 +49,7 @@
 
   /** Boxes that served an older revision, or other values under the same. */
   countReverted(): number {
-    return this.#reverted;
+    return this.#revertedCount;
   }
 
   /** Waits until every box that is up serves a revision or a later one. */
@@ -58,15 +58,17 @@
     while (Date.now() < endMs) {
       const isEverywhere = this.#options.boxes
         .filter((box) => this.#options.isUp(box.box))
-        .every((box) => (this.#seen.get(box.box)?.revision ?? 0) >= revision);
+        .every((box) =>
+          (this.#lastServed.get(box.box)?.revision ?? 0) >= revision
+        );
       if (isEverywhere) return true;
       await sleeps.sleep(POLL_MS);
     }
     return false;
   }
 
-  getSeen(box: string): WatchedValue | undefined {
-    return this.#seen.get(box);
+  getLastServed(box: string): ServedTemplate | undefined {
+    return this.#lastServed.get(box);
   }
 
   async #watch(box: WatchedBox): Promise<void> {
@@ -85,10 +87,12 @@
       timeoutMs: READ_TIMEOUT_MS,
     });
     if (answer.kind === "failure" || answer.value.status !== 200) return;
-    const value = answer.value.json as WatchedValue;
-    const before = this.#seen.get(box.box);
-    if (before !== undefined && isReverted(before, value)) this.#reverted += 1;
-    this.#seen.set(box.box, value);
+    const value = answer.value.json as ServedTemplate;
+    const previous = this.#lastServed.get(box.box);
+    if (previous !== undefined && isReverted(previous, value)) {
+      this.#revertedCount += 1;
+    }
+    this.#lastServed.set(box.box, value);
   }
 }
 
@@ -96,12 +100,15 @@
  * Tells whether a box went back: an older revision, or the same revision with
  * other values.
  *
- * @param before What it served before.
- * @param now What it serves now.
+ * @param previous What it served before.
+ * @param current What it serves now.
  * @returns Whether that is a reversal.
  */
-export function isReverted(before: WatchedValue, now: WatchedValue): boolean {
-  if (now.revision < before.revision) return true;
-  return now.revision === before.revision &&
-    JSON.stringify(now.parameters) !== JSON.stringify(before.parameters);
+export function isReverted(
+  previous: ServedTemplate,
+  current: ServedTemplate,
+): boolean {
+  if (current.revision < previous.revision) return true;
+  return current.revision === previous.revision &&
+    JSON.stringify(current.parameters) !== JSON.stringify(previous.parameters);
 }
--- a/tools/demo/demo_operator.ts
+++ b/tools/demo/demo_operator.ts
@@ -14,7 +14,7 @@
 export class DemoOperator {
   readonly #baseUrls: readonly string[];
   readonly #token: string;
-  #turn = 0;
+  #attemptCount = 0;
 
   constructor(baseUrls: readonly string[], token: string) {
     this.#baseUrls = baseUrls;
@@ -37,15 +37,15 @@
     revision: number,
   ): Promise<AcceptedChange> {
     const options = ["--request-id", requestId, "--revision", String(revision)];
-    return await this.ask([...args, ...options]) as AcceptedChange;
+    return await this.runCommand([...args, ...options]) as AcceptedChange;
   }
 
   /** Runs a command that may be sent again and gives its JSON. */
-  async ask(args: readonly string[]): Promise<unknown> {
+  async runCommand(args: readonly string[]): Promise<unknown> {
     const errors: unknown[] = [];
     for (let attempt = 0; attempt < this.#baseUrls.length * 2; attempt += 1) {
       try {
-        return JSON.parse(await this.#run(args));
+        return JSON.parse(await this.#runOnce(args));
       } catch (error) {
         errors.push(error);
       }
@@ -53,9 +53,10 @@
     throw new Error(`Cannot ask the boxes: ${errors.map(String).join("; ")}`);
   }
 
-  async #run(args: readonly string[]): Promise<string> {
-    const admin = this.#baseUrls[this.#turn % this.#baseUrls.length] ?? "";
-    this.#turn += 1;
+  async #runOnce(args: readonly string[]): Promise<string> {
+    const admin = this.#baseUrls[this.#attemptCount % this.#baseUrls.length] ??
+      "";
+    this.#attemptCount += 1;
     const done = await execFile(BINARY, [
       ...args,
       "--json",
--- a/tools/demo/demo_report.ts
+++ b/tools/demo/demo_report.ts
@@ -1,14 +1,14 @@
-import * as judges from "./judge.ts";
+import * as ledgerVerification from "./verify_ledgers.ts";
 
 /** The demo's result: the verdict and what the operator saw. */
-export interface DemoResult extends judges.Verdict {
+export interface DemoResult extends ledgerVerification.LedgerReport {
   readonly configChanges: number;
   readonly revertedChanges: number;
   readonly inForceMs: { readonly p50: number; readonly max: number };
 }
 
 const FAULT_NAMES: readonly (keyof DemoResult)[] = [
-  ...judges.FAULT_COUNTS,
+  ...ledgerVerification.FAULT_COUNTS,
   "revertedChanges",
 ];
 
@@ -20,11 +20,12 @@
  * @returns Their names.
  */
 export function listFaults(result: DemoResult): readonly string[] {
-  const idle = (["steps", "samples", "requests", "configChanges"] as const)
-    .filter((name) => result[name] === 0);
+  const missingWork =
+    (["steps", "samples", "requests", "configChanges"] as const)
+      .filter((name) => result[name] === 0);
   return [
     ...FAULT_NAMES.filter((name) => result[name] !== 0),
-    ...idle.map((name) => `no ${name}`),
+    ...missingWork.map((name) => `no ${name}`),
   ];
 }
 
@@ -35,11 +36,11 @@
  * @param faults Faults that were noticed while it ran.
  * @returns Whether there is no fault.
  */
-export function reportVerdict(
+export function reportResult(
   result: DemoResult,
   faults: readonly string[],
 ): boolean {
-  const wrong = [...listFaults(result), ...faults];
+  const allFaults = [...listFaults(result), ...faults];
   const rows = Object.entries(result).map(([name, value]) => {
     const isFault = FAULT_NAMES.includes(name as keyof DemoResult);
     const mark = !isFault ? "" : value === 0 ? "ok" : "FAULT";
@@ -48,9 +49,9 @@
   console.log(
     ["", "what stand-ins, trainers and callers saw:", ...rows, ""].join("\n"),
   );
-  if (wrong.length > 0) console.log(`faults: ${wrong.join("; ")}`);
+  if (allFaults.length > 0) console.log(`faults: ${allFaults.join("; ")}`);
   console.log(JSON.stringify(result));
-  return wrong.length === 0;
+  return allFaults.length === 0;
 }
 
 function formatValue(value: unknown): string {
--- a/tools/demo/demo_settings.ts
+++ b/tools/demo/demo_settings.ts
@@ -7,8 +7,8 @@
 export const LENGTHS = { median: 40, sigma: 0.8 };
 export const START_TIMEOUT_MS = 20_000;
 export const IN_FORCE_TIMEOUT_MS = 10_000;
-export const CHANGE_EVERY_MS = 3_000;
-export const PROGRESS_MS = 5_000;
+export const CHANGE_INTERVAL_MS = 3_000;
+export const PROGRESS_INTERVAL_MS = 5_000;
 export const MODELS = { "sommelier-lm": 1, "sommelier-lm:nordeste": 1 };
 
 /** A client account of the demo with its trainer. */
--- a/tools/demo/fault_plan.ts
+++ b/tools/demo/fault_plan.ts
@@ -1,4 +1,4 @@
-import * as cascades from "../deployment/cascade.ts";
+import * as topologies from "../deployment/topology.ts";
 import type * as deployments from "../deployment/deployment.ts";
 import * as ledgers from "../stand_ins/ledger.ts";
 import type * as demoOperators from "./demo_operator.ts";
@@ -12,7 +12,7 @@
 export interface FaultPlanOptions {
   readonly deployment: deployments.Deployment;
   readonly operator: demoOperators.DemoOperator;
-  readonly tell: (message: string) => void;
+  readonly print: (message: string) => void;
   readonly addFault: (message: string) => void;
 }
 
@@ -20,7 +20,7 @@
 export class FaultPlan {
   readonly #options: FaultPlanOptions;
   readonly #events: ledgers.LedgerWriter;
-  #down: ReadonlySet<string> = new Set();
+  #downBoxes: ReadonlySet<string> = new Set();
 
   constructor(options: FaultPlanOptions) {
     this.#options = options;
@@ -30,56 +30,58 @@
 
   /** Whether a box was stopped or killed and not started again. */
   isDown(box: string): boolean {
-    return this.#down.has(box);
+    return this.#downBoxes.has(box);
   }
 
   /** Runs every fault; ends when the last is over. */
   async run(startMs: number): Promise<void> {
     const engine = this.#options.deployment.options
-      .servers[2] as cascades.DeployedServer;
-    const leaving = this.#options.deployment.options
-      .servers[9] as cascades.DeployedServer;
-    const planned = this.#options.deployment.options
-      .boxes[6] as cascades.DeployedBox;
-    const plain = this.#options.deployment.options.servers.find((server) =>
-      server.kind === "plain" && server.id !== leaving.id
-    ) as cascades.DeployedServer;
+      .servers[2] as topologies.DeployedServer;
+    const leavingServer = this.#options.deployment.options
+      .servers[9] as topologies.DeployedServer;
+    const stoppedBox = this.#options.deployment.options
+      .boxes[6] as topologies.DeployedBox;
+    const plainServer = this.#options.deployment.options.servers.find((
+      server,
+    ) =>
+      server.kind === "plain" && server.id !== leavingServer.id
+    ) as topologies.DeployedServer;
     await this.#sleepUntil(startMs + 6_000);
     this.#killEngine(engine);
     await this.#sleepUntil(startMs + 7_500);
-    await this.#restartServer(plain);
+    await this.#restartServer(plainServer);
     await this.#sleepUntil(startMs + 9_000);
     await this.#setRole(
-      this.#options.deployment.options.servers[7] as cascades.DeployedServer,
+      this.#options.deployment.options.servers[7] as topologies.DeployedServer,
     );
     await this.#sleepUntil(startMs + 12_000);
-    await this.#leaveServer(leaving);
+    await this.#markLeaving(leavingServer);
     await this.#sleepUntil(startMs + 16_000);
-    const stopped = this.#stopBox(planned);
+    const stopEnded = this.#stopBox(stoppedBox);
     await this.#sleepUntil(startMs + 24_000);
-    this.#options.tell(`engine ${engine.id} is started again`);
+    this.#options.print(`engine ${engine.id} is started again`);
     this.#options.deployment.startServer(engine, RESTARTED_INDEX);
-    const killed = await this.#killLeader();
+    const firstLeader = await this.#killLeader();
     await this.#sleepUntil(startMs + 27_000);
     await this.#restartServer(engine);
     await this.#sleepUntil(startMs + 32_000);
-    this.#startWithoutDisk(killed);
+    this.#startWithoutDisk(firstLeader);
     await this.#sleepUntil(startMs + 38_000);
-    const second = await this.#killLeader();
+    const secondLeader = await this.#killLeader();
     await this.#sleepUntil(startMs + 43_000);
-    this.#startBox(second);
-    await stopped;
+    this.#startBox(secondLeader);
+    await stopEnded;
   }
 
-  #killEngine(engine: cascades.DeployedServer): void {
-    this.#options.tell(`engine ${engine.id} crashes`);
-    this.#options.deployment.get(engine.id).kill("SIGKILL");
+  #killEngine(engine: topologies.DeployedServer): void {
+    this.#options.print(`engine ${engine.id} crashes`);
+    this.#options.deployment.getChild(engine.id).kill("SIGKILL");
   }
 
   /** It crashes and starts again under its id, between two looks of the boxes. */
-  async #restartServer(server: cascades.DeployedServer): Promise<void> {
-    this.#options.tell(`server ${server.id} crashes and starts again at once`);
-    const child = this.#options.deployment.get(server.id);
+  async #restartServer(server: topologies.DeployedServer): Promise<void> {
+    this.#options.print(`server ${server.id} crashes and starts again at once`);
+    const child = this.#options.deployment.getChild(server.id);
     child.kill("SIGKILL");
     await child.ended;
     this.#options.deployment.startServer(server, RESTARTED_INDEX);
@@ -87,20 +89,22 @@
 
   /** The box's disk was lost: it comes back as a new replica. */
   #startWithoutDisk(box: string): void {
-    this.#options.tell(`entry box ${box} lost its disk`);
-    this.#options.deployment.removeState(box);
+    this.#options.print(`entry box ${box} lost its disk`);
+    this.#options.deployment.removeDataFolder(box);
     this.#startBox(box);
   }
 
   #startBox(box: string): void {
-    this.#options.tell(`entry box ${box} is started again`);
+    this.#options.print(`entry box ${box} is started again`);
     this.#options.deployment.startBox(box);
-    this.#down = new Set([...this.#down].filter((other) => other !== box));
+    this.#downBoxes = new Set(
+      [...this.#downBoxes].filter((other) => other !== box),
+    );
   }
 
   /** Sets an engine's role and asks the engine itself whether it took it. */
-  async #setRole(server: cascades.DeployedServer): Promise<void> {
-    this.#options.tell(`engine ${server.id} is set to take rollouts only`);
+  async #setRole(server: topologies.DeployedServer): Promise<void> {
+    this.#options.print(`engine ${server.id} is set to take rollouts only`);
     await this.#options.operator.sendChange(
       ["server-role", server.id, "rollout"],
       "role-1",
@@ -119,10 +123,10 @@
     this.#options.addFault(`engine ${server.id} did not take its role`);
   }
 
-  async #leaveServer(server: cascades.DeployedServer): Promise<void> {
-    this.#options.tell(`backend server ${server.id} is marked as leaving`);
+  async #markLeaving(server: topologies.DeployedServer): Promise<void> {
+    this.#options.print(`backend server ${server.id} is marked as leaving`);
     await fetch(
-      `http://${cascades.BOX_LIST_ADDRESS}:${cascades.PLATFORM_PORT}/boxes/${server.id}`,
+      `http://${topologies.BOX_LIST_ADDRESS}:${topologies.PLATFORM_PORT}/boxes/${server.id}`,
       {
         method: "POST",
         body: JSON.stringify({ state: "leaving" }),
@@ -136,16 +140,16 @@
     });
   }
 
-  async #stopBox(box: cascades.DeployedBox): Promise<void> {
-    this.#options.tell(`entry box ${box.box} is stopped in a planned way`);
+  async #stopBox(box: topologies.DeployedBox): Promise<void> {
+    this.#options.print(`entry box ${box.box} is stopped in a planned way`);
     this.#events.add({
       kind: "event",
       event: "planStop",
       target: box.box,
       atMs: Date.now(),
     });
-    this.#down = new Set([...this.#down, box.box]);
-    const child = this.#options.deployment.get(box.box);
+    this.#downBoxes = new Set([...this.#downBoxes, box.box]);
+    const child = this.#options.deployment.getChild(box.box);
     child.kill("SIGTERM");
     const end = await child.ended;
     this.#events.add({
@@ -154,25 +158,25 @@
       target: box.box,
       atMs: Date.now(),
     });
-    this.#options.tell(`entry box ${box.box} ended with code ${end.code}`);
+    this.#options.print(`entry box ${box.box} ended with code ${end.code}`);
     if (end.code !== 0) {
       this.#options.addFault(`the planned stop ended with code ${end.code}`);
     }
   }
 
   async #killLeader(): Promise<string> {
-    const status = await this.#options.operator.ask(["status"]) as {
+    const status = await this.#options.operator.runCommand(["status"]) as {
       readonly leader: string;
     };
-    this.#options.tell(`entry box ${status.leader}, which leads, is killed`);
+    this.#options.print(`entry box ${status.leader}, which leads, is killed`);
     this.#events.add({
       kind: "event",
       event: "kill",
       target: status.leader,
       atMs: Date.now(),
     });
-    this.#down = new Set([...this.#down, status.leader]);
-    this.#options.deployment.get(status.leader).kill("SIGKILL");
+    this.#downBoxes = new Set([...this.#downBoxes, status.leader]);
+    this.#options.deployment.getChild(status.leader).kill("SIGKILL");
     return status.leader;
   }
 
--- a/tools/demo/run_demo.ts
+++ b/tools/demo/run_demo.ts
@@ -8,23 +8,23 @@
 import type * as callerRuns from "../stand_ins/run_callers.ts";
 import * as ledgers from "../stand_ins/ledger.ts";
 import type * as trainerRuns from "../stand_ins/run_trainer.ts";
-import * as cascades from "../deployment/cascade.ts";
+import * as topologies from "../deployment/topology.ts";
 import * as deployments from "../deployment/deployment.ts";
-import * as configWatches from "./config_watch.ts";
+import * as configWatchers from "./config_watcher.ts";
 import * as demoOperators from "./demo_operator.ts";
 import * as demoReports from "./demo_report.ts";
 import * as demoSettings from "./demo_settings.ts";
 import * as faultPlans from "./fault_plan.ts";
-import * as judges from "./judge.ts";
+import * as ledgerVerification from "./verify_ledgers.ts";
 import * as sleeps from "../stand_ins/sleep.ts";
 
 /** One run of the demo. */
 class Demo {
-  readonly #boxes = cascades.listBoxes(9, 5);
-  readonly #servers = cascades.listServers(8, 4);
+  readonly #boxes = topologies.listBoxes(9, 5);
+  readonly #servers = topologies.listServers(8, 4);
   readonly #deployment: deployments.Deployment;
   readonly #operator: demoOperators.DemoOperator;
-  readonly #watch: configWatches.ConfigWatch;
+  readonly #configWatcher: configWatchers.ConfigWatcher;
   readonly #faultPlan: faultPlans.FaultPlan;
   #inForceMs: readonly number[] = [];
   #faults: readonly string[] = [];
@@ -47,7 +47,7 @@
       downloadsPerSecond: 8,
     });
     const urls = this.#boxes.map((box) =>
-      `http://${box.address}:${cascades.ADMIN_PORT}`
+      `http://${box.address}:${topologies.ADMIN_PORT}`
     );
     this.#operator = new demoOperators.DemoOperator(
       urls,
@@ -56,13 +56,13 @@
     this.#faultPlan = new faultPlans.FaultPlan({
       deployment: this.#deployment,
       operator: this.#operator,
-      tell: (message) => this.#tell(message),
+      print: (message) => this.#print(message),
       addFault: (message) => this.#addFault(message),
     });
-    this.#watch = new configWatches.ConfigWatch({
+    this.#configWatcher = new configWatchers.ConfigWatcher({
       boxes: this.#boxes.map((box) => ({
         box: box.box,
-        baseUrl: `http://${box.address}:${cascades.ADMIN_PORT}`,
+        baseUrl: `http://${box.address}:${topologies.ADMIN_PORT}`,
       })),
       path:
         `/v1/accounts/${demoSettings.WATCHED_ACCOUNT}/templates/${demoSettings.TEMPLATE}`,
@@ -73,7 +73,7 @@
 
   async run(): Promise<boolean> {
     try {
-      this.#tell(
+      this.#print(
         "starting 9 entry boxes, 8 engines, 4 cellar-app servers, weight store, scorer, box list",
       );
       this.#deployment.start();
@@ -81,7 +81,7 @@
       await this.#runJob();
       return this.#finish();
     } finally {
-      this.#watch.stop();
+      this.#configWatcher.stop();
       await this.#deployment.stop();
     }
   }
@@ -97,13 +97,13 @@
       await sleeps.sleep(200);
     }
     for (const item of demoSettings.ACCOUNTS) await this.#createAccount(item);
-    this.#watch.start();
-    this.#tell("client accounts and templates are in force on every box");
+    this.#configWatcher.start();
+    this.#print("client accounts and templates are in force on every box");
   }
 
   async #isReady(): Promise<boolean> {
     try {
-      const status = await this.#operator.ask(["status"]) as {
+      const status = await this.#operator.runCommand(["status"]) as {
         readonly boxes: readonly unknown[];
         readonly servers: readonly unknown[];
       };
@@ -114,32 +114,32 @@
     }
   }
 
-  async #createAccount(item: demoSettings.DemoAccount): Promise<void> {
+  async #createAccount(demoAccount: demoSettings.DemoAccount): Promise<void> {
     await this.#operator.sendChange(
       [
         "account",
         "set",
-        item.account,
-        `stalenessVersions=${item.stalenessVersions}`,
-        `stalenessMs=${item.stalenessMs}`,
+        demoAccount.account,
+        `stalenessVersions=${demoAccount.stalenessVersions}`,
+        `stalenessMs=${demoAccount.stalenessMs}`,
         "--account-token",
-        item.token,
+        demoAccount.token,
       ],
-      `create-${item.account}`,
+      `create-${demoAccount.account}`,
       0,
     );
     await this.#operator.sendChange(
       [
         "template",
         "set",
-        item.account,
+        demoAccount.account,
         demoSettings.TEMPLATE,
-        `trainer=${item.trainer}`,
-        `model=${item.model}`,
-        `groupSize=${item.groupSize}`,
+        `trainer=${demoAccount.trainer}`,
+        `model=${demoAccount.model}`,
+        `groupSize=${demoAccount.groupSize}`,
         `maxTokens=${demoSettings.SAMPLE_TOKENS}`,
       ],
-      `create-${item.account}-${demoSettings.TEMPLATE}`,
+      `create-${demoAccount.account}-${demoSettings.TEMPLATE}`,
       0,
     );
   }
@@ -164,8 +164,8 @@
     const changes = this.#runChanges();
     const faults = this.#faultPlan.run(startMs);
     const progress = setInterval(
-      () => this.#showProgress(startMs),
-      demoSettings.PROGRESS_MS,
+      () => this.#reportProgress(startMs),
+      demoSettings.PROGRESS_INTERVAL_MS,
     );
     const ended = Promise.all(clients.map((client) => client.ended)).then(
       () => {
@@ -183,26 +183,28 @@
     }
   }
 
-  #startTrainer(item: demoSettings.DemoAccount) {
+  #startTrainer(demoAccount: demoSettings.DemoAccount) {
     const settings: trainerRuns.TrainerSettings = {
-      name: item.trainer,
+      name: demoAccount.trainer,
       template: demoSettings.TEMPLATE,
-      model: item.model,
-      token: item.token,
+      model: demoAccount.model,
+      token: demoAccount.token,
       seeds: this.#boxes,
-      ledgerFile: this.#deployment.getLedgerFile(`trainer-${item.trainer}`),
+      ledgerFile: this.#deployment.getLedgerFile(
+        `trainer-${demoAccount.trainer}`,
+      ),
       storeUrl:
-        `http://${cascades.WEIGHT_STORE_ADDRESS}:${cascades.PLATFORM_PORT}`,
+        `http://${topologies.WEIGHT_STORE_ADDRESS}:${topologies.PLATFORM_PORT}`,
       steps: 1_000,
-      groups: item.groups,
-      groupSize: item.groupSize,
+      groups: demoAccount.groups,
+      groupSize: demoAccount.groupSize,
       trainMs: 1_500,
-      maxVersionsBehind: item.stalenessVersions,
-      maxAgeMs: item.stalenessMs,
+      maxVersionsBehind: demoAccount.stalenessVersions,
+      maxAgeMs: demoAccount.stalenessMs,
       endMs: demoSettings.RUN_MS,
     };
     return this.#deployment.startClient(
-      `trainer-${item.trainer}`,
+      `trainer-${demoAccount.trainer}`,
       "run_trainer",
       settings,
     );
@@ -235,7 +237,7 @@
   }
 
   async #runChanges(): Promise<void> {
-    const shown = await this.#operator.ask([
+    const shown = await this.#operator.runCommand([
       "template",
       "show",
       demoSettings.WATCHED_ACCOUNT,
@@ -258,7 +260,7 @@
         revision,
       );
       revision = accepted.revision;
-      const isEverywhere = await this.#watch.waitFor(
+      const isEverywhere = await this.#configWatcher.waitFor(
         accepted.revision,
         demoSettings.IN_FORCE_TIMEOUT_MS,
       );
@@ -268,43 +270,43 @@
         );
       }
       this.#inForceMs = [...this.#inForceMs, Date.now() - sentMs];
-      await sleeps.sleep(demoSettings.CHANGE_EVERY_MS);
+      await sleeps.sleep(demoSettings.CHANGE_INTERVAL_MS);
     }
   }
 
   #finish(): boolean {
     const entries = ledgers.readLedgers(this.#deployment.getLedgerFolder());
-    const verdict = judges.judgeLedgers(entries, {
+    const verdict = ledgerVerification.verifyLedgers(entries, {
       lengths: demoSettings.LENGTHS,
       sampleTokens: demoSettings.SAMPLE_TOKENS,
       completionTokens: demoSettings.COMPLETION_TOKENS,
     });
-    const inForce = judges.computeQuantiles(this.#inForceMs);
-    return demoReports.reportVerdict({
+    const inForce = ledgerVerification.computeQuantiles(this.#inForceMs);
+    return demoReports.reportResult({
       ...verdict,
       configChanges: this.#inForceMs.length,
-      revertedChanges: this.#watch.countReverted(),
+      revertedChanges: this.#configWatcher.countReverted(),
       inForceMs: { p50: inForce.p50, max: inForce.max },
     }, this.#faults);
   }
 
-  #showProgress(startMs: number): void {
+  #reportProgress(startMs: number): void {
     const entries = ledgers.readLedgers(this.#deployment.getLedgerFolder());
     const steps = entries.filter((entry) => entry.kind === "step").length;
     const samples = entries.filter((entry) => entry.kind === "sample").length;
     const calls = entries.filter((entry) => entry.kind === "call").length;
     const seconds = Math.round((Date.now() - startMs) / 1_000);
-    this.#tell(
+    this.#print(
       `${seconds} s: ${steps} steps, ${samples} samples received, ${calls} requests answered, ${this.#inForceMs.length} changes in force`,
     );
   }
 
   #addFault(message: string): void {
     this.#faults = [...this.#faults, message];
-    this.#tell(`FAULT ${message}`);
+    this.#print(`FAULT ${message}`);
   }
 
-  #tell(message: string): void {
+  #print(message: string): void {
     console.log(`demo: ${message}`);
   }
 }
--- a/tools/demo/token_index.ts
+++ b/tools/demo/token_index.ts
@@ -1,6 +1,6 @@
 import type * as ledgers from "../stand_ins/ledger.ts";
 
-const TOKENS_A_SEGMENT = 100_000;
+const TOKENS_PER_SEGMENT = 100_000;
 
 /** Segments by the block that their token ids come from. */
 export interface TokenIndex {
@@ -20,7 +20,7 @@
     segments: new Map(
       segments.map((
         segment,
-      ) => [segment.firstToken / TOKENS_A_SEGMENT, segment]),
+      ) => [segment.firstToken / TOKENS_PER_SEGMENT, segment]),
     ),
   };
 }
@@ -36,5 +36,5 @@
   index: TokenIndex,
   token: number,
 ): ledgers.SegmentEntry | undefined {
-  return index.segments.get(Math.floor(token / TOKENS_A_SEGMENT));
+  return index.segments.get(Math.floor(token / TOKENS_PER_SEGMENT));
 }
--- a/tools/demo/judge.ts
+++ b/tools/demo/verify_ledgers.ts
@@ -6,7 +6,7 @@
 const LEAVE_GRACE_MS = 3_000;
 
 /** What the judge must know besides the ledgers. */
-export interface JudgeOptions {
+export interface VerificationOptions {
   readonly lengths: answerLengths.LengthDistribution;
   /** Longest sample of a rollout, in tokens. */
   readonly sampleTokens: number;
@@ -15,7 +15,7 @@
 }
 
 /** Violations and figures, counted from what really happened. */
-export interface Verdict {
+export interface LedgerReport {
   readonly steps: number;
   readonly samples: number;
   readonly missingSamples: number;
@@ -41,16 +41,18 @@
   readonly max: number;
 }
 
-type Kind<K extends ledgers.LedgerEntry["kind"]> = Extract<
+type EntryOfKind<K extends ledgers.LedgerEntry["kind"]> = Extract<
   ledgers.LedgerEntry,
   { readonly kind: K }
 >;
 
-function selectKind<K extends ledgers.LedgerEntry["kind"]>(
+function selectEntries<K extends ledgers.LedgerEntry["kind"]>(
   entries: readonly ledgers.LedgerEntry[],
   kind: K,
-): readonly Kind<K>[] {
-  return entries.filter((entry): entry is Kind<K> => entry.kind === kind);
+): readonly EntryOfKind<K>[] {
+  return entries.filter((entry): entry is EntryOfKind<K> =>
+    entry.kind === kind
+  );
 }
 
 /**
@@ -104,7 +106,7 @@
   return extra.reduce((sum, count) => sum + count, 0);
 }
 
-function getToldVersion(
+function getReportedVersion(
   sample: ledgers.SampleEntry,
   position: number,
 ): number | undefined {
@@ -113,10 +115,10 @@
   )?.weightVersion;
 }
 
-function hasTrueProvenance(
+function hasCorrectProvenance(
   sample: ledgers.SampleEntry,
   index: tokenIndexes.TokenIndex,
-  options: JudgeOptions,
+  options: VerificationOptions,
 ): boolean {
   const length = answerLengths.getAnswerLength(
     sample.prompt,
@@ -129,7 +131,7 @@
     return segment !== undefined && segment.prompt === sample.prompt &&
       segment.model === sample.model &&
       token - segment.firstToken + segment.firstPosition === position &&
-      segment.weightVersion === getToldVersion(sample, position);
+      segment.weightVersion === getReportedVersion(sample, position);
   });
 }
 
@@ -175,7 +177,7 @@
 function isTruncated(
   call: ledgers.CallEntry,
   index: tokenIndexes.TokenIndex,
-  options: JudgeOptions,
+  options: VerificationOptions,
 ): boolean {
   if (!call.isAnswered) return false;
   if (!call.isWhole) return true;
@@ -208,22 +210,22 @@
   runs: ReadonlyMap<string, number>,
 ): boolean {
   if (call.operation === "completion") return false;
-  const mayHaveRun = call.tries.filter((item) =>
+  const possibleRuns = call.tries.filter((item) =>
     item.outcome !== "notRun" && item.outcome !== "refused" &&
     item.outcome !== "notSent"
   );
-  return mayHaveRun.length === 0 && (runs.get(call.callId) ?? 0) > 0;
+  return possibleRuns.length === 0 && (runs.get(call.callId) ?? 0) > 0;
 }
 
 function countWorkAfterLeave(entries: readonly ledgers.LedgerEntry[]): number {
-  const leaves = selectKind(entries, "event").filter((entry) =>
+  const leaves = selectEntries(entries, "event").filter((entry) =>
     entry.event === "leave"
   );
-  const segments = selectKind(entries, "segment").filter((segment) =>
+  const segments = selectEntries(entries, "segment").filter((segment) =>
     segment.isFirst
   );
   const work = [
-    ...selectKind(entries, "run").map((run) => ({
+    ...selectEntries(entries, "run").map((run) => ({
       target: run.server,
       atMs: run.atMs,
     })),
@@ -243,18 +245,18 @@
 }
 
 function countCutOff(entries: readonly ledgers.LedgerEntry[]): number {
-  const events = selectKind(entries, "event");
-  const tries = selectKind(entries, "call").flatMap((call) => call.tries);
+  const events = selectEntries(entries, "event");
+  const tries = selectEntries(entries, "call").flatMap((call) => call.tries);
   return events.filter((event) => event.event === "planStop").reduce(
-    (sum, begin) => {
+    (sum, stopEvent) => {
       const ended = events.find((event) =>
-        event.event === "stopped" && event.target === begin.target
+        event.event === "stopped" && event.target === stopEvent.target
       );
       const untilMs = (ended?.atMs ?? Number.POSITIVE_INFINITY) + 1_000;
       const cut = tries.filter((item) =>
-        item.box === begin.target &&
+        item.box === stopEvent.target &&
         (item.outcome === "broken" || item.outcome === "notSent") &&
-        item.endedMs >= begin.atMs && item.sentMs <= untilMs
+        item.endedMs >= stopEvent.atMs && item.sentMs <= untilMs
       );
       return sum + cut.length;
     },
@@ -275,16 +277,16 @@
  * @param options What the judge must know besides.
  * @returns Violations and figures.
  */
-export function judgeLedgers(
+export function verifyLedgers(
   entries: readonly ledgers.LedgerEntry[],
-  options: JudgeOptions,
-): Verdict {
-  const index = tokenIndexes.buildTokenIndex(selectKind(entries, "segment"));
-  const received = selectKind(entries, "sample");
+  options: VerificationOptions,
+): LedgerReport {
+  const index = tokenIndexes.buildTokenIndex(selectEntries(entries, "segment"));
+  const received = selectEntries(entries, "sample");
   const samples = selectFirstReceived(received);
-  const steps = selectKind(entries, "step");
-  const calls = selectKind(entries, "call");
-  const runs = countRuns(selectKind(entries, "run"));
+  const steps = selectEntries(entries, "step");
+  const calls = selectEntries(entries, "call");
+  const runs = countRuns(selectEntries(entries, "run"));
   const syncs = calls.filter((call) => call.operation === "sync");
   return {
     steps: steps.length,
@@ -296,7 +298,7 @@
     duplicateSamples: countDuplicates(received),
     staleSamples: samples.filter((sample) => isStale(sample, index)).length,
     wrongProvenance:
-      samples.filter((sample) => !hasTrueProvenance(sample, index, options))
+      samples.filter((sample) => !hasCorrectProvenance(sample, index, options))
         .length,
     requests: calls.length,
     failedRequests: calls.filter((call) => !call.isAnswered).length,
@@ -328,4 +330,4 @@
   "falseNotRun",
   "workAfterLeave",
   "cutOffByPlannedStop",
-] as const satisfies readonly (keyof Verdict)[];
+] as const satisfies readonly (keyof LedgerReport)[];
--- a/tools/demo/judge_test.ts
+++ b/tools/demo/verify_ledgers_test.ts
@@ -9,7 +9,7 @@
 import * as engineCores from "../stand_ins/engine_core.ts";
 import * as jsonServers from "../stand_ins/json_server.ts";
 import * as ledgers from "../stand_ins/ledger.ts";
-import * as judges from "./judge.ts";
+import * as ledgerVerification from "./verify_ledgers.ts";
 
 const LENGTHS = { median: 6, sigma: 0.3 };
 const OPTIONS = { lengths: LENGTHS, sampleTokens: 32, completionTokens: 32 };
@@ -17,9 +17,9 @@
 const PORT = 8190;
 
 /** Has an engine generate one sample and judges what the trainer received. */
-async function judgeEngine(
+async function verifyEngine(
   misbehaviour: engineCores.Misbehaviour,
-): Promise<judges.Verdict> {
+): Promise<ledgerVerification.LedgerReport> {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), "hoistscale-judge-"));
   const ledger = new ledgers.LedgerWriter(path.join(folder, "engine.jsonl"));
   const core = new engineCores.EngineCore({
@@ -72,14 +72,14 @@
     cancellation: new csp.Cancellation(),
     onToken(token) {
       tokens.push(token.tokenId);
-      spans = steps.addToken(spans, token.weightVersion);
+      spans = steps.appendToken(spans, token.weightVersion);
     },
   });
   server.close();
   server.closeAllConnections();
   const entries = ledgers.readLedgers(folder);
   fs.rmSync(folder, { recursive: true });
-  return judges.judgeLedgers(
+  return ledgerVerification.verifyLedgers(
     [...entries, createSampleEntry({ tokens, spans })],
     OPTIONS,
   );
@@ -138,7 +138,7 @@
 
 describe("judge", () => {
   it("finds nothing wrong with an honest engine", async () => {
-    const verdict = await judgeEngine("none");
+    const verdict = await verifyEngine("none");
     chai.expect(verdict).to.include({
       samples: 1,
       wrongProvenance: 0,
@@ -150,7 +150,7 @@
     const misbehaviour of ["falseVersion", "dropToken", "swapPrompt"] as const
   ) {
     it(`catches an engine that does ${misbehaviour}`, async () => {
-      chai.expect(await judgeEngine(misbehaviour)).to.include({
+      chai.expect(await verifyEngine(misbehaviour)).to.include({
         wrongProvenance: 1,
       });
     });
@@ -185,7 +185,7 @@
       sampleId: "b",
       slot: 1,
     });
-    const verdict = judges.judgeLedgers([
+    const verdict = ledgerVerification.verifyLedgers([
       segment,
       step,
       stale,
@@ -210,7 +210,7 @@
         isAnswered: false,
       }),
     ];
-    const verdict = judges.judgeLedgers(
+    const verdict = ledgerVerification.verifyLedgers(
       [...calls, SYNC_RUN, SYNC_RUN],
       OPTIONS,
     );
@@ -224,7 +224,7 @@
   });
 
   it("counts work after a leave and requests cut off by a planned stop", () => {
-    const verdict = judges.judgeLedgers([
+    const verdict = ledgerVerification.verifyLedgers([
       { kind: "event", event: "leave", target: "s", atMs: 5_000 },
       SYNC_RUN,
       { kind: "event", event: "planStop", target: "b", atMs: 100 },
--- a/tools/deployment/deployment.ts
+++ b/tools/deployment/deployment.ts
@@ -6,7 +6,7 @@
 import type * as engineRuns from "../stand_ins/run_engine.ts";
 import type * as plainRuns from "../stand_ins/run_plain_server.ts";
 import type * as platformRuns from "../stand_ins/run_platform.ts";
-import * as cascades from "./cascade.ts";
+import * as topologies from "./topology.ts";
 import * as children from "./child.ts";
 
 /** Token of the deployment's root operator; it exists on loopback only. */
@@ -15,8 +15,8 @@
 /** What a deployment is made of. */
 export interface DeploymentOptions {
   readonly folder: string;
-  readonly boxes: readonly cascades.DeployedBox[];
-  readonly servers: readonly cascades.DeployedServer[];
+  readonly boxes: readonly topologies.DeployedBox[];
+  readonly servers: readonly topologies.DeployedServer[];
   readonly models: Readonly<Record<string, number>>;
   readonly engine: Pick<
     engineRuns.EngineProcessSettings,
@@ -29,17 +29,17 @@
 }
 
 const BINARY = "dist/hoistscale";
-const REPORT_LAG_MS = 200;
+const REPORT_DELAY_MS = 200;
 /** Share of engines' reports that can't be read. */
-const WRONG_REPORTS = 0.01;
+const INVALID_REPORT_SHARE = 0.01;
 const CACHED_PROMPTS = 64;
-const BOX_LIST_LAG_MS = 500;
+const BOX_LIST_DELAY_MS = 500;
 
 /** A whole deployment as processes on loopback addresses. */
 export class Deployment {
   readonly options: DeploymentOptions;
-  #children: ReadonlyMap<string, children.Child> = new Map();
-  #all: readonly children.Child[] = [];
+  #childrenByName: ReadonlyMap<string, children.Child> = new Map();
+  #startedChildren: readonly children.Child[] = [];
 
   constructor(options: DeploymentOptions) {
     this.options = options;
@@ -58,7 +58,7 @@
 
   /** Starts platform, backend servers and boxes. */
   start(): void {
-    const platformSettings = this.#listPlatform();
+    const platformSettings = this.#listPlatformSettings();
     for (const settings of platformSettings) {
       this.#startStandIn(settings.kind, "run_platform", settings);
     }
@@ -66,13 +66,13 @@
       this.startServer(server, index)
     );
     for (const box of this.options.boxes) {
-      if (box.hasState) this.#makeState(box.box);
+      if (box.hasState) this.#makeDataFolder(box.box);
       this.startBox(box.box);
     }
   }
 
   /** Makes a data folder, as an operator does once before the first start. */
-  #makeState(id: string): void {
+  #makeDataFolder(id: string): void {
     childProcess.execFileSync(BINARY, [
       "make-state",
       "--settings",
@@ -81,12 +81,12 @@
   }
 
   /** Empties the data folder of a box that does not run. */
-  removeState(id: string): void {
+  removeDataFolder(id: string): void {
     fs.rmSync(this.#getDataFolder(id), { recursive: true, force: true });
   }
 
   startBox(id: string): void {
-    this.#add(
+    this.#addChild(
       new children.Child({
         name: id,
         command: BINARY,
@@ -96,7 +96,7 @@
     );
   }
 
-  startServer(server: cascades.DeployedServer, index: number): void {
+  startServer(server: topologies.DeployedServer, index: number): void {
     const shared = {
       id: server.id,
       address: server.address,
@@ -117,10 +117,10 @@
       models: this.options.models,
       misbehaviour: "none",
       cachedPrompts: CACHED_PROMPTS,
-      storeUrl: getUrl(cascades.WEIGHT_STORE_ADDRESS),
+      storeUrl: getPlatformUrl(topologies.WEIGHT_STORE_ADDRESS),
       checksFence: server.checksFence,
-      reportLagMs: REPORT_LAG_MS,
-      wrongReports: WRONG_REPORTS,
+      reportLagMs: REPORT_DELAY_MS,
+      wrongReports: INVALID_REPORT_SHARE,
     };
     this.#startStandIn(server.id, "run_engine", settings);
   }
@@ -128,11 +128,11 @@
   /** Starts another stand-in, such as a trainer or the callers. */
   startClient(name: string, program: string, settings: object): children.Child {
     this.#startStandIn(name, program, settings);
-    return this.get(name);
+    return this.getChild(name);
   }
 
-  get(name: string): children.Child {
-    const child = this.#children.get(name);
+  getChild(name: string): children.Child {
+    const child = this.#childrenByName.get(name);
     if (child === undefined) {
       throw new Error(`Cannot find the process ${name}: it was not started`);
     }
@@ -141,16 +141,19 @@
 
   /** Ends every process that this deployment started. */
   stop(): Promise<void> {
-    return children.stopChildren(this.#all);
+    return children.stopChildren(this.#startedChildren);
   }
 
-  #add(child: children.Child): void {
-    this.#all = [...this.#all, child];
-    this.#children = new Map([...this.#children, [child.name, child] as const]);
+  #addChild(child: children.Child): void {
+    this.#startedChildren = [...this.#startedChildren, child];
+    this.#childrenByName = new Map([
+      ...this.#childrenByName,
+      [child.name, child] as const,
+    ]);
   }
 
   #startStandIn(name: string, program: string, settings: object): void {
-    this.#add(
+    this.#addChild(
       new children.Child({
         name,
         command: process.execPath,
@@ -176,30 +179,30 @@
     return path.join(this.options.folder, `${id}.yaml`);
   }
 
-  #listPlatform(): readonly platformRuns.PlatformSettings[] {
+  #listPlatformSettings(): readonly platformRuns.PlatformSettings[] {
     const { servers, models, downloadsPerSecond } = this.options;
-    const port = cascades.PLATFORM_PORT;
+    const port = topologies.PLATFORM_PORT;
     return [
       {
         kind: "boxList",
-        address: cascades.BOX_LIST_ADDRESS,
+        address: topologies.BOX_LIST_ADDRESS,
         port,
-        lagMs: BOX_LIST_LAG_MS,
+        lagMs: BOX_LIST_DELAY_MS,
         servers,
       },
       {
         kind: "weightStore",
-        address: cascades.WEIGHT_STORE_ADDRESS,
+        address: topologies.WEIGHT_STORE_ADDRESS,
         port,
         models,
         downloadsPerSecond,
         downloadMs: 20,
       },
-      { kind: "scorer", address: cascades.SCORER_ADDRESS, port, scoreMs: 10 },
+      { kind: "scorer", address: topologies.SCORER_ADDRESS, port, scoreMs: 10 },
     ];
   }
 
-  #writeSettings(box: cascades.DeployedBox): void {
+  #writeSettings(box: topologies.DeployedBox): void {
     const { boxes, folder } = this.options;
     const settings = {
       box: {
@@ -211,16 +214,16 @@
         id: other.box,
         address: other.address,
         port: box.box === this.options.relayedBox
-          ? cascades.RELAY_PORT
-          : cascades.PEER_PORT,
+          ? topologies.RELAY_PORT
+          : topologies.PEER_PORT,
       })),
       ...(box.hasState
         ? { control: { dataFolder: this.#getDataFolder(box.box) } }
         : {}),
       administration: { rootTokenSha256: accounts.hashToken(ROOT_TOKEN) },
-      boxList: { url: getUrl(cascades.BOX_LIST_ADDRESS) },
-      weightStore: { url: getUrl(cascades.WEIGHT_STORE_ADDRESS) },
-      scorer: { url: getUrl(cascades.SCORER_ADDRESS) },
+      boxList: { url: getPlatformUrl(topologies.BOX_LIST_ADDRESS) },
+      weightStore: { url: getPlatformUrl(topologies.WEIGHT_STORE_ADDRESS) },
+      scorer: { url: getPlatformUrl(topologies.SCORER_ADDRESS) },
       services: [
         { name: "sommelier-lm", kind: "language" },
         {
@@ -238,6 +241,6 @@
   }
 }
 
-function getUrl(address: string): string {
-  return `http://${address}:${cascades.PLATFORM_PORT}`;
+function getPlatformUrl(address: string): string {
+  return `http://${address}:${topologies.PLATFORM_PORT}`;
 }
--- a/tools/deployment/link_relay.ts
+++ b/tools/deployment/link_relay.ts
@@ -53,11 +53,11 @@
   #accept(socket: net.Socket): void {
     const { targetAddress, targetPort } = this.#options;
     const target = net.connect(targetPort, targetAddress);
-    this.#join(socket, target);
-    this.#join(target, socket);
+    this.#forwardData(socket, target);
+    this.#forwardData(target, socket);
   }
 
-  #join(from: net.Socket, to: net.Socket): void {
+  #forwardData(from: net.Socket, to: net.Socket): void {
     this.#sockets.add(from);
     from.setNoDelay(true);
     from.on("data", (chunk) => {
--- a/tools/deployment/ask_admin.ts
+++ b/tools/deployment/send_admin_request.ts
@@ -1,9 +1,9 @@
 import * as httpClient from "../../src/http_client/mod.ts";
-import * as cascades from "./cascade.ts";
+import * as topologies from "./topology.ts";
 import * as deployments from "./deployment.ts";
 
 /** A question to the administration API of a box. */
-export interface AdminQuestion {
+export interface AdminRequest {
   readonly method: string;
   readonly path: string;
   readonly timeoutMs: number;
@@ -14,16 +14,16 @@
  * Asks a box as root operator.
  *
  * @param address IP number of the box.
- * @param question What is asked.
+ * @param request What is asked.
  * @returns The answer's JSON, or undefined unless it was 200.
  */
-export async function askAdmin(
+export async function sendAdminRequest(
   address: string,
-  question: AdminQuestion,
+  request: AdminRequest,
 ): Promise<unknown> {
   const answer = await httpClient.sendJson({
-    ...question,
-    baseUrl: `http://${address}:${cascades.ADMIN_PORT}`,
+    ...request,
+    baseUrl: `http://${address}:${topologies.ADMIN_PORT}`,
     headers: { authorization: `Bearer ${deployments.ROOT_TOKEN}` },
   });
   if (answer.kind === "failure" || answer.value.status !== 200) {
--- a/tools/deployment/cascade.ts
+++ b/tools/deployment/topology.ts
@@ -44,19 +44,19 @@
  * Lists entry boxes, the first ones with a disk.
  *
  * @param count How many boxes.
- * @param stateCount How many of them hold the state.
+ * @param replicaCount How many of them hold the state.
  * @returns The boxes, spread over the failure domains.
  */
 export function listBoxes(
   count: number,
-  stateCount: number,
+  replicaCount: number,
 ): readonly DeployedBox[] {
   return Array.from({ length: count }, (_, index) => ({
     box: `box-${index + 1}`,
     address: `127.0.1.${index + 1}`,
     port: CALLER_PORT,
     failureDomain: getFailureDomain(index),
-    hasState: index < stateCount,
+    hasState: index < replicaCount,
   }));
 }
 
--- a/tools/reference/reference_test.ts
+++ b/tools/reference/reference_test.ts
@@ -19,7 +19,7 @@
     const page = fs.readFileSync("docs/OPERATIONS.md", "utf8");
     const listed = [...page.matchAll(/^\| `(hoistscale_\w+)/gm)];
     chai.expect(listed.map(([, name]) => name)).to.have.members(
-      [...new metrics.FleetMetrics().listNames()],
+      [...new metrics.FleetMetrics().listMetricNames()],
     );
   });
 
--- /dev/null
+++ b/tools/soak/fault_injector.ts
@@ -0,0 +1,299 @@
+import * as sleeps from "../stand_ins/sleep.ts";
+import type * as faultPlans from "./fault_plan.ts";
+import type * as layouts from "./fleet_layout.ts";
+import type * as fleets from "./soak_fleet.ts";
+import type * as operators from "./soak_operator.ts";
+import type * as storeLogReaders from "./store_log_reader.ts";
+
+const STOP_GRACE_MS = 8_000;
+const RETIRE_TIMEOUT_MS = 20_000;
+const CONFIGURATION_TIMEOUT_MS = 20_000;
+/** Longest wait for a snapshot to be sent, in ms. */
+const TRANSFER_TIMEOUT_MS = 15_000;
+const POLL_INTERVAL_MS = 20;
+
+/** What a run of a day needs. */
+export interface FaultInjectorOptions {
+  readonly fleet: fleets.SoakFleet;
+  readonly operator: operators.SoakOperator;
+  readonly storeLogs: storeLogReaders.StoreLogReader;
+  /** From the start of an emptied box until the next disk may be lost, in ms. */
+  readonly catchUpMs: number;
+  /** Time within which the boxes start again after all lost power, in ms. */
+  readonly startSpreadMs: number;
+  readonly printProgress: (message: string) => void;
+}
+
+/** Start of a box whose disk was empty. */
+export interface EmptyDiskStart {
+  readonly box: layouts.SoakBox;
+  readonly startMs: number;
+}
+
+/** Brings about the faults of a plan, disks one at a time. */
+export class FaultInjector {
+  readonly #options: FaultInjectorOptions;
+  readonly #pendingFaults: Promise<void>[] = [];
+  readonly #diskCreatedMs = new Map<string, number>();
+  #earliestLossMs = 0;
+  #powerRestoredMs = 0;
+  readonly emptyDiskStarts: EmptyDiskStart[] = [];
+
+  constructor(options: FaultInjectorOptions) {
+    this.#options = options;
+  }
+
+  /** Runs a plan whose times count from now; ends after its last fault. */
+  async run(plan: faultPlans.FaultPlan): Promise<void> {
+    const startMs = Date.now();
+    for (const { atMs, fault } of plan) {
+      await sleeps.sleep(Math.max(0, startMs + atMs - Date.now()));
+      const completion = this.#applyFault(fault);
+      if (hasDiskLoss(fault)) await completion;
+      else this.#pendingFaults.push(completion);
+    }
+    await Promise.all(this.#pendingFaults);
+  }
+
+  /** When the first box was started after all lost power, in wall ms. */
+  getPowerRestoredMs(): number {
+    return this.#powerRestoredMs;
+  }
+
+  async #applyFault(fault: faultPlans.Fault): Promise<void> {
+    switch (fault.kind) {
+      case "loseDisk":
+        return await this.#wipeDisk(fault);
+      case "restart":
+        return await this.#restartStore(fault);
+      case "restartInTransfer":
+        return await this.#restartInTransfer(fault);
+      case "pause":
+        return await this.#pauseStore(fault);
+      case "replace":
+        return await this.#swapStore(fault);
+      case "retire":
+        return await this.#retireStore(fault);
+      case "addStore":
+        return this.#addStore();
+      case "rollEntries":
+        return await this.#rollEntries();
+      case "loseAll":
+        return await this.#restartAll(fault);
+    }
+  }
+
+  async #wipeDisk(
+    { store, downMs }: Extract<faultPlans.Fault, { kind: "loseDisk" }>,
+  ): Promise<void> {
+    await this.#awaitCatchUp();
+    const box = this.#selectStore(store);
+    this.#options.printProgress(`${box.name} loses its disk`);
+    await this.#options.fleet.kill(box);
+    this.#options.fleet.removeDisk(box);
+    await sleeps.sleep(downMs);
+    this.#options.fleet.start(box);
+    this.#recordEmptyStart(box);
+  }
+
+  async #restartStore(
+    { store, downMs }: Extract<faultPlans.Fault, { kind: "restart" }>,
+  ): Promise<void> {
+    const { fleet, printProgress: printProgress, catchUpMs } = this.#options;
+    const box = this.#selectStore(store);
+    if (!fleet.isRunning(box)) return;
+    printProgress(`${box.name} is killed and starts again`);
+    this.#deferNextLoss(downMs + catchUpMs);
+    await fleet.kill(box);
+    await sleeps.sleep(downMs);
+    // It may have been emptied and removed meanwhile.
+    if (fleet.listStores().includes(box)) fleet.start(box);
+  }
+
+  async #restartInTransfer(
+    fault: Extract<faultPlans.Fault, { kind: "restartInTransfer" }>,
+  ): Promise<void> {
+    const { fleet, storeLogs: storeLogs, printProgress: printProgress } =
+      this.#options;
+    const box = this.#selectStore(fault.store);
+    const startMs = Date.now();
+    while (!storeLogs.hasSnapshotTransfer(fleet.listStores(), box, startMs)) {
+      if (Date.now() > startMs + TRANSFER_TIMEOUT_MS) {
+        return printProgress(`no snapshot is sent to ${box.name}`);
+      }
+      await sleeps.sleep(POLL_INTERVAL_MS);
+    }
+    await sleeps.sleep(fault.afterMs);
+    const store: faultPlans.StoreSelector = {
+      kind: "index",
+      index: fleet.listStores().indexOf(box),
+    };
+    await this.#restartStore({ kind: "restart", store, downMs: fault.downMs });
+  }
+
+  async #pauseStore(
+    { store, pauseMs }: Extract<faultPlans.Fault, { kind: "pause" }>,
+  ): Promise<void> {
+    const { fleet, printProgress: printProgress, catchUpMs } = this.#options;
+    const box = this.#selectStore(store);
+    if (!fleet.isRunning(box)) return;
+    printProgress(`${box.name} stands still for ${pauseMs} ms`);
+    this.#deferNextLoss(pauseMs + catchUpMs);
+    fleet.suspend(box);
+    await sleeps.sleep(pauseMs);
+    if (fleet.listStores().includes(box)) fleet.resume(box);
+  }
+
+  async #swapStore(
+    { store, afterMs }: Extract<faultPlans.Fault, { kind: "replace" }>,
+  ): Promise<void> {
+    await this.#awaitCatchUp();
+    const { fleet, printProgress: printProgress } = this.#options;
+    const box = this.#selectStore(store);
+    printProgress(`${box.name} leaves for good`);
+    await fleet.removeStore(box);
+    await sleeps.sleep(afterMs);
+    const replacement = fleet.addStore(box);
+    printProgress(`${replacement.name} comes in its place`);
+    this.#recordEmptyStart(replacement);
+  }
+
+  async #retireStore(
+    { store }: Extract<faultPlans.Fault, { kind: "retire" }>,
+  ): Promise<void> {
+    await this.#awaitCatchUp();
+    const { fleet, printProgress: printProgress, operator } = this.#options;
+    const box = this.#selectStore(store);
+    if (fleet.listStores().length < 4) return;
+    printProgress(`${box.name} is to be emptied`);
+    const isRetired = await operator.retire(
+      box.name,
+      Date.now() + RETIRE_TIMEOUT_MS,
+    );
+    printProgress(
+      `${box.name} ${isRetired ? "is emptied and removed" : "stays"}`,
+    );
+    if (isRetired) await fleet.removeStore(box);
+  }
+
+  #addStore(): void {
+    const [first] = this.#options.fleet.listStores();
+    if (first === undefined) return;
+    const box = this.#options.fleet.addStore(first);
+    this.#options.printProgress(`${box.name} comes in addition`);
+    this.#diskCreatedMs.set(box.name, Date.now());
+  }
+
+  async #rollEntries(): Promise<void> {
+    const { fleet, printProgress: printProgress } = this.#options;
+    printProgress("the entry boxes are restarted in turn");
+    for (const box of fleet.entries) {
+      if (!fleet.isRunning(box)) continue;
+      await fleet.stop(box, STOP_GRACE_MS);
+      fleet.start(box);
+    }
+  }
+
+  async #restartAll(
+    { store, downMs }: Extract<faultPlans.Fault, { kind: "loseAll" }>,
+  ): Promise<void> {
+    await Promise.all(this.#pendingFaults);
+    await this.#awaitCatchUp();
+    const { fleet, printProgress: printProgress, operator, startSpreadMs } =
+      this.#options;
+    const isAcknowledged = await operator.putConfiguration(
+      Date.now() + CONFIGURATION_TIMEOUT_MS,
+    );
+    const box = this.#selectStore(store);
+    printProgress(
+      `all boxes lose power, ${box.name} its disk; configuration ${
+        isAcknowledged ? "acknowledged" : "not acknowledged"
+      }`,
+    );
+    await fleet.killAll();
+    fleet.removeDisk(box);
+    await sleeps.sleep(downMs);
+    this.#powerRestoredMs = Date.now();
+    const boxes = fleet.listBoxes();
+    const startIntervalMs = startSpreadMs / boxes.length;
+    for (const other of boxes) {
+      fleet.start(other);
+      await sleeps.sleep(startIntervalMs);
+    }
+    this.#recordEmptyStart(box);
+  }
+
+  /** Waits until the box that was emptied last had its time to catch up. */
+  async #awaitCatchUp(): Promise<void> {
+    for (;;) {
+      const remainingMs = this.#earliestLossMs - Date.now();
+      if (remainingMs <= 0) return;
+      await sleeps.sleep(remainingMs);
+    }
+  }
+
+  /** No disk is lost while another box is away, nor soon after. */
+  #deferNextLoss(delayMs: number): void {
+    this.#earliestLossMs = Math.max(this.#earliestLossMs, Date.now() + delayMs);
+  }
+
+  #recordEmptyStart(box: layouts.SoakBox): void {
+    const startMs = Date.now();
+    this.emptyDiskStarts.push({ box, startMs });
+    this.#diskCreatedMs.set(box.name, startMs);
+    this.#deferNextLoss(this.#options.catchUpMs);
+  }
+
+  #selectStore(selector: faultPlans.StoreSelector): layouts.SoakBox {
+    const stores = this.#options.fleet.listStores();
+    const found = this.#findStore(selector, stores) ?? stores[0];
+    if (found === undefined) throw new Error("Cannot choose a store: none is");
+    return found;
+  }
+
+  #findStore(
+    selector: faultPlans.StoreSelector,
+    stores: readonly layouts.SoakBox[],
+  ): layouts.SoakBox | undefined {
+    const { storeLogs: storeLogs } = this.#options;
+    switch (selector.kind) {
+      case "index":
+        return stores[selector.index % stores.length];
+      case "leader":
+        return storeLogs.findLeader(stores, 0);
+      case "spare": {
+        const voters = storeLogs.listVoters(stores);
+        return stores.find((store) => !voters.includes(store.address));
+      }
+      case "newest":
+        return this.#sortByDiskAge(stores).at(-1);
+      case "oldest":
+        return this.#sortByDiskAge(stores)[0];
+    }
+  }
+
+  #sortByDiskAge(
+    stores: readonly layouts.SoakBox[],
+  ): readonly layouts.SoakBox[] {
+    return stores.toSorted((a, b) =>
+      (this.#diskCreatedMs.get(a.name) ?? 0) -
+      (this.#diskCreatedMs.get(b.name) ?? 0)
+    );
+  }
+}
+
+function hasDiskLoss(fault: faultPlans.Fault): boolean {
+  switch (fault.kind) {
+    case "loseDisk":
+    case "replace":
+    case "retire":
+    case "loseAll":
+      return true;
+    case "restart":
+    case "restartInTransfer":
+    case "pause":
+    case "addStore":
+    case "rollEntries":
+      return false;
+  }
+}
--- a/tools/soak/day_plan_test.ts
+++ b/tools/soak/fault_plan_test.ts
@@ -1,24 +1,24 @@
 import * as chai from "chai";
-import * as dayPlans from "./day_plan.ts";
+import * as faultPlans from "./fault_plan.ts";
 
 const SEEDS = Array.from({ length: 200 }, (_, index) => index);
 
 describe("plans of a soak's days", () => {
   it("are the same for the same seed", () => {
     for (const seed of SEEDS) {
-      chai.expect(dayPlans.createPlan(seed)).to.deep.equal(
-        dayPlans.createPlan(seed),
+      chai.expect(faultPlans.createPlan(seed)).to.deep.equal(
+        faultPlans.createPlan(seed),
       );
     }
     const texts = SEEDS.map((seed) =>
-      JSON.stringify(dayPlans.createPlan(seed))
+      JSON.stringify(faultPlans.createPlan(seed))
     );
     chai.expect(new Set(texts).size).to.equal(SEEDS.length);
   });
 
   it("end with the power of all boxes lost, and lose it once", () => {
     for (const seed of SEEDS) {
-      const kinds = dayPlans.createPlan(seed).map(({ fault }) => fault.kind);
+      const kinds = faultPlans.createPlan(seed).map(({ fault }) => fault.kind);
       chai.expect(kinds.at(-1)).to.equal("loseAll");
       chai.expect(kinds.filter((kind) => kind === "loseAll").length).to.equal(
         1,
--- a/tools/soak/fleet_layout.ts
+++ b/tools/soak/fleet_layout.ts
@@ -25,25 +25,25 @@
   "pamplemousses",
   "triolet",
 ];
-const ENTRY_BOXES = 8;
-const SEEDS = 3;
+const ENTRY_BOX_COUNT = 8;
+const SEED_COUNT = 3;
 
 function createBox(
-  net: number,
+  firstSubnet: number,
   index: number,
   kind: "entry" | "store",
 ): SoakBox {
-  const domain = index % FAILURE_DOMAINS.length;
-  const number = Math.floor(index / FAILURE_DOMAINS.length) + 1;
-  const failureDomain = FAILURE_DOMAINS[domain] ?? "";
+  const domainIndex = index % FAILURE_DOMAINS.length;
+  const ordinal = Math.floor(index / FAILURE_DOMAINS.length) + 1;
+  const failureDomain = FAILURE_DOMAINS[domainIndex] ?? "";
   const isEntry = kind === "entry";
-  const base = isEntry ? 9 : 49;
+  const hostOffset = isEntry ? 9 : 49;
   return {
-    name: `${kind}-${failureDomain}-${number}`,
-    address: `127.77.${net + domain}.${base + number}`,
+    name: `${kind}-${failureDomain}-${ordinal}`,
+    address: `127.77.${firstSubnet + domainIndex}.${hostOffset + ordinal}`,
     failureDomain,
     isEntry,
-    hasDisk: !isEntry || number === 1,
+    hasDisk: !isEntry || ordinal === 1,
   };
 }
 
@@ -51,23 +51,23 @@
  * Lists the entry boxes: one with a disk and one without in each failure
  * domain.
  *
- * @param net First of the four third numbers of the addresses.
+ * @param firstSubnet First of the four third numbers of the addresses.
  */
-export function listEntryBoxes(net: number): readonly SoakBox[] {
+export function listEntryBoxes(firstSubnet: number): readonly SoakBox[] {
   return Array.from(
-    { length: ENTRY_BOXES },
-    (_, index) => createBox(net, index, "entry"),
+    { length: ENTRY_BOX_COUNT },
+    (_, index) => createBox(firstSubnet, index, "entry"),
   );
 }
 
 /**
  * Creates a store box.
  *
- * @param net First of the four third numbers of the addresses.
+ * @param firstSubnet First of the four third numbers of the addresses.
  * @param index From 0; four in a row stand in four failure domains.
  */
-export function createStore(net: number, index: number): SoakBox {
-  return createBox(net, index, "store");
+export function createStoreBox(firstSubnet: number, index: number): SoakBox {
+  return createBox(firstSubnet, index, "store");
 }
 
 /**
@@ -99,7 +99,7 @@
     box: { name, address, failureDomain, region: "mu-north" },
     roles: { entry: isEntry, store: !isEntry },
     listen: { ...listen, peerPort: PORTS.peer, metrics: PORTS.metrics },
-    seeds: entries.slice(0, SEEDS).map((entry) =>
+    seeds: entries.slice(0, SEED_COUNT).map((entry) =>
       `${entry.address}:${PORTS.control}`
     ),
     isFirstStart,
--- a/tools/soak/run_soak.ts
+++ b/tools/soak/run_soak.ts
@@ -10,7 +10,7 @@
 import * as os from "node:os";
 import * as path from "node:path";
 import yargs from "yargs";
-import * as soakDays from "./soak_day.ts";
+import * as scenarios from "./soak_scenario.ts";
 
 const options = await yargs(process.argv.slice(2))
   .scriptName("soak")
@@ -87,28 +87,28 @@
   process.once(signal, () => process.exit(1));
 }
 
-let bad = 0;
+let failedCount = 0;
 for (let seed = options.seed; seed < options.seed + options.seeds; seed += 1) {
   const base = options.folder ?? path.join(os.tmpdir(), "hoistscale-soak");
   const folder = path.join(base, `seed-${seed}-${options.net}`);
   fs.rmSync(folder, { recursive: true, force: true });
-  const report = await soakDays.runDay({
+  const report = await scenarios.runScenario({
     seed,
     folder,
-    net: options.net,
+    firstSubnet: options.net,
     planFile: options.plan,
-    share: options.share,
-    warmMs: options.warmS * 1_000,
-    everyMs: options.everyMs,
+    cpuShare: options.share,
+    warmUpMs: options.warmS * 1_000,
+    intervalMs: options.everyMs,
     eventBytes: options.eventBytes,
     catchUpMs: options.catchUpMs,
     startSpreadMs: options.spreadMs,
-    slowStartMs: options.slowStartMs,
-    boundMs: options.boundS * 1_000,
+    maxStartDelayMs: options.slowStartMs,
+    recoveryTimeoutMs: options.boundS * 1_000,
   });
   console.log(JSON.stringify(report));
-  if (!report.isGood) bad += 1;
+  if (!report.isGood) failedCount += 1;
   else if (!options.keep) fs.rmSync(folder, { recursive: true, force: true });
 }
-console.log(`soak: ${options.seeds} days, ${bad} bad`);
-process.exit(bad === 0 ? 0 : 1);
+console.log(`soak: ${options.seeds} days, ${failedCount} bad`);
+process.exit(failedCount === 0 ? 0 : 1);
