--- a/tools/soak/soak_fleet.ts
+++ b/tools/soak/soak_fleet.ts
@@ -4,42 +4,42 @@
 import * as children from "../deployment/child.ts";
 import * as sleeps from "../stand_ins/sleep.ts";
 import * as layouts from "./fleet_layout.ts";
-import type * as brakes from "./process_brake.ts";
+import type * as throttles from "./cpu_throttle.ts";
 
-const PROGRAM = "target/hoistscale.cjs";
+const PROGRAM_FILE = "target/hoistscale.cjs";
 /** The heap of a box whose process may take 400 MB. */
 const NODE_OPTIONS = ["--max-old-space-size=140", "--max-semi-space-size=4"];
-const INITIAL_STORES = 4;
+const INITIAL_STORE_COUNT = 4;
 
 /** What a fleet is made of. */
 export interface SoakFleetOptions {
   readonly folder: string;
   /** First of the four third numbers of the addresses. */
-  readonly net: number;
-  readonly brake: brakes.ProcessBrake;
+  readonly firstSubnet: number;
+  readonly throttle: throttles.CpuThrottle;
   /** Longest time that a new process stands still first, in ms. */
-  readonly slowStartMs: number;
+  readonly maxStartDelayMs: number;
 }
 
 /** Boxes as processes, with the disks that outlive them. */
 export class SoakFleet {
   readonly #options: SoakFleetOptions;
-  readonly #running = new Map<string, children.Child>();
+  readonly #processes = new Map<string, children.Child>();
   readonly entries: readonly layouts.SoakBox[];
   #stores: readonly layouts.SoakBox[];
-  #storeCount = INITIAL_STORES;
+  #storeCount = INITIAL_STORE_COUNT;
   /** Processes that were told to end. */
-  readonly #endedByPlan = new WeakSet<children.Child>();
-  readonly #failures: string[] = [];
-  #starts = 0;
+  readonly #expectedExits = new WeakSet<children.Child>();
+  readonly #unexpectedExits: string[] = [];
+  #startCount = 0;
   #isFirstStart = true;
 
   constructor(options: SoakFleetOptions) {
     this.#options = options;
-    this.entries = layouts.listEntryBoxes(options.net);
+    this.entries = layouts.listEntryBoxes(options.firstSubnet);
     this.#stores = Array.from(
-      { length: INITIAL_STORES },
-      (_, index) => layouts.createStore(options.net, index),
+      { length: INITIAL_STORE_COUNT },
+      (_, index) => layouts.createStoreBox(options.firstSubnet, index),
     );
     fs.mkdirSync(options.folder, { recursive: true });
   }
@@ -53,8 +53,8 @@
   }
 
   isRunning(box: layouts.SoakBox): boolean {
-    return this.#running.get(box.name)?.getEnd() === undefined &&
-      this.#running.has(box.name);
+    return this.#processes.get(box.name)?.getEnd() === undefined &&
+      this.#processes.has(box.name);
   }
 
   /** Ends the time in which processes take their disks for empty ones. */
@@ -78,45 +78,46 @@
     const child = new children.Child({
       name: box.name,
       command: process.execPath,
-      args: [...NODE_OPTIONS, PROGRAM, "serve", "--settings", file],
+      args: [...NODE_OPTIONS, PROGRAM_FILE, "serve", "--settings", file],
       logFolder: this.#options.folder,
     });
-    this.#running.set(box.name, child);
-    void this.#watchEnd(child);
-    void this.#beginSlowly(child);
+    this.#processes.set(box.name, child);
+    void this.#recordExit(child);
+    void this.#deferStart(child);
   }
 
   /** Processes take unequal times to start on a machine that is busy. */
-  async #beginSlowly(child: children.Child): Promise<void> {
-    this.#starts += 1;
-    const share = zlib.crc32(`${child.name} ${this.#starts}`) % 1_000 / 1_000;
-    const delayMs = this.#options.slowStartMs * share;
+  async #deferStart(child: children.Child): Promise<void> {
+    this.#startCount += 1;
+    const delayShare = zlib.crc32(`${child.name} ${this.#startCount}`) % 1_000 /
+      1_000;
+    const delayMs = this.#options.maxStartDelayMs * delayShare;
     if (delayMs > 0) {
       child.kill("SIGSTOP");
       await sleeps.sleep(delayMs);
       child.kill("SIGCONT");
     }
-    this.#options.brake.limit(child);
+    this.#options.throttle.limit(child);
   }
 
   /** Names boxes whose processes ended by themselves. */
-  listFailures(): readonly string[] {
-    return this.#failures;
+  listUnexpectedExits(): readonly string[] {
+    return this.#unexpectedExits;
   }
 
   async kill(box: layouts.SoakBox): Promise<void> {
-    await this.#kill([this.#get(box)]);
+    await this.#killProcesses([this.#getProcess(box)]);
   }
 
   /** Kills all boxes at once. */
   async killAll(): Promise<void> {
-    await this.#kill([...this.#running.values()]);
+    await this.#killProcesses([...this.#processes.values()]);
   }
 
   /** Stops a box as planned: SIGTERM, and SIGKILL after a time. */
   async stop(box: layouts.SoakBox, graceMs: number): Promise<void> {
-    const child = this.#get(box);
-    this.#endedByPlan.add(child);
+    const child = this.#getProcess(box);
+    this.#expectedExits.add(child);
     const timer = setTimeout(() => child.kill("SIGKILL"), graceMs);
     child.kill("SIGTERM");
     await child.ended;
@@ -124,14 +125,14 @@
   }
 
   /** Holds a box still, as a machine that stalls. */
-  keepStill(box: layouts.SoakBox): void {
-    this.#options.brake.release(this.#get(box));
-    this.#get(box).kill("SIGSTOP");
+  suspend(box: layouts.SoakBox): void {
+    this.#options.throttle.release(this.#getProcess(box));
+    this.#getProcess(box).kill("SIGSTOP");
   }
 
   resume(box: layouts.SoakBox): void {
-    this.#get(box).kill("SIGCONT");
-    this.#options.brake.limit(this.#get(box));
+    this.#getProcess(box).kill("SIGCONT");
+    this.#options.throttle.limit(this.#getProcess(box));
   }
 
   /** Loses the disk of a box that does not run. */
@@ -143,35 +144,40 @@
   async removeStore(box: layouts.SoakBox): Promise<void> {
     await this.kill(box);
     this.removeDisk(box);
-    this.#running.delete(box.name);
+    this.#processes.delete(box.name);
     this.#stores = this.#stores.filter((store) => store !== box);
   }
 
   /** Adds an empty store box in the failure domain of another one. */
-  addStore(like: layouts.SoakBox): layouts.SoakBox {
+  addStore(neighbor: layouts.SoakBox): layouts.SoakBox {
     for (;;) {
-      const store = layouts.createStore(this.#options.net, this.#storeCount);
+      const store = layouts.createStoreBox(
+        this.#options.firstSubnet,
+        this.#storeCount,
+      );
       this.#storeCount += 1;
-      if (store.failureDomain !== like.failureDomain) continue;
+      if (store.failureDomain !== neighbor.failureDomain) continue;
       this.#stores = [...this.#stores, store];
       this.start(store);
       return store;
     }
   }
 
-  #kill(ending: readonly children.Child[]): Promise<void> {
-    for (const child of ending) this.#endedByPlan.add(child);
-    return children.stopChildren(ending);
+  #killProcesses(processes: readonly children.Child[]): Promise<void> {
+    for (const child of processes) this.#expectedExits.add(child);
+    return children.stopChildren(processes);
   }
 
-  async #watchEnd(child: children.Child): Promise<void> {
+  async #recordExit(child: children.Child): Promise<void> {
     const { code, signal } = await child.ended;
-    if (this.#endedByPlan.has(child)) return;
-    this.#failures.push(`${child.name}: ended by itself, ${code ?? signal}`);
+    if (this.#expectedExits.has(child)) return;
+    this.#unexpectedExits.push(
+      `${child.name}: ended by itself, ${code ?? signal}`,
+    );
   }
 
-  #get(box: layouts.SoakBox): children.Child {
-    const child = this.#running.get(box.name);
+  #getProcess(box: layouts.SoakBox): children.Child {
+    const child = this.#processes.get(box.name);
     if (child === undefined) {
       throw new Error(`Cannot find the process of ${box.name}: none runs`);
     }
--- a/tools/soak/soak_operator.ts
+++ b/tools/soak/soak_operator.ts
@@ -1,10 +1,10 @@
-import * as engineServices from "./engine_service.ts";
+import * as standInServers from "./stand_in_servers.ts";
 import * as clients from "./soak_client.ts";
 
 const OK = 200;
 
 function createConfiguration(version: number): object {
-  const shared = { host: clients.HOST, attempts: 3 };
+  const shared = { host: clients.ROUTE_HOST, attempts: 3 };
   return {
     version,
     routes: [
@@ -15,7 +15,7 @@
         kind: "idempotent",
         timeout_ms: 5_000,
         target_latency_ms: 1_000,
-        service: engineServices.SCORER_SERVICE,
+        service: standInServers.SCORER_SERVICE,
       },
       {
         ...shared,
@@ -26,15 +26,15 @@
         target_latency_ms: 400,
         target_completion_ms: 20_000,
         keep_s: 90,
-        service: engineServices.ENGINE_SERVICE,
+        service: standInServers.ENGINE_SERVICE,
       },
     ],
     services: [
       {
-        name: engineServices.ENGINE_SERVICE,
-        engine: { models: [{ name: engineServices.MODEL }] },
+        name: standInServers.ENGINE_SERVICE,
+        engine: { models: [{ name: standInServers.MODEL }] },
       },
-      { name: engineServices.SCORER_SERVICE },
+      { name: standInServers.SCORER_SERVICE },
     ],
     limits: {
       header_bytes: 16_384,
@@ -55,41 +55,41 @@
   }
 
   /** Puts the next configuration; tells whether it was acknowledged. */
-  async putConfiguration(endMs: number): Promise<boolean> {
+  async putConfiguration(deadlineMs: number): Promise<boolean> {
     this.#version += 1;
-    const answer = await this.#client.askUntil(
+    const answer = await this.#client.sendUntil(
       {
         kind: "control",
         method: "POST",
         path: "/Configuration.Replace",
         json: createConfiguration(this.#version),
       },
-      endMs,
+      deadlineMs,
       [OK],
     );
     return answer !== undefined;
   }
 
   /** Has a store box emptied; tells whether that was told as completed. */
-  async retire(box: string, endMs: number): Promise<boolean> {
-    const asked = await this.#client.askUntil(
+  async retire(box: string, deadlineMs: number): Promise<boolean> {
+    const started = await this.#client.sendUntil(
       {
         kind: "control",
         method: "POST",
         path: `/Retire.Start/${box}`,
         json: { duration_s: 10 },
       },
-      endMs,
+      deadlineMs,
       [OK],
     );
-    if (asked === undefined) return false;
-    while (Date.now() < endMs) {
-      const read = await this.#client.askUntil(
+    if (started === undefined) return false;
+    while (Date.now() < deadlineMs) {
+      const status = await this.#client.sendUntil(
         { kind: "control", method: "GET", path: `/Retire.Read/${box}` },
-        endMs,
+        deadlineMs,
         [OK],
       );
-      const { state } = (read?.json ?? {}) as { readonly state?: string };
+      const { state } = (status?.json ?? {}) as { readonly state?: string };
       if (state === "completed") return true;
     }
     return false;
--- a/tools/soak/soak_trainer.ts
+++ b/tools/soak/soak_trainer.ts
@@ -1,11 +1,11 @@
 import * as crypto from "node:crypto";
 import * as sleeps from "../stand_ins/sleep.ts";
-import * as engineServices from "./engine_service.ts";
+import * as standInServers from "./stand_in_servers.ts";
 import type * as clients from "./soak_client.ts";
 
 /** Shape of the load. */
 export interface TrainerLoad {
-  readonly everyMs: number;
+  readonly intervalMs: number;
   readonly groups: number;
   readonly itemsPerGroup: number;
   readonly bodyBytes: number;
@@ -14,7 +14,7 @@
 }
 
 /** An accepted submission and what was read of it. */
-interface KeptSubmission {
+interface AcceptedSubmission {
   readonly id: string;
   readonly items: number;
   /** One a position; they never change. */
@@ -35,9 +35,9 @@
   readonly results: readonly { readonly state: string }[];
 }
 
-const ACCEPT_MS = 15_000;
-const RUN_MS = 25_000;
-const READ_PAUSE_MS = 400;
+const REQUEST_TIMEOUT_MS = 15_000;
+const READ_TIMEOUT_MS = 25_000;
+const READ_INTERVAL_MS = 400;
 const OK = 200;
 const ACCEPTED = 202;
 
@@ -49,10 +49,10 @@
 export class SoakTrainer {
   readonly #client: clients.SoakClient;
   readonly #load: TrainerLoad;
-  readonly #kept: KeptSubmission[] = [];
+  readonly #submissions: AcceptedSubmission[] = [];
   readonly #faults: string[] = [];
   readonly #body: string;
-  #step = 0;
+  #nextStep = 0;
   #isStopped = false;
 
   constructor(client: clients.SoakClient, load: TrainerLoad) {
@@ -67,9 +67,9 @@
   async run(): Promise<void> {
     let dueMs = Date.now();
     while (!this.#isStopped) {
-      void this.#follow(this.#step);
-      this.#step += 1;
-      dueMs += this.#load.everyMs;
+      void this.#runSubmission(this.#nextStep);
+      this.#nextStep += 1;
+      dueMs += this.#load.intervalMs;
       await sleeps.sleep(Math.max(0, dueMs - Date.now()));
     }
   }
@@ -79,61 +79,69 @@
   }
 
   /** Reads all that was accepted from its start, until a time. */
-  async judge(endMs: number): Promise<TrainerVerdict> {
-    const read = await Promise.all(
-      this.#kept.map((kept) => this.#judgeOne(kept, endMs)),
+  async verifyResults(deadlineMs: number): Promise<TrainerVerdict> {
+    const faults = await Promise.all(
+      this.#submissions.map((submission) =>
+        this.#verifySubmission(submission, deadlineMs)
+      ),
     );
     return {
-      accepted: this.#kept.length,
-      results: this.#kept.reduce((sum, kept) => sum + kept.digests.length, 0),
-      faults: [...this.#faults, ...read.flat()],
+      accepted: this.#submissions.length,
+      results: this.#submissions.reduce(
+        (sum, submission) => sum + submission.digests.length,
+        0,
+      ),
+      faults: [...this.#faults, ...faults.flat()],
     };
   }
 
-  async #follow(step: number): Promise<void> {
+  async #runSubmission(step: number): Promise<void> {
     const id = `sub-${step}-${crypto.randomUUID()}`;
-    const answer = await this.#client.askUntil(
+    const answer = await this.#client.sendUntil(
       this.#createSubmission(id, step),
-      Date.now() + ACCEPT_MS,
+      Date.now() + REQUEST_TIMEOUT_MS,
       [ACCEPTED],
     );
     if (answer === undefined) return;
     const { groups, itemsPerGroup } = this.#load;
-    const kept: KeptSubmission = {
+    const submission: AcceptedSubmission = {
       id,
       items: groups * itemsPerGroup,
       digests: [],
       isEnded: false,
     };
-    this.#kept.push(kept);
-    await this.#readOn(kept);
-    if (!this.#isStopped) await this.#end(kept);
+    this.#submissions.push(submission);
+    await this.#readResults(submission);
+    if (!this.#isStopped) await this.#endSubmission(submission);
   }
 
-  async #readOn(kept: KeptSubmission): Promise<void> {
-    const endMs = Date.now() + RUN_MS;
-    const wanted = this.#load.desired * this.#load.itemsPerGroup;
-    while (Date.now() < endMs && !this.#isStopped) {
-      const page = await this.#read(kept.id, kept.digests.length);
+  async #readResults(submission: AcceptedSubmission): Promise<void> {
+    const deadlineMs = Date.now() + READ_TIMEOUT_MS;
+    const desiredResults = this.#load.desired * this.#load.itemsPerGroup;
+    while (Date.now() < deadlineMs && !this.#isStopped) {
+      const page = await this.#readPage(
+        submission.id,
+        submission.digests.length,
+      );
       for (const result of page?.results ?? []) {
-        kept.digests.push(computeDigest(result));
+        submission.digests.push(computeDigest(result));
       }
-      if (kept.digests.length >= wanted) return;
-      await sleeps.sleep(READ_PAUSE_MS);
+      if (submission.digests.length >= desiredResults) return;
+      await sleeps.sleep(READ_INTERVAL_MS);
     }
   }
 
-  async #end(kept: KeptSubmission): Promise<void> {
-    const ended = await this.#client.askUntil(
-      { kind: "caller", method: "DELETE", path: `/lots/${kept.id}` },
-      Date.now() + ACCEPT_MS,
+  async #endSubmission(submission: AcceptedSubmission): Promise<void> {
+    const answer = await this.#client.sendUntil(
+      { kind: "caller", method: "DELETE", path: `/lots/${submission.id}` },
+      Date.now() + REQUEST_TIMEOUT_MS,
       [OK],
     );
-    kept.isEnded = ended !== undefined;
+    submission.isEnded = answer !== undefined;
   }
 
-  async #read(id: string, after: number): Promise<ResultPage | undefined> {
-    const answer = await this.#client.ask({
+  async #readPage(id: string, after: number): Promise<ResultPage | undefined> {
+    const answer = await this.#client.send({
       kind: "caller",
       method: "GET",
       path: `/lots/${id}?after_revision=${after}`,
@@ -142,39 +150,45 @@
     return answer?.status === OK ? answer.json as ResultPage : undefined;
   }
 
-  async #judgeOne(
-    kept: KeptSubmission,
-    endMs: number,
+  async #verifySubmission(
+    submission: AcceptedSubmission,
+    deadlineMs: number,
   ): Promise<readonly string[]> {
     const digests: string[] = [];
-    while (digests.length < kept.digests.length || digests.length === 0) {
-      if (Date.now() > endMs) {
-        return [`${kept.id}: read ${digests.length} of ${kept.digests.length}`];
+    while (digests.length < submission.digests.length || digests.length === 0) {
+      if (Date.now() > deadlineMs) {
+        return [
+          `${submission.id}: read ${digests.length} of ${submission.digests.length}`,
+        ];
+      }
+      const page = await this.#readPage(submission.id, digests.length);
+      if (page === undefined) await sleeps.sleep(READ_INTERVAL_MS);
+      else if (page.results.length === 0 && submission.digests.length === 0) {
+        break;
       }
-      const page = await this.#read(kept.id, digests.length);
-      if (page === undefined) await sleeps.sleep(READ_PAUSE_MS);
-      else if (page.results.length === 0 && kept.digests.length === 0) break;
       for (const result of page?.results ?? []) {
         digests.push(computeDigest(result));
       }
     }
-    const changed = kept.digests.findIndex((digest, at) =>
-      digests[at] !== digest
+    const changedIndex = submission.digests.findIndex((digest, index) =>
+      digests[index] !== digest
     );
-    return changed < 0 ? [] : [`${kept.id}: result ${changed} is another one`];
+    return changedIndex < 0
+      ? []
+      : [`${submission.id}: result ${changedIndex} is another one`];
   }
 
-  #createSubmission(id: string, step: number): clients.EntryCall {
+  #createSubmission(id: string, step: number): clients.EntryRequest {
     const { groups, itemsPerGroup, desired } = this.#load;
-    const items = Array.from({ length: groups * itemsPerGroup }, (_, at) => {
-      const item = `${id}.${at}`;
+    const items = Array.from({ length: groups * itemsPerGroup }, (_, index) => {
+      const item = `${id}.${index}`;
       return {
         id: item,
         path: "/steps/run",
-        headers: { "X-Model": engineServices.MODEL },
+        headers: { "X-Model": standInServers.MODEL },
         body: this.#body,
         tokens: 900,
-        group: `g${Math.floor(at / itemsPerGroup)}`,
+        group: `g${Math.floor(index / itemsPerGroup)}`,
         scoring_endpoint: {
           id: `score-${item}`,
           host: "a.example",
@@ -190,7 +204,7 @@
       headers: { "x-request-id": id },
       json: {
         step,
-        model: engineServices.MODEL,
+        model: standInServers.MODEL,
         minimum_version: 1,
         desired,
         items,
--- a/tools/soak/engine_service.ts
+++ b/tools/soak/stand_in_servers.ts
@@ -9,35 +9,35 @@
 export const SCORER_SERVICE = "cellar-app";
 export const MODEL = "m0";
 
-const HEARTBEAT_MS = 1_000;
+const HEARTBEAT_INTERVAL_MS = 1_000;
 const HEARTBEAT_TIMEOUT_MS = 1_000;
 const OK_STATUS = 200;
 const ACCEPTED_STATUS = 202;
 const FIRST_PORT = 9_300;
 
 /** What the servers are. */
-export interface EngineServiceOptions {
+export interface StandInServersOptions {
   /** First of the four third numbers of the addresses. */
-  readonly net: number;
+  readonly firstSubnet: number;
   readonly engines: number;
   readonly slots: number;
   readonly eventsPerItem: number;
   readonly eventBytes: number;
   /** Longest time of an item; they differ, as its results must not come at once. */
-  readonly runMs: number;
+  readonly maxRunMs: number;
   readonly entries: readonly layouts.SoakBox[];
 }
 
 /** Engines and a scorer that speak the platform's protocol. */
-export class EngineService {
-  readonly #options: EngineServiceOptions;
+export class StandInServers {
+  readonly #options: StandInServersOptions;
   readonly #servers: http.Server[] = [];
-  readonly #text: string;
+  readonly #eventPayload: string;
   #isStopped = false;
 
-  constructor(options: EngineServiceOptions) {
+  constructor(options: StandInServersOptions) {
     this.#options = options;
-    this.#text = "x".repeat(options.eventBytes);
+    this.#eventPayload = "x".repeat(options.eventBytes);
   }
 
   async start(): Promise<void> {
@@ -56,12 +56,13 @@
   }
 
   async #startServer(index: number, isScorer: boolean): Promise<void> {
-    const address = `127.77.${this.#options.net}.200`;
+    const address = `127.77.${this.#options.firstSubnet}.200`;
     const port = FIRST_PORT + index;
     const server = await jsonServers.startServer(
       address,
       port,
-      (request) => isScorer ? answerScore(request) : this.#answer(request),
+      (request) =>
+        isScorer ? answerScore(request) : this.#handleRequest(request),
     );
     this.#servers.push(server);
     void this.#runHeartbeats(`i-${index}`, `${address}:${port}`, isScorer);
@@ -78,7 +79,7 @@
       const models = isScorer
         ? []
         : [{ name: MODEL, version: 1, adapters: [] }];
-      const sent = fetch(
+      const request = fetch(
         `http://${entry?.address}:${layouts.PORTS.control}/Instances.Heartbeat/${id}`,
         {
           method: "POST",
@@ -96,25 +97,25 @@
         },
       ).then((answer) => answer.arrayBuffer());
       // A heartbeat that is lost is followed by the next one, elsewhere.
-      const isTaken = await sent.then(() => true, () => false);
-      if (isTaken) await sleeps.sleep(HEARTBEAT_MS);
+      const isAccepted = await request.then(() => true, () => false);
+      if (isAccepted) await sleeps.sleep(HEARTBEAT_INTERVAL_MS);
     }
   }
 
-  async #answer(request: jsonServers.StandInRequest): Promise<void> {
+  async #handleRequest(request: jsonServers.StandInRequest): Promise<void> {
     const { path, response } = request;
     if (path === "/report") return answerReport(response);
     if (path === "/order") {
       return jsonServers.answerJson(response, ACCEPTED_STATUS, {});
     }
-    await this.#stream(request);
+    await this.#streamEvents(request);
   }
 
-  async #stream(request: jsonServers.StandInRequest): Promise<void> {
+  async #streamEvents(request: jsonServers.StandInRequest): Promise<void> {
     const { headers, response } = request;
-    const { eventsPerItem, runMs } = this.#options;
+    const { eventsPerItem, maxRunMs: maxRunMs } = this.#options;
     const id = String(headers["x-request-id"]);
-    const eventMs = computeShare(id) * runMs / eventsPerItem;
+    const eventMs = computeRunShare(id) * maxRunMs / eventsPerItem;
     const after = Number(headers["last-event-id"] ?? 0);
     response.writeHead(OK_STATUS, {
       "x-server-stamp": `stamp-${id}`,
@@ -123,7 +124,9 @@
     });
     for (let event = after + 1; event <= eventsPerItem; event += 1) {
       if (response.destroyed) return;
-      response.write(`id: ${event}\ndata: ${id}.${event}.${this.#text}\n\n`);
+      response.write(
+        `id: ${event}\ndata: ${id}.${event}.${this.#eventPayload}\n\n`,
+      );
       await sleeps.sleep(eventMs);
     }
     response.end();
@@ -131,7 +134,7 @@
 }
 
 /** A share between 0.2 and 1 that depends on the id alone. */
-function computeShare(id: string): number {
+function computeRunShare(id: string): number {
   const sum = zlib.crc32(id) % 1_000;
   return 0.2 + 0.8 * sum / 1_000;
 }
--- a/tools/soak/store_watch.ts
+++ b/tools/soak/store_log_reader.ts
@@ -20,7 +20,7 @@
 }
 
 /** Reads what the store boxes write about their replicas of the stores. */
-export class StoreWatch {
+export class StoreLogReader {
   readonly #folder: string;
 
   constructor(folder: string) {
@@ -28,7 +28,7 @@
   }
 
   /** Lines of a box about the stores since a time of the wall clock. */
-  listLines(box: layouts.SoakBox, sinceMs: number): readonly LogLine[] {
+  readLines(box: layouts.SoakBox, sinceMs: number): readonly LogLine[] {
     const file = path.join(this.#folder, `${box.name}.log`);
     if (!fs.existsSync(file)) return [];
     return fs.readFileSync(file, "utf8").split("\n")
@@ -43,14 +43,14 @@
     sinceMs: number,
   ): layouts.SoakBox | undefined {
     return boxes.find((box) =>
-      this.#findLast(box, "replica.authority", sinceMs)
+      this.#findLastFields(box, "replica.authority", sinceMs)
         ?.get("hasAuthority") === "true"
     );
   }
 
   /** The voters' addresses, as the newest line about them tells. */
   listVoters(boxes: readonly layouts.SoakBox[]): readonly string[] {
-    const newest = boxes.flatMap((box) => this.listLines(box, 0))
+    const newest = boxes.flatMap((box) => this.readLines(box, 0))
       .filter((line) => line.event === "replica.voters")
       .toSorted((a, b) => a.atMs - b.atMs).at(-1);
     return (newest?.fields.get("voters") ?? "").split(",");
@@ -58,30 +58,30 @@
 
   /** The line of a box's admission after it was started, if there is one. */
   findAdmission(box: layouts.SoakBox, startMs: number): LogLine | undefined {
-    return this.listLines(box, startMs)
+    return this.readLines(box, startMs)
       .find((line) => line.event === "replica.admitted");
   }
 
   /** Whether a snapshot began to be sent to a box since a time. */
-  hasTransfer(
+  hasSnapshotTransfer(
     boxes: readonly layouts.SoakBox[],
-    to: layouts.SoakBox,
+    receiver: layouts.SoakBox,
     sinceMs: number,
   ): boolean {
     return boxes.some((box) =>
-      this.listLines(box, sinceMs).some((line) =>
+      this.readLines(box, sinceMs).some((line) =>
         line.event === "replica.snapshotSent" &&
-        line.fields.get("to") === to.address
+        line.fields.get("to") === receiver.address
       )
     );
   }
 
-  #findLast(
+  #findLastFields(
     box: layouts.SoakBox,
     event: string,
     sinceMs: number,
   ): ReadonlyMap<string, string> | undefined {
-    return this.listLines(box, sinceMs).findLast((line) => line.event === event)
+    return this.readLines(box, sinceMs).findLast((line) => line.event === event)
       ?.fields;
   }
 }
