--- a/tools/bench/bench_load.ts
+++ b/tools/bench/bench_load.ts
@@ -9,17 +9,18 @@
 const WAITING_COUNTS = [10, 100, 500] as const;
 const ROUNDS = 2_000;
 const US_PER_MS = 1_000;
-const SLOTS = 6;
+const SLOTS_PER_SERVER = 6;
 
-/** A row of the table of load patterns. */
+/** Outcome of a load pattern, as printed; shares are per request. */
 interface LoadRow {
   readonly pattern: string;
+  /** Whether the replay weighs the load of the backend servers. */
   readonly weighed: boolean;
   readonly inTarget: string;
   readonly served: string;
   readonly refusedTwice: string;
   readonly attempts: string;
-  /** Longest time for which a request was held and then refused, in ms. */
+  /** Longest time that a request waited before it was refused, in ms. */
   readonly longestRefusalMs: number;
 }
 
@@ -51,13 +52,13 @@
   return outcomes.reduce((total, outcome) => total + outcome[field], 0);
 }
 
-function measureUs(action: () => void): number {
+function measureMeanUs(action: () => void): number {
   const startMs = performance.now();
   for (let round = 0; round < ROUNDS; round += 1) action();
   return (performance.now() - startMs) * US_PER_MS / ROUNDS;
 }
 
-/** Time to choose a server among so many, in us. */
+/** Measures the time to choose among `count` backend servers, in us. */
 function measureChoice(count: number): number {
   const clock = new clocks.FakeClock(0);
   const servers = Array.from(
@@ -65,7 +66,7 @@
     (_, index) =>
       serverFixtures.createServer(`s${index}`, {
         service: "app",
-        slots: SLOTS,
+        slots: SLOTS_PER_SERVER,
       }),
   );
   const choice: forwarding.ServerChoiceOptions = {
@@ -77,16 +78,16 @@
     failureDomain: "d",
     draw: Math.random,
   };
-  return measureUs(() => forwarding.chooseServer(choice));
+  return measureMeanUs(() => forwarding.chooseServer(choice));
 }
 
-/** Time to let one request wait and to give one its turn, in us. */
-function measureTurn(count: number): number {
-  const line = new admission.AdmissionQueue();
+/** Measures the time to dequeue and enqueue a request among `count`, in us. */
+function measureQueueTurn(count: number): number {
+  const queue = new admission.AdmissionQueue();
   let nowMs = 0;
   function enterNext(): void {
     nowMs += 1;
-    line.enqueue({
+    queue.enqueue({
       id: `${nowMs}`,
       priority: nowMs % 3,
       targetAtMs: nowMs + 100,
@@ -94,14 +95,17 @@
     }, nowMs);
   }
   for (let index = 0; index < count; index += 1) enterNext();
-  return measureUs(() => {
-    line.recordFreedSlot(nowMs);
-    line.dequeue(nowMs);
+  return measureMeanUs(() => {
+    queue.recordFreedSlot(nowMs);
+    queue.dequeue(nowMs);
     enterNext();
   });
 }
 
-/** Replays the worst loads with and without weighing them, and times decisions. */
+/**
+ * Replays the load patterns with and without weighing load, and measures the
+ * time of a server choice and of a queue operation.
+ */
 export async function benchLoad(): Promise<void> {
   const rows: LoadRow[] = [];
   for (const pattern of loadReplays.LOAD_PATTERNS) {
@@ -111,7 +115,7 @@
   console.table(rows);
   const costs = {
     choiceUs: SERVER_COUNTS.map((count) => [count, measureChoice(count)]),
-    turnUs: WAITING_COUNTS.map((count) => [count, measureTurn(count)]),
+    turnUs: WAITING_COUNTS.map((count) => [count, measureQueueTurn(count)]),
   };
   console.log(JSON.stringify({ bench: "load", rows, ...costs }));
 }
--- a/tools/bench/http_load.ts
+++ b/tools/bench/http_load.ts
@@ -1,7 +1,7 @@
 import * as http from "node:http";
 import * as hdr from "hdr-histogram-js";
 
-/** Where load goes. */
+/** Target of a load: a GET request that is repeated. */
 export interface LoadTarget {
   readonly address: string;
   readonly port: number;
@@ -9,25 +9,27 @@
   readonly headers: Readonly<Record<string, string>>;
 }
 
-/** What a load brought. */
+/** Result of a load run. */
 export interface LoadResult {
+  /** Requests answered with 200. */
   readonly answered: number;
   readonly failed: number;
+  /** Throughput, in answered requests a second. */
   readonly perSecond: number;
   readonly p50Ms: number;
   readonly p99Ms: number;
   readonly p999Ms: number;
 }
 
-const MICROSECONDS = 1_000;
-const MAX_US = 60_000_000;
+const US_PER_MS = 1_000;
+const MAX_LATENCY_US = 60_000_000;
 
-/** Sends requests to one target over kept connections. */
+/** Sends requests to one target over keep-alive connections. */
 class LoadRun {
   readonly #target: LoadTarget;
   readonly #agent: http.Agent;
   readonly #histogram = hdr.build({
-    highestTrackableValue: MAX_US,
+    highestTrackableValue: MAX_LATENCY_US,
     numberOfSignificantValueDigits: 3,
   });
   #failed = 0;
@@ -41,7 +43,7 @@
     });
   }
 
-  /** Sends one request; its latency counts from when it was due. */
+  /** Sends one request; its latency is measured from `dueMs`. */
   send(dueMs: number): Promise<void> {
     const { address, port, path, headers } = this.#target;
     return new Promise((resolve) => {
@@ -54,7 +56,7 @@
       }, (answer) => {
         answer.resume();
         answer.on("end", () => {
-          if (answer.statusCode === 200) this.#record(dueMs);
+          if (answer.statusCode === 200) this.#recordLatency(dueMs);
           else this.#failed += 1;
           resolve();
         });
@@ -67,39 +69,40 @@
     });
   }
 
-  end(seconds: number): LoadResult {
+  /** Closes the connections and returns the result of a run of `seconds`. */
+  finish(seconds: number): LoadResult {
     this.#agent.destroy();
     const answered = this.#histogram.totalCount;
     return {
       answered,
       failed: this.#failed,
       perSecond: Math.round(answered / seconds),
-      p50Ms: this.#getMs(50),
-      p99Ms: this.#getMs(99),
-      p999Ms: this.#getMs(99.9),
+      p50Ms: this.#getLatencyMs(50),
+      p99Ms: this.#getLatencyMs(99),
+      p999Ms: this.#getLatencyMs(99.9),
     };
   }
 
-  #record(dueMs: number): void {
-    const tookUs = Math.max(
+  #recordLatency(dueMs: number): void {
+    const latencyUs = Math.max(
       1,
-      Math.round((performance.now() - dueMs) * MICROSECONDS),
+      Math.round((performance.now() - dueMs) * US_PER_MS),
     );
-    this.#histogram.recordValue(Math.min(MAX_US, tookUs));
+    this.#histogram.recordValue(Math.min(MAX_LATENCY_US, latencyUs));
   }
 
-  #getMs(percentile: number): number {
-    return this.#histogram.getValueAtPercentile(percentile) / MICROSECONDS;
+  #getLatencyMs(percentile: number): number {
+    return this.#histogram.getValueAtPercentile(percentile) / US_PER_MS;
   }
 }
 
 /**
- * Sends as fast as answers come, with a fixed number of requests under way.
+ * Runs a closed loop: a fixed number of requests is always in flight.
  *
- * @param target Where to.
- * @param concurrency Requests under way.
- * @param seconds How long.
- * @returns What came back.
+ * @param target Target of the requests.
+ * @param concurrency Number of requests in flight.
+ * @param seconds Duration, in s.
+ * @returns Counts, throughput and latencies.
  */
 export async function runClosedLoop(
   target: LoadTarget,
@@ -113,17 +116,18 @@
     while (performance.now() < endMs) await run.send(performance.now());
   }
   await Promise.all(Array.from({ length: concurrency }, sendUntilEnd));
-  return run.end((performance.now() - startMs) / 1_000);
+  return run.finish((performance.now() - startMs) / 1_000);
 }
 
 /**
- * Sends on a fixed schedule whatever the answers do, so that slow answers are
- * not left out of the figures.
+ * Runs an open loop: requests are sent on a fixed schedule, so that slow
+ * answers do not delay later requests and hide their latency (coordinated
+ * omission).
  *
- * @param target Where to.
- * @param perSecond Requests a second.
- * @param seconds How long.
- * @returns What came back, latency counted from when each was due.
+ * @param target Target of the requests.
+ * @param perSecond Rate, in requests a second.
+ * @param seconds Duration, in s.
+ * @returns Counts, throughput and latencies, measured from the scheduled times.
  */
 export async function runOpenLoop(
   target: LoadTarget,
@@ -134,17 +138,17 @@
   const startMs = performance.now();
   const total = Math.floor(perSecond * seconds);
   const running: Promise<void>[] = [];
-  let sent = 0;
-  while (sent < total) {
-    const due = Math.min(
+  let sentCount = 0;
+  while (sentCount < total) {
+    const dueCount = Math.min(
       total,
       Math.floor((performance.now() - startMs) * perSecond / 1_000) + 1,
     );
-    for (; sent < due; sent += 1) {
-      running.push(run.send(startMs + sent * 1_000 / perSecond));
+    for (; sentCount < dueCount; sentCount += 1) {
+      running.push(run.send(startMs + sentCount * 1_000 / perSecond));
     }
     await new Promise((resolve) => setTimeout(resolve, 1));
   }
   await Promise.all(running);
-  return run.end(seconds);
+  return run.finish(seconds);
 }
--- a/tools/demo/verify_ledgers.ts
+++ b/tools/demo/verify_ledgers.ts
@@ -7,7 +7,7 @@
 
 /** Settings of the run that determine the expected answer lengths. */
 export interface VerificationOptions {
-  readonly lengths: answerLengths.LengthShape;
+  readonly lengths: answerLengths.LengthDistribution;
   /** Maximum tokens of a sample. */
   readonly sampleTokens: number;
   /** Maximum tokens of a caller's completion. */
--- a/tools/deployment/topology.ts
+++ b/tools/deployment/topology.ts
@@ -12,7 +12,7 @@
 }
 
 /** An entry box of a deployment. */
-export interface DeployedBox extends addressBooks.KnownAddress {
+export interface DeployedBox extends addressBooks.ServiceAddress {
   readonly failureDomain: string;
   /** Whether the box runs a replica of the replicated log. */
   readonly hasState: boolean;
--- a/tools/stand_ins/engine_core.ts
+++ b/tools/stand_ins/engine_core.ts
@@ -3,54 +3,67 @@
 import * as cacheLogs from "./cache_log.ts";
 import type * as ledgers from "./ledger.ts";
 
-/** How an engine is made to lie, for tests of the counting. */
+/**
+ * Fault that an engine injects into its answers, so that tests can prove that
+ * the checks of the ledgers detect it.
+ */
 export type Misbehaviour = "none" | "falseVersion" | "dropToken" | "swapPrompt";
 
-/** What an engine is. */
+/** Settings of a simulated inference engine. */
 export interface EngineSettings {
   readonly id: string;
-  /** Unique among the engines; token ids are made from it. */
+  /** Unique among the engines; keeps the token ids of engines apart. */
   readonly index: number;
   readonly slots: number;
-  /** Time of one decoding step, in ms. */
+  /** Duration of a decoding step on an idle engine, in ms. */
   readonly stepMs: number;
-  readonly lengths: answerLengths.LengthShape;
+  readonly lengths: answerLengths.LengthDistribution;
+  /** Weight version that is loaded at the start, by model. */
   readonly models: Readonly<Record<string, number>>;
   readonly misbehaviour: Misbehaviour;
-  /** Prompts whose prefill is kept. */
+  /** Capacity of the prefix cache, in prefixes. */
   readonly cachedPrompts: number;
 }
 
-/** A request in an engine. */
+/** A completion request that is queued or running in an engine. */
 export interface Generation {
   readonly prompt: string;
   readonly model: string;
   readonly priority: number;
+  /** Length of the whole answer, in tokens. */
   readonly length: number;
   readonly response: http.ServerResponse;
+  /** Tokens generated so far, with those of an earlier run that it resumes. */
   position: number;
+  /** Prefill steps left before the first token. */
   prefillSteps: number;
   segment: ledgers.SegmentEntry | undefined;
+  /** Orders requests of the same priority. */
   arrival: number;
 }
 
-const TOKENS_A_SEGMENT = 100_000;
-const SEGMENTS_AN_ENGINE = 10_000_000;
-const PREFILL_CHARACTERS_A_STEP = 64;
+const TOKEN_IDS_PER_SEGMENT = 100_000;
+const SEGMENTS_PER_ENGINE = 10_000_000;
+const PREFILL_CHARACTERS_PER_STEP = 64;
 const PREFIX_CHARACTERS = 32;
-const LOAD_SLOWDOWN = 0.5;
+/** Share by which a decoding step takes longer when every slot is in use. */
+const FULL_LOAD_SLOWDOWN = 0.5;
 
-/** Continuous batching: each step gives every active request one token. */
+/**
+ * Simulates continuous batching: each decoding step generates one token for
+ * every active request. Each segment of tokens is written to the ledger before
+ * the first of them is sent.
+ */
 export class EngineCore {
   readonly settings: EngineSettings;
   readonly #ledger: ledgers.LedgerWriter;
   readonly #versions: Map<string, number>;
-  readonly #prefixes = new Map<string, true>();
+  readonly #cachedPrefixes = new Map<string, true>();
   #active: Generation[] = [];
   #queued: Generation[] = [];
   #segmentCount = Math.floor(Date.now() / 1_000) % 100_000 * 50;
   readonly #cacheLog = new cacheLogs.CacheLog();
-  #arrivals = 0;
+  #arrivalCount = 0;
   #isSwapping = false;
   #role = "mixed";
 
@@ -60,10 +73,10 @@
     this.#versions = new Map(Object.entries(settings.models));
   }
 
-  /** Starts the decoding steps; runs until the process ends. */
+  /** Schedules decoding steps until the process ends. */
   start(): void {
     const load = this.#active.length / this.settings.slots;
-    const stepMs = this.settings.stepMs * (1 + load * LOAD_SLOWDOWN);
+    const stepMs = this.settings.stepMs * (1 + load * FULL_LOAD_SLOWDOWN);
     setTimeout(() => {
       if (!this.#isSwapping) this.#runStep();
       this.start();
@@ -81,8 +94,8 @@
     };
   }
 
-  /** Cache events that are told by now. */
-  listCacheEvents(after: number): readonly cacheLogs.ToldEvent[] {
+  /** Lists the reported cache events with a sequence above `after`. */
+  listCacheEvents(after: number): readonly cacheLogs.CacheEvent[] {
     return this.#cacheLog.list(after);
   }
 
@@ -90,7 +103,10 @@
     return this.#versions.get(model);
   }
 
-  /** Adds a request; it waits for a slot, highest priority first. */
+  /**
+   * Queues a request for a slot: highest priority first, then in order of
+   * arrival. The request is dropped when its connection closes.
+   */
   add(
     request:
       & Pick<
@@ -105,13 +121,13 @@
       maxTokens,
       this.settings.lengths,
     );
-    this.#arrivals += 1;
+    this.#arrivalCount += 1;
     const generation: Generation = {
       ...rest,
       length,
-      prefillSteps: this.#countPrefill(request.prompt),
+      prefillSteps: this.#countPrefillSteps(request.prompt),
       segment: undefined,
-      arrival: this.#arrivals,
+      arrival: this.#arrivalCount,
     };
     this.#queued.push(generation);
     this.#queued.sort((a, b) =>
@@ -120,8 +136,8 @@
     request.response.once("close", () => this.#remove(generation));
   }
 
-  /** Stops decoding for a while, then serves another version. */
-  async swap(
+  /** Pauses decoding for `swapMs`, then serves the given weight version. */
+  async swapWeights(
     model: string,
     weightVersion: number,
     swapMs: number,
@@ -132,7 +148,7 @@
     this.#isSwapping = false;
   }
 
-  /** Takes a role; callers of the engine honour it. */
+  /** Sets the role that the status reports; it is not enforced here. */
   setRole(role: string): void {
     this.#role = role;
   }
@@ -141,19 +157,22 @@
     return this.#isSwapping;
   }
 
-  #countPrefill(prompt: string): number {
+  #countPrefillSteps(prompt: string): number {
     const prefix = prompt.slice(0, PREFIX_CHARACTERS);
-    const isCached = this.#prefixes.delete(prefix);
-    this.#prefixes.set(prefix, true);
-    const oldest = this.#prefixes.keys().next().value;
+    const isCached = this.#cachedPrefixes.delete(prefix);
+    this.#cachedPrefixes.set(prefix, true);
+    const oldest = this.#cachedPrefixes.keys().next().value;
     if (!isCached) this.#cacheLog.add("stored", prefix);
     if (
-      this.#prefixes.size > this.settings.cachedPrompts && oldest !== undefined
+      this.#cachedPrefixes.size > this.settings.cachedPrompts &&
+      oldest !== undefined
     ) {
-      this.#prefixes.delete(oldest);
+      this.#cachedPrefixes.delete(oldest);
       this.#cacheLog.add("evicted", oldest);
     }
-    return isCached ? 0 : Math.ceil(prompt.length / PREFILL_CHARACTERS_A_STEP);
+    return isCached
+      ? 0
+      : Math.ceil(prompt.length / PREFILL_CHARACTERS_PER_STEP);
   }
 
   #remove(generation: Generation): void {
@@ -191,8 +210,10 @@
 
   #getSegment(generation: Generation): ledgers.SegmentEntry {
     const weightVersion = this.#versions.get(generation.model) ?? 0;
-    const old = generation.segment;
-    if (old !== undefined && old.weightVersion === weightVersion) return old;
+    const previous = generation.segment;
+    if (previous !== undefined && previous.weightVersion === weightVersion) {
+      return previous;
+    }
     this.#segmentCount += 1;
     const segment: ledgers.SegmentEntry = {
       kind: "segment",
@@ -202,13 +223,13 @@
         : generation.prompt,
       model: generation.model,
       firstToken:
-        (this.settings.index * SEGMENTS_AN_ENGINE + this.#segmentCount) *
-        TOKENS_A_SEGMENT,
+        (this.settings.index * SEGMENTS_PER_ENGINE + this.#segmentCount) *
+        TOKEN_IDS_PER_SEGMENT,
       firstPosition: generation.position,
       weightVersion,
       answerLength: generation.length,
       atMs: Date.now(),
-      isFirst: old === undefined,
+      isFirst: previous === undefined,
     };
     this.#ledger.add(segment);
     generation.segment = segment;
@@ -220,10 +241,10 @@
     tokenId: number,
     weightVersion: number,
   ): void {
-    const told = this.settings.misbehaviour === "falseVersion"
+    const reportedVersion = this.settings.misbehaviour === "falseVersion"
       ? weightVersion + 1
       : weightVersion;
-    writeEvent(generation.response, told, {
+    writeEvent(generation.response, reportedVersion, {
       text: ` t${tokenId}`,
       token_ids: [tokenId],
       finish_reason: null,
--- a/tools/stand_ins/run_plain_server.ts
+++ b/tools/stand_ins/run_plain_server.ts
@@ -2,24 +2,27 @@
 import * as jsonServers from "./json_server.ts";
 import * as ledgers from "./ledger.ts";
 
-/** What a plain server is told. */
+/** Settings of a plain server process, passed as JSON in its first argument. */
 export interface PlainServerSettings {
   readonly id: string;
   readonly address: string;
   readonly port: number;
   readonly ledgerFile: string;
-  /** Time of one call, in ms. */
+  /** Duration of a call, in ms. */
   readonly callMs: number;
   readonly slots: number;
 }
 
 const PAYLOAD = "vintage ".repeat(64);
 
-/** One plain server: stock lookups, and ledger syncs that count. */
+/**
+ * Serves stock lookups, which may be repeated, and ledger syncs, which must run
+ * once. Every call that runs is written to the ledger.
+ */
 class PlainServerProcess {
   readonly #settings: PlainServerSettings;
   readonly #ledger: ledgers.LedgerWriter;
-  readonly #born = Date.now();
+  readonly #startedAtMs = Date.now();
   #active = 0;
 
   constructor(settings: PlainServerSettings) {
@@ -32,14 +35,14 @@
     await jsonServers.startServer(
       address,
       port,
-      (request) => this.#answer(request),
+      (request) => this.#handleRequest(request),
     );
   }
 
-  async #answer(request: jsonServers.StandInRequest): Promise<void> {
+  async #handleRequest(request: jsonServers.StandInRequest): Promise<void> {
     if (request.path === "/v1/status") {
       return jsonServers.answerJson(request.response, 200, {
-        born: this.#born,
+        born: this.#startedAtMs,
         active: this.#active,
         queued: 0,
         slots: this.#settings.slots,
--- a/tools/stand_ins/run_platform.ts
+++ b/tools/stand_ins/run_platform.ts
@@ -1,13 +1,13 @@
 import * as jsonServers from "./json_server.ts";
 import * as sleeps from "./sleep.ts";
 
-/** What a platform service is told; each is a process of its own. */
+/** Settings of a platform service, passed as JSON in its first argument. */
 export type PlatformSettings =
   | {
     readonly kind: "boxList";
     readonly address: string;
     readonly port: number;
-    /** Age of what it tells, in ms. */
+    /** Delay before a change shows in the list, in ms. */
     readonly lagMs: number;
     readonly servers: readonly ListedServer[];
   }
@@ -16,14 +16,16 @@
     readonly address: string;
     readonly port: number;
     readonly models: Readonly<Record<string, number>>;
-    /** Downloads that it allows a second. */
+    /** Downloads allowed each second; others are answered with 429. */
     readonly downloadsPerSecond: number;
+    /** Duration of a download, in ms. */
     readonly downloadMs: number;
   }
   | {
     readonly kind: "scorer";
     readonly address: string;
     readonly port: number;
+    /** Time to score a sample, in ms. */
     readonly scoreMs: number;
   };
 
@@ -33,28 +35,30 @@
   readonly state: "live" | "leaving";
 }
 
-/** Entries that name no server to use. */
-const WRONG_ENTRIES = [
+/** Malformed or incomplete entries, which readers must skip. */
+const INVALID_ENTRIES = [
   { id: "w-1", service: "sommelier-lm", state: "live" },
   { id: "w-2", state: "resting", kind: 5 },
   "w-3",
   null,
 ];
 
-/** Tells servers late; `POST /boxes/ID` with a state changes one. */
+/**
+ * Serves the list of backend servers, with a delay. `POST /boxes/ID` sets the
+ * state of a server; the state `gone` removes it.
+ */
 async function runBoxList(
   settings: Extract<PlatformSettings, { kind: "boxList" }>,
 ): Promise<void> {
   let current = settings.servers;
-  let told = current;
+  let reported = current;
   await jsonServers.startServer(
     settings.address,
     settings.port,
     ({ method, path, json, response }) => {
       if (method === "GET") {
-        // Other writers' entries stand beside those of servers.
         return jsonServers.answerJson(response, 200, {
-          servers: [...told, ...WRONG_ENTRIES],
+          servers: [...reported, ...INVALID_ENTRIES],
         });
       }
       const id = path.split("/").at(-1);
@@ -65,23 +69,23 @@
             ? { ...server, state: json["state"] as "leaving" }
             : server
         );
-      const later = current;
+      const updated = current;
       setTimeout(() => {
-        told = later;
+        reported = updated;
       }, settings.lagMs);
       jsonServers.answerJson(response, 200, {});
     },
   );
 }
 
-/** Publishes versions and lets them be downloaded at a bounded rate. */
+/** Lists the latest weight versions and serves downloads up to a rate limit. */
 async function runWeightStore(
   settings: Extract<PlatformSettings, { kind: "weightStore" }>,
 ): Promise<void> {
   const latest = new Map(Object.entries(settings.models));
-  let allowance = settings.downloadsPerSecond;
+  let remainingDownloads = settings.downloadsPerSecond;
   setInterval(() => {
-    allowance = settings.downloadsPerSecond;
+    remainingDownloads = settings.downloadsPerSecond;
   }, 1_000);
   await jsonServers.startServer(
     settings.address,
@@ -102,15 +106,17 @@
         }));
         return jsonServers.answerJson(response, 200, { models });
       }
-      if (allowance <= 0) return jsonServers.answerJson(response, 429, {});
-      allowance -= 1;
+      if (remainingDownloads <= 0) {
+        return jsonServers.answerJson(response, 429, {});
+      }
+      remainingDownloads -= 1;
       await sleeps.sleep(settings.downloadMs);
       jsonServers.answerJson(response, 200, {});
     },
   );
 }
 
-/** Scores a sample by its length. */
+/** Scores samples: the shorter, the higher. */
 async function runScorer(
   settings: Extract<PlatformSettings, { kind: "scorer" }>,
 ): Promise<void> {
