--- a/src/routing/server_table_test.ts
+++ b/src/routing/server_table_test.ts
@@ -8,8 +8,19 @@
 import * as serverTables from "./server_table.ts";
 
 const POLL_MS = 100;
-/** Most waits of 1 ms for a poll to finish. */
-const MAX_POLL_WAITS = 500;
+
+/** Clock that counts the sleeps of the table under test. */
+class SleepCountingClock extends clocks.FakeClock {
+  sleeps = 0;
+
+  override startTimer(
+    delayMs: number,
+    action: () => void,
+  ): clocks.CancelTimer {
+    this.sleeps += 1;
+    return super.startTimer(delayMs, action);
+  }
+}
 
 /** Engine stub that reports a start time and serves its prefixes as events. */
 class FakeEngine {
@@ -61,7 +72,7 @@
   it("drops the prefixes of an engine that restarted", async () => {
     // Guards against a restart between two polls: the event sequence restarts at
     // 1, so reading on from the old position would miss the new events.
-    const clock = new clocks.FakeClock();
+    const clock = new SleepCountingClock();
     const servers = pair.map(({ server }, index): backends.BackendServer => ({
       id: `e-${index}`,
       service: "lm",
@@ -81,14 +92,16 @@
       seed: 1,
     });
 
+    /** Runs one round of polls, which ends when the table sleeps again. */
     async function poll(): Promise<void> {
       const before = pair.map(({ polls }) => polls);
+      const sleepsBefore = clock.sleeps;
       clock.advance(POLL_MS);
-      for (let wait = 0; wait < MAX_POLL_WAITS; wait += 1) {
+      while (clock.sleeps === sleepsBefore) {
         await new Promise((resolve) => setTimeout(resolve, 1));
-        if (pair.every(({ polls }, at) => polls > before[at]!)) break;
       }
-      await new Promise((resolve) => setTimeout(resolve, 10));
+      const polled = pair.map(({ polls }, at) => polls > before[at]!);
+      chai.expect(polled).to.deep.equal([true, true]);
     }
 
     /** Call once for each prompt: a choice records the prefix as held. */
