--- a/src/consensus/_append_window.ts
+++ b/src/consensus/_append_window.ts
@@ -1,4 +1,4 @@
-import * as authorities from "./leader_lease.ts";
+import * as leaderLeases from "./leader_lease.ts";
 import * as entrySizes from "./_entry_size.ts";
 import * as replicaLogs from "./replica_log.ts";
 import * as replicaStates from "./replica_state.ts";
@@ -133,7 +133,7 @@
 ): number {
   const { catchUpBatchEntries: feedEntries = INITIAL_CATCH_UP_BATCH } = before;
   const { getLeaseExpiryMs: getAuthorityUntilMs, NEVER_SUSPENDED } =
-    authorities;
+    leaderLeases;
   const remainingMs = getAuthorityUntilMs(state, nowMs, NEVER_SUSPENDED) -
     nowMs;
   const hasHeadroom =
--- a/src/consensus/_election.ts
+++ b/src/consensus/_election.ts
@@ -1,4 +1,4 @@
-import * as authorities from "./leader_lease.ts";
+import * as leaderLeases from "./leader_lease.ts";
 import * as electionDelays from "./_election_delay.ts";
 import * as formerLeaders from "./_former_leader.ts";
 import * as heartbeatGaps from "./_heartbeat_gap.ts";
@@ -166,10 +166,10 @@
   nowMs: number,
 ): boolean {
   if (state.role.kind === "leader") {
-    return nowMs < authorities.getLeaseExpiryMs(
+    return nowMs < leaderLeases.getLeaseExpiryMs(
       state,
       nowMs,
-      authorities.NEVER_SUSPENDED,
+      leaderLeases.NEVER_SUSPENDED,
     );
   }
   return nowMs < state.leaderContactAtMs + state.config.electionTimeoutMs;
--- a/src/consensus/_log_applier.ts
+++ b/src/consensus/_log_applier.ts
@@ -1,5 +1,5 @@
 import type * as proposalTables from "./_proposals.ts";
-import type * as machines from "./state_machine.ts";
+import type * as stateMachines from "./state_machine.ts";
 import type * as messages from "./message.ts";
 import type * as replicaLogs from "./replica_log.ts";
 import * as replicaSets from "./replica_set.ts";
@@ -9,14 +9,14 @@
  * index.
  */
 export class LogApplier {
-  readonly #machine: machines.StateMachine;
+  readonly #machine: stateMachines.StateMachine;
   readonly #proposals: proposalTables.ProposalTable;
   #appliedIndex: number;
   #appliedTerm: number;
 
   /** @param log The log whose snapshot the state machine was restored from. */
   constructor(
-    machine: machines.StateMachine,
+    machine: stateMachines.StateMachine,
     proposals: proposalTables.ProposalTable,
     log: replicaLogs.ReplicaLog,
   ) {
--- a/src/consensus/stalled_catch_up_test.ts
+++ b/src/consensus/stalled_catch_up_test.ts
@@ -23,7 +23,7 @@
     nextIndex: matchIndex + 1,
     matchIndex,
     lastAckedSentAtMs: NOW_MS,
-    lastProgressAtMs: lastProgressAtMs,
+    lastProgressAtMs,
     identity: UNADMITTED,
   };
 }
--- a/src/control/leader_duties.ts
+++ b/src/control/leader_duties.ts
@@ -1,4 +1,4 @@
-import type * as backends from "../backend_server/mod.ts";
+import type * as backendServers from "../backend_server/mod.ts";
 import * as boxList from "../box_list/mod.ts";
 import * as clocks from "../clock/mod.ts";
 import * as csp from "../csp/mod.ts";
@@ -185,7 +185,7 @@
   }
 
   async #readEngineView(
-    server: backends.BackendServer,
+    server: backendServers.BackendServer,
   ): Promise<weightRollouts.EngineView | undefined> {
     const report = await engines.readReport(server);
     if (report.kind === "failure") return undefined;
@@ -202,7 +202,7 @@
   }
 
   async #sendOrder(
-    server: backends.BackendServer,
+    server: backendServers.BackendServer,
     order: weightRollouts.PlannedOrder,
   ): Promise<void> {
     const {
--- a/src/control/leader_session.ts
+++ b/src/control/leader_session.ts
@@ -1,4 +1,4 @@
-import type * as backends from "../backend_server/mod.ts";
+import type * as backendServers from "../backend_server/mod.ts";
 import type * as clocks from "../clock/mod.ts";
 import * as csp from "../csp/mod.ts";
 import * as boxTables from "./box_table.ts";
@@ -18,7 +18,7 @@
   readonly #syncRecorded = new csp.Signal();
   readonly #onMembershipChange: () => void;
   #table: boxTables.BoxTable;
-  #servers: readonly backends.BackendServer[] | undefined;
+  #servers: readonly backendServers.BackendServer[] | undefined;
   #membership: protocols.Membership | undefined;
   #membershipChanges = 0;
 
@@ -41,7 +41,7 @@
   }
 
   /** Gets the backend servers from the last read of the box list. */
-  getServers(): readonly backends.BackendServer[] {
+  getServers(): readonly backendServers.BackendServer[] {
     return this.#servers ?? [];
   }
 
@@ -58,7 +58,7 @@
   }
 
   /** Sets the backend servers read from the box list. */
-  setServers(servers: readonly backends.BackendServer[]): void {
+  setServers(servers: readonly backendServers.BackendServer[]): void {
     this.#servers = servers;
     this.refresh();
   }
--- a/src/control/protocol.ts
+++ b/src/control/protocol.ts
@@ -1,5 +1,5 @@
 import type * as audit from "../audit_trail/mod.ts";
-import type * as backends from "../backend_server/mod.ts";
+import type * as backendServers from "../backend_server/mod.ts";
 import type * as accounts from "../client_account/mod.ts";
 import type * as consensus from "../consensus/mod.ts";
 import type * as models from "../model_version/mod.ts";
@@ -55,7 +55,7 @@
 export interface Membership {
   readonly version: string;
   readonly boxes: readonly BoxView[];
-  readonly servers: readonly backends.BackendServer[];
+  readonly servers: readonly backendServers.BackendServer[];
 }
 
 /** Reply of a replica that is not the leader. */
@@ -128,7 +128,7 @@
   readonly revision: number;
   readonly replica: consensus.ReplicaStatus;
   readonly boxes: readonly BoxStatus[];
-  readonly servers: readonly backends.BackendServer[];
+  readonly servers: readonly backendServers.BackendServer[];
   readonly models: readonly models.ModelVersion[];
-  readonly roles: readonly backends.RoleSetting[];
+  readonly roles: readonly backendServers.RoleSetting[];
 };
--- a/src/dispatch/describe_steps.ts
+++ b/src/dispatch/describe_steps.ts
@@ -62,7 +62,7 @@
   const steps = [...tasksByStep.values()].flatMap((items) =>
     describeStep(items, loadedIntervalMs, context)
   );
-  return { nowMs, capacity: capacity, steps };
+  return { nowMs, capacity, steps };
 }
 
 function describeStep(
--- a/src/fleet_daemon/entry_box.ts
+++ b/src/fleet_daemon/entry_box.ts
@@ -159,7 +159,7 @@
       minVoters: 2 * settings.lossesToBear + 1,
       snapshotEntries: CORE_SNAPSHOT_ENTRIES,
       seeds: settings.seeds.map((seed) => seed.address),
-      stateMachine: stateMachine,
+      stateMachine,
       canVote: boxComponents.isCoreBox,
       listRetiring: () => [],
     });
--- a/src/fleet_daemon/store_box.ts
+++ b/src/fleet_daemon/store_box.ts
@@ -60,7 +60,7 @@
       minVoters: voterCount,
       snapshotEntries: STORE_SNAPSHOT_ENTRIES,
       seeds: settings.seeds.map((seed) => seed.address),
-      stateMachine: stateMachine,
+      stateMachine,
       canVote: boxComponents.isStoreBox,
       listRetiring: () => stateMachine.listRetiring(),
     });
@@ -104,7 +104,7 @@
     new submissions.SubmissionService({
       ...this.#components,
       group: this.#group,
-      stateMachine: stateMachine,
+      stateMachine,
       id: settings.box.address,
       barrier,
       getFailureDomain: (id) => directory.get(id)?.failureDomain,
--- a/src/forwarding/_job_crash_guard.ts
+++ b/src/forwarding/_job_crash_guard.ts
@@ -177,7 +177,7 @@
     const { requestId, sender, service, target } = this.#job;
     return {
       digest: this.getDigest(),
-      requestId: requestId,
+      requestId,
       account: accounts.getAccountName(sender),
       service,
       target,
--- a/src/forwarding/crash_replay_test.ts
+++ b/src/forwarding/crash_replay_test.ts
@@ -1,5 +1,5 @@
 import * as chai from "chai";
-import * as crashReplays from "../fixtures/crash_simulation.ts";
+import * as crashSimulations from "../fixtures/crash_simulation.ts";
 import * as crashRecords from "../crash_record/mod.ts";
 
 const SEEDS = [1, 2] as const;
@@ -26,7 +26,7 @@
   0.2: crashRecords.MAX_CONSECUTIVE_CRASHES + 1,
 };
 
-const FEW: Omit<crashReplays.CrashPattern, "badShare"> = {
+const FEW: Omit<crashSimulations.CrashPattern, "badShare"> = {
   name: "three servers",
   servers: 3,
   boxes: 9,
@@ -34,7 +34,7 @@
   badWorks: 1,
   chanceEndsPerMin: 0,
 };
-const MANY: Omit<crashReplays.CrashPattern, "badShare"> = {
+const MANY: Omit<crashSimulations.CrashPattern, "badShare"> = {
   name: "twelve servers with unrelated crashes",
   servers: 12,
   boxes: 9,
@@ -44,7 +44,7 @@
 };
 
 function getShareInTarget(
-  { inTarget, good }: crashReplays.CrashOutcome,
+  { inTarget, good }: crashSimulations.CrashOutcome,
 ): number {
   return inTarget / good;
 }
@@ -54,11 +54,11 @@
     for (const badShare of [0.01, 0.05, 0.2]) {
       it(`is served and not held back: ${pattern.name}, ${badShare * 100} % crashing`, async () => {
         for (const seed of SEEDS) {
-          const baseline = await crashReplays.simulateCrashes(
+          const baseline = await crashSimulations.simulateCrashes(
             { ...pattern, badShare: 0 },
             seed,
           );
-          const outcome = await crashReplays.simulateCrashes(
+          const outcome = await crashSimulations.simulateCrashes(
             { ...pattern, badShare },
             seed,
           );
@@ -84,8 +84,8 @@
 
   it("loses its servers if crashing work is not identified", async () => {
     const pattern = { ...FEW, badShare: 0.05 };
-    const guarded = await crashReplays.simulateCrashes(pattern, 1);
-    const unguarded = await crashReplays.simulateCrashes(pattern, 1, false);
+    const guarded = await crashSimulations.simulateCrashes(pattern, 1);
+    const unguarded = await crashSimulations.simulateCrashes(pattern, 1, false);
     chai.expect(unguarded.maxCrashesPerTarget).to.be.greaterThan(
       3 * crashRecords.MAX_CONSECUTIVE_CRASHES,
     );
@@ -97,7 +97,7 @@
   it("is not held back if all crashes are unrelated to work", async () => {
     const pattern = { ...MANY, badShare: 0, chanceEndsPerMin: 60 };
     for (const seed of SEEDS) {
-      const { heldBack, ended } = await crashReplays.simulateCrashes(
+      const { heldBack, ended } = await crashSimulations.simulateCrashes(
         pattern,
         seed,
       );
--- a/src/forwarding/load_test.ts
+++ b/src/forwarding/load_test.ts
@@ -1,20 +1,24 @@
 import * as chai from "chai";
-import * as loadReplays from "../fixtures/load_simulation.ts";
+import * as loadSimulations from "../fixtures/load_simulation.ts";
 
 const SEED = 4;
 /** Tolerated difference between two replays, as a share of all callers. */
 const TOLERANCE = 0.02;
 
 describe("forwarding under load", () => {
-  for (const pattern of loadReplays.LOAD_PATTERNS) {
+  for (const pattern of loadSimulations.LOAD_PATTERNS) {
     it(`serves no fewer callers when load-aware: ${pattern.name}`, async () => {
-      const unawareOutcome = await loadReplays.simulateLoad(
+      const unawareOutcome = await loadSimulations.simulateLoad(
         pattern,
         SEED,
         false,
       );
-      const awareOutcome = await loadReplays.simulateLoad(pattern, SEED, true);
-      function getShares(outcome: loadReplays.LoadOutcome) {
+      const awareOutcome = await loadSimulations.simulateLoad(
+        pattern,
+        SEED,
+        true,
+      );
+      function getShares(outcome: loadSimulations.LoadOutcome) {
         return {
           inTarget: outcome.inTarget / outcome.asked,
           served: outcome.served / outcome.asked,
@@ -42,8 +46,8 @@
   it("avoids temporarily slow servers that report their slowness", async () => {
     // The mean duration alone follows such short slowdowns too late.
     const SLOWDOWN_MS = 600;
-    const pattern: loadReplays.LoadPattern = {
-      ...loadReplays.LOAD_PATTERNS[0]!,
+    const pattern: loadSimulations.LoadPattern = {
+      ...loadSimulations.LOAD_PATTERNS[0]!,
       name: "one of five servers slow at a time",
       servers: 5,
       slots: 6,
@@ -56,8 +60,16 @@
         Math.floor(atMs / SLOWDOWN_MS) % 5 === server ? 2.5 : 1,
     };
     const reporting = { ...pattern, tellsSlowness: true };
-    const withoutReports = await loadReplays.simulateLoad(pattern, SEED, true);
-    const withReports = await loadReplays.simulateLoad(reporting, SEED, true);
+    const withoutReports = await loadSimulations.simulateLoad(
+      pattern,
+      SEED,
+      true,
+    );
+    const withReports = await loadSimulations.simulateLoad(
+      reporting,
+      SEED,
+      true,
+    );
     const lateWithoutReports = 1 -
       withoutReports.inTarget / withoutReports.asked;
     const lateWithReports = 1 - withReports.inTarget / withReports.asked;
@@ -65,22 +77,26 @@
   });
 
   it("refuses no request below capacity", async () => {
-    const calm = loadReplays.LOAD_PATTERNS[0]!;
-    const outcome = await loadReplays.simulateLoad(calm, SEED, true);
+    const calm = loadSimulations.LOAD_PATTERNS[0]!;
+    const outcome = await loadSimulations.simulateLoad(calm, SEED, true);
     chai.expect(outcome.refusedOnce).to.equal(0);
     chai.expect(outcome.inTarget).to.be.at.least(outcome.asked * 0.99);
   });
 
   it("serves at least 1.5 times as many callers in time at twice the capacity, with at most half the attempts", async () => {
-    const overload = loadReplays.LOAD_PATTERNS.find(({ name }) =>
+    const overload = loadSimulations.LOAD_PATTERNS.find(({ name }) =>
       name === "twice the capacity"
     )!;
-    const unawareOutcome = await loadReplays.simulateLoad(
+    const unawareOutcome = await loadSimulations.simulateLoad(
       overload,
       SEED,
       false,
     );
-    const awareOutcome = await loadReplays.simulateLoad(overload, SEED, true);
+    const awareOutcome = await loadSimulations.simulateLoad(
+      overload,
+      SEED,
+      true,
+    );
     const gain = (awareOutcome.inTarget / awareOutcome.asked) /
       (unawareOutcome.inTarget / unawareOutcome.asked);
     chai.expect(gain).to.be.at.least(1.5);
--- a/src/http_server/http_listener.ts
+++ b/src/http_server/http_listener.ts
@@ -107,7 +107,7 @@
     });
     const {
       onHandlerError: onHandlerError = respondThrownError,
-      onResponseError: onResponseError,
+      onResponseError,
     } = this.#options;
     response.on("error", (error) => onResponseError?.(error));
     if (this.#isDraining) response.setHeader("connection", "close");
--- a/src/replica_group/replica_group.ts
+++ b/src/replica_group/replica_group.ts
@@ -235,7 +235,7 @@
       },
       clock,
       dataFolder,
-      stateMachine: stateMachine,
+      stateMachine,
       snapshotEntries,
       send: (to, message) =>
         peers.get(to).notify(this.#getMethod(), this.#wrapMessage(message)),
--- a/src/replica_group/simulated_store_test.ts
+++ b/src/replica_group/simulated_store_test.ts
@@ -165,7 +165,7 @@
       failureDomain: `of ${this.id}`,
       dataFolder: `${dataFolder}/${this.id}`,
       isFirstStart: false,
-      maxVoters: maxVoters,
+      maxVoters,
       minVoters: maxVoters,
       snapshotEntries,
       seeds: [],
--- a/src/replicated_state/command.ts
+++ b/src/replicated_state/command.ts
@@ -1,4 +1,4 @@
-import type * as backends from "../backend_server/mod.ts";
+import type * as backendServers from "../backend_server/mod.ts";
 import type * as claims from "../call_claim/mod.ts";
 import type * as steps from "../rollout_step/mod.ts";
 
@@ -45,7 +45,7 @@
   /** Revision that the change was made against; 0 if no role is set yet. */
   readonly baseRevision: number;
   readonly server: string;
-  readonly role: backends.ServerRole;
+  readonly role: backendServers.ServerRole;
 }
 
 /** Records a weight version that was found in the weight store. */
--- a/src/replicated_state/replicated_state.ts
+++ b/src/replicated_state/replicated_state.ts
@@ -1,6 +1,6 @@
 import * as immutable from "immutable";
 import type * as audit from "../audit_trail/mod.ts";
-import type * as backends from "../backend_server/mod.ts";
+import type * as backendServers from "../backend_server/mod.ts";
 import type * as claims from "../call_claim/mod.ts";
 import type * as accounts from "../client_account/mod.ts";
 import type * as models from "../model_version/mod.ts";
@@ -25,7 +25,7 @@
   /** Rollout templates, by account and name; see `formatTemplateKey`. */
   readonly templates: immutable.Map<string, templates.RolloutTemplate>;
   /** Roles of backend servers. */
-  readonly roles: immutable.Map<string, backends.RoleSetting>;
+  readonly roles: immutable.Map<string, backendServers.RoleSetting>;
   /** Newest weight version of each model, by model name. */
   readonly models: immutable.Map<string, models.ModelVersion>;
   /** Accepted changes, oldest first. */
--- a/src/routing/choose_server.ts
+++ b/src/routing/choose_server.ts
@@ -1,8 +1,8 @@
-import * as backends from "../backend_server/mod.ts";
+import * as backendServers from "../backend_server/mod.ts";
 
 /** A backend server and its load, as known to one box. */
 export interface Candidate {
-  readonly server: backends.BackendServer;
+  readonly server: backendServers.BackendServer;
   /** Number of requests that it serves concurrently. */
   readonly slots: number;
   /** Estimated requests at the server: those reported plus those sent since. */
@@ -12,7 +12,7 @@
   /** Whether it failed recently; used only if all eligible servers did. */
   readonly isSuspect: boolean;
   /** Role that the server reports. */
-  readonly role: backends.ServerRole;
+  readonly role: backendServers.ServerRole;
 }
 
 /** Requirements of a request on its server. */
@@ -21,7 +21,7 @@
   /** Model that must be loaded; undefined for services without models. */
   readonly model: string | undefined;
   /** Use of the request, matched against the server's role. */
-  readonly use: backends.ServerUse;
+  readonly use: backendServers.ServerUse;
   /** Minimum weight version of the model. */
   readonly minVersion: number;
   /** Ids of servers that have already been tried. */
@@ -42,7 +42,9 @@
     return false;
   }
   if (requirements.excluded.has(server.id)) return false;
-  if (!backends.canServeUse(candidate.role, requirements.use)) return false;
+  if (!backendServers.canServeUse(candidate.role, requirements.use)) {
+    return false;
+  }
   if (requirements.model === undefined) return true;
   const weightVersion = models.get(requirements.model);
   return weightVersion !== undefined &&
@@ -58,7 +60,7 @@
 function choosePrefixHolder(
   pool: readonly Candidate[],
   prefixHolders: ReadonlySet<string>,
-): backends.BackendServer | undefined {
+): backendServers.BackendServer | undefined {
   if (prefixHolders.size === 0) return undefined;
   const [best] = pool
     .filter((candidate) => prefixHolders.has(candidate.server.id))
@@ -87,7 +89,7 @@
   candidates: readonly Candidate[],
   requirements: RoutingRequirements,
   drawRandom: () => number,
-): backends.BackendServer | undefined {
+): backendServers.BackendServer | undefined {
   const eligible = candidates.filter((candidate) =>
     canServe(candidate, requirements)
   );
--- a/src/routing/server_table.ts
+++ b/src/routing/server_table.ts
@@ -1,7 +1,7 @@
 import * as generator from "pure-rand/generator/xoroshiro128plus";
 import * as uniform from "pure-rand/distribution/uniformFloat64";
 import type * as prand from "pure-rand/types/RandomGenerator";
-import type * as backends from "../backend_server/mod.ts";
+import type * as backendServers from "../backend_server/mod.ts";
 import * as clocks from "../clock/mod.ts";
 import type * as control from "../control/mod.ts";
 import * as csp from "../csp/mod.ts";
@@ -74,7 +74,7 @@
   /** Chooses a server for a request; undefined if none is eligible. */
   choose(
     requirements: chooseServer.RoutingRequirements,
-  ): backends.BackendServer | undefined {
+  ): backendServers.BackendServer | undefined {
     const { servers } = this.#options.client.getView().membership;
     const candidates = servers.map((server) => this.#createCandidate(server));
     return chooseServer.chooseServer(
@@ -88,7 +88,7 @@
   chooseForService(
     service: string,
     excluded: ReadonlySet<string>,
-  ): backends.BackendServer | undefined {
+  ): backendServers.BackendServer | undefined {
     return this.choose({
       service,
       model: undefined,
@@ -103,7 +103,7 @@
   chooseForPrompt(
     requirements: Omit<chooseServer.RoutingRequirements, "prefixHolders">,
     prompt: string,
-  ): backends.BackendServer | undefined {
+  ): backendServers.BackendServer | undefined {
     const prefix = engines.hashPrefix(prompt);
     const prefixHolders = this.#prefixes.findServers(prefix);
     const server = this.choose({
@@ -137,7 +137,9 @@
     return this.#records.get(id) ?? UNKNOWN_SERVER;
   }
 
-  #createCandidate(server: backends.BackendServer): chooseServer.Candidate {
+  #createCandidate(
+    server: backendServers.BackendServer,
+  ): chooseServer.Candidate {
     const record = this.#getRecord(server.id);
     const { report } = record;
     const reported = report === undefined ? 0 : report.active + report.queued;
@@ -169,13 +171,13 @@
     }
   }
 
-  async #pollServer(server: backends.BackendServer): Promise<void> {
+  async #pollServer(server: backendServers.BackendServer): Promise<void> {
     await this.#readReport(server);
     if (server.kind === "language") await this.#readCacheEvents(server);
   }
 
   /** Reads new cache events; a gap means that evictions may have been missed. */
-  async #readCacheEvents(server: backends.BackendServer): Promise<void> {
+  async #readCacheEvents(server: backendServers.BackendServer): Promise<void> {
     const { cacheSequence } = this.#getRecord(server.id);
     const read = await engines.readCacheEvents(server, cacheSequence);
     if (read.kind === "failure") return;
@@ -190,7 +192,7 @@
     this.#records.set(server.id, { ...record, cacheSequence: expected - 1 });
   }
 
-  async #readReport(server: backends.BackendServer): Promise<void> {
+  async #readReport(server: backendServers.BackendServer): Promise<void> {
     const read = await engines.readReport(server);
     const record = this.#getRecord(server.id);
     if (read.kind === "failure") {
--- a/src/routing/server_table_test.ts
+++ b/src/routing/server_table_test.ts
@@ -1,7 +1,7 @@
 import * as http from "node:http";
 import type * as net from "node:net";
 import * as chai from "chai";
-import type * as backends from "../backend_server/mod.ts";
+import type * as backendServers from "../backend_server/mod.ts";
 import * as clocks from "../clock/mod.ts";
 import type * as control from "../control/mod.ts";
 import * as engines from "../engine/mod.ts";
@@ -73,7 +73,10 @@
     // Guards against a restart between two polls: the event sequence restarts at
     // 1, so reading on from the old position would miss the new events.
     const clock = new SleepCountingClock();
-    const servers = pair.map(({ server }, index): backends.BackendServer => ({
+    const servers = pair.map((
+      { server },
+      index,
+    ): backendServers.BackendServer => ({
       id: `e-${index}`,
       service: "lm",
       kind: "language",
--- a/src/step_schedule/step_replay_test.ts
+++ b/src/step_schedule/step_replay_test.ts
@@ -1,6 +1,6 @@
 import * as chai from "chai";
 import type * as stepLoads from "../fixtures/step_load.ts";
-import * as stepReplays from "../fixtures/step_simulation.ts";
+import * as stepSimulations from "../fixtures/step_simulation.ts";
 import * as scheduleTypes from "./schedule_types.ts";
 
 /**
@@ -66,8 +66,8 @@
 
 function compare(load: stepLoads.StepLoad): readonly Comparison[] {
   return SEEDS.map((seed) => ({
-    baseline: stepReplays.simulateSteps(load, LATEST_START, seed),
-    current: stepReplays.simulateSteps(
+    baseline: stepSimulations.simulateSteps(load, LATEST_START, seed),
+    current: stepSimulations.simulateSteps(
       load,
       scheduleTypes.DEFAULT_POLICY,
       seed,
--- a/src/weight_rollout/plan_orders.ts
+++ b/src/weight_rollout/plan_orders.ts
@@ -1,4 +1,4 @@
-import type * as backends from "../backend_server/mod.ts";
+import type * as backendServers from "../backend_server/mod.ts";
 import type * as engines from "../engine/mod.ts";
 
 /** State of an engine as known when orders are planned. */
@@ -9,9 +9,9 @@
   /** Whether an order to it is in progress or it is switching weights. */
   readonly isBusy: boolean;
   /** Role reported by the engine. */
-  readonly role: backends.ServerRole;
+  readonly role: backendServers.ServerRole;
   /** Role set by operators. */
-  readonly wantedRole: backends.ServerRole;
+  readonly wantedRole: backendServers.ServerRole;
   /** Earliest monotonic time of the next order, in ms; set after a failure. */
   readonly notBeforeMs: number;
 }
--- a/tools/bench/bench_control.ts
+++ b/tools/bench/bench_control.ts
@@ -1,10 +1,10 @@
 import * as httpClient from "../../src/http_client/mod.ts";
-import * as cascades from "../deployment/topology.ts";
-import * as askAdmin from "../deployment/send_admin_request.ts";
+import * as topologies from "../deployment/topology.ts";
+import * as adminRequests from "../deployment/send_admin_request.ts";
 import type * as deployments from "../deployment/deployment.ts";
 import * as controlDeployments from "./control_deployment.ts";
 import * as ledgers from "../stand_ins/ledger.ts";
-import * as judges from "../demo/verify_ledgers.ts";
+import * as ledgerVerification from "../demo/verify_ledgers.ts";
 import * as processUsages from "./process_usage.ts";
 import * as sleeps from "../stand_ins/sleep.ts";
 
@@ -28,7 +28,7 @@
 
 /** Runs the control bench on a deployment of its own. */
 class ControlBench {
-  readonly #boxes: readonly cascades.DeployedBox[];
+  readonly #boxes: readonly topologies.DeployedBox[];
   readonly #deployment: deployments.Deployment;
   #requestCount = 0;
   #revision = 0;
@@ -37,7 +37,7 @@
   #accepted: readonly AcceptedChange[] = [];
 
   constructor(boxCount: number) {
-    this.#boxes = cascades.listBoxes(boxCount, Math.min(5, boxCount));
+    this.#boxes = topologies.listBoxes(boxCount, Math.min(5, boxCount));
     const boxes = this.#boxes;
     this.#deployment = controlDeployments.createControlDeployment({
       folder: FOLDER,
@@ -143,7 +143,7 @@
     this.#weightVersion += 1;
     await httpClient.sendJson({
       baseUrl:
-        `http://${cascades.WEIGHT_STORE_ADDRESS}:${cascades.PLATFORM_PORT}`,
+        `http://${topologies.WEIGHT_STORE_ADDRESS}:${topologies.PLATFORM_PORT}`,
       method: "POST",
       path: "/v1/models",
       json: {
@@ -193,8 +193,8 @@
     );
     const box = runningBoxes[
       this.#requestCount % runningBoxes.length
-    ] as cascades.DeployedBox;
-    return await askAdmin.sendAdminRequest(box.address, {
+    ] as topologies.DeployedBox;
+    return await adminRequests.sendAdminRequest(box.address, {
       method,
       path,
       timeoutMs: method === "GET" ? 3_000 : CALL_TIMEOUT_MS,
@@ -242,7 +242,7 @@
       readonly frozenMs: number;
     },
   ): Promise<void> {
-    const inForceMs = judges.computeQuantiles(
+    const inForceMs = ledgerVerification.computeQuantiles(
       this.#accepted.slice(0, CHANGES).map((accepted) => accepted.tookMs),
     );
     const audit = await this.#sendRequest(
@@ -278,7 +278,7 @@
 
   async #countRevertedBoxes(): Promise<number> {
     const revisions = await Promise.all(this.#boxes.map(async (box) => {
-      const answer = await askAdmin.sendAdminRequest(box.address, {
+      const answer = await adminRequests.sendAdminRequest(box.address, {
         method: "GET",
         path: controlDeployments.TEMPLATE_PATH,
         timeoutMs: 2_000,
--- a/tools/bench/bench_load.ts
+++ b/tools/bench/bench_load.ts
@@ -1,7 +1,7 @@
 import * as admission from "../../src/admission/mod.ts";
 import * as clocks from "../../src/clock/mod.ts";
 import * as forwarding from "../../src/forwarding/mod.ts";
-import * as loadReplays from "../../src/fixtures/load_simulation.ts";
+import * as loadSimulations from "../../src/fixtures/load_simulation.ts";
 import * as serverFixtures from "../../src/fixtures/create_server.ts";
 
 const SEEDS = [1, 2, 3] as const;
@@ -25,11 +25,11 @@
 }
 
 async function measurePattern(
-  pattern: loadReplays.LoadPattern,
+  pattern: loadSimulations.LoadPattern,
   weighed: boolean,
 ): Promise<LoadRow> {
   const outcomes = await Promise.all(
-    SEEDS.map((seed) => loadReplays.simulateLoad(pattern, seed, weighed)),
+    SEEDS.map((seed) => loadSimulations.simulateLoad(pattern, seed, weighed)),
   );
   const asked = sum(outcomes, "asked");
   return {
@@ -46,8 +46,8 @@
 }
 
 function sum(
-  outcomes: readonly loadReplays.LoadOutcome[],
-  field: keyof loadReplays.LoadOutcome,
+  outcomes: readonly loadSimulations.LoadOutcome[],
+  field: keyof loadSimulations.LoadOutcome,
 ): number {
   return outcomes.reduce((total, outcome) => total + outcome[field], 0);
 }
@@ -108,7 +108,7 @@
  */
 export async function benchLoad(): Promise<void> {
   const rows: LoadRow[] = [];
-  for (const pattern of loadReplays.LOAD_PATTERNS) {
+  for (const pattern of loadSimulations.LOAD_PATTERNS) {
     rows.push(await measurePattern(pattern, false));
     rows.push(await measurePattern(pattern, true));
   }
--- a/tools/bench/bench_path.ts
+++ b/tools/bench/bench_path.ts
@@ -4,7 +4,7 @@
 import * as yaml from "yaml";
 import * as accounts from "../../src/client_account/mod.ts";
 import * as httpClient from "../../src/http_client/mod.ts";
-import * as cascades from "../deployment/topology.ts";
+import * as topologies from "../deployment/topology.ts";
 import * as children from "../deployment/child.ts";
 import * as linkRelays from "../deployment/link_relay.ts";
 import * as httpLoads from "./http_load.ts";
@@ -42,19 +42,19 @@
 const TARGETS: Readonly<Record<TargetName, httpLoads.LoadTarget>> = {
   direct: {
     address: BACKEND_ADDRESS,
-    port: cascades.SERVER_PORT,
+    port: topologies.SERVER_PORT,
     path: "/stock?sku=1",
     headers: {},
   },
   bare: {
     address: PASS_THROUGH_ADDRESS,
-    port: cascades.CALLER_PORT,
+    port: topologies.CALLER_PORT,
     path: "/stock?sku=1",
     headers: {},
   },
   hoistscale: {
     address: BOX_ADDRESS,
-    port: cascades.CALLER_PORT,
+    port: topologies.CALLER_PORT,
     path: "/services/cellar-app/stock?sku=1",
     headers: { authorization: `Bearer ${ACCOUNT_TOKEN}` },
   },
@@ -62,7 +62,7 @@
 
 function writeSettings(): string {
   const file = path.join(FOLDER, "box.yaml");
-  const url = `http://${BOX_LIST_ADDRESS}:${cascades.PLATFORM_PORT}`;
+  const url = `http://${BOX_LIST_ADDRESS}:${topologies.PLATFORM_PORT}`;
   fs.rmSync(FOLDER, { recursive: true, force: true });
   fs.mkdirSync(FOLDER, { recursive: true });
   fs.writeFileSync(
@@ -72,7 +72,7 @@
       replicas: [{
         id: "box-1",
         address: BOX_ADDRESS,
-        port: cascades.RELAY_PORT,
+        port: topologies.RELAY_PORT,
       }],
       control: { dataFolder: path.join(FOLDER, "data") },
       administration: { rootTokenSha256: accounts.hashToken(ROOT_TOKEN) },
@@ -109,27 +109,27 @@
     service: "cellar-app",
     kind: "plain",
     address: BACKEND_ADDRESS,
-    port: cascades.SERVER_PORT,
+    port: topologies.SERVER_PORT,
     failureDomain: "port-louis",
     state: "live",
   };
   const boxList = {
     kind: "boxList",
     address: BOX_LIST_ADDRESS,
-    port: cascades.PLATFORM_PORT,
+    port: topologies.PLATFORM_PORT,
     lagMs: 100,
     servers: [server],
   };
   return [
     startProgram("backend", "tools/bench/run_backend.ts", [
       BACKEND_ADDRESS,
-      String(cascades.SERVER_PORT),
+      String(topologies.SERVER_PORT),
     ]),
     startProgram("bare", "tools/bench/run_pass_through.ts", [
       PASS_THROUGH_ADDRESS,
-      String(cascades.CALLER_PORT),
+      String(topologies.CALLER_PORT),
       BACKEND_ADDRESS,
-      String(cascades.SERVER_PORT),
+      String(topologies.SERVER_PORT),
     ]),
     startProgram("boxList", "tools/stand_ins/run_platform.ts", [
       JSON.stringify(boxList),
@@ -138,7 +138,7 @@
 }
 
 async function createAccount(): Promise<void> {
-  const admin = `http://${BOX_ADDRESS}:${cascades.ADMIN_PORT}`;
+  const admin = `http://${BOX_ADDRESS}:${topologies.ADMIN_PORT}`;
   const endMs = Date.now() + 20_000;
   while (Date.now() < endMs) {
     const answer = await httpClient.sendJson({
@@ -229,9 +229,9 @@
   const settings = writeSettings();
   const relay = new linkRelays.LinkRelay({
     listenAddress: BOX_ADDRESS,
-    listenPort: cascades.RELAY_PORT,
+    listenPort: topologies.RELAY_PORT,
     targetAddress: BOX_ADDRESS,
-    targetPort: cascades.PEER_PORT,
+    targetPort: topologies.PEER_PORT,
   });
   await relay.start();
   const standIns = startStandIns();
--- a/tools/bench/bench_rolling.ts
+++ b/tools/bench/bench_rolling.ts
@@ -1,7 +1,7 @@
 import * as httpClient from "../../src/http_client/mod.ts";
-import * as cascades from "../deployment/topology.ts";
+import * as topologies from "../deployment/topology.ts";
 import * as deployments from "../deployment/deployment.ts";
-import * as judges from "../demo/verify_ledgers.ts";
+import * as ledgerVerification from "../demo/verify_ledgers.ts";
 import type * as callerRuns from "../stand_ins/run_callers.ts";
 import * as ledgers from "../stand_ins/ledger.ts";
 import * as sleeps from "../stand_ins/sleep.ts";
@@ -20,11 +20,11 @@
 
 /** A deployment whose boxes are restarted in turn under load. */
 class RollingRestart {
-  readonly #boxes = cascades.listBoxes(BOXES, REPLICAS);
+  readonly #boxes = topologies.listBoxes(BOXES, REPLICAS);
   readonly #deployment = new deployments.Deployment({
     folder: FOLDER,
     boxes: this.#boxes,
-    servers: cascades.listServers(4, 4),
+    servers: topologies.listServers(4, 4),
     models: { "sommelier-lm": 1 },
     engine: {
       slots: 16,
@@ -76,7 +76,7 @@
     return this.#deployment.startClient("callers", "run_callers", settings);
   }
 
-  async #restart(box: cascades.DeployedBox): Promise<void> {
+  async #restart(box: topologies.DeployedBox): Promise<void> {
     const startMs = Date.now();
     this.#eventLedger.add({
       kind: "event",
@@ -123,7 +123,7 @@
     }
   }
 
-  async #countListedBoxes(box: cascades.DeployedBox): Promise<number> {
+  async #countListedBoxes(box: topologies.DeployedBox): Promise<number> {
     const answer = await httpClient.sendJson({
       baseUrl: `http://${box.address}:${box.port}`,
       method: "GET",
@@ -137,7 +137,7 @@
 
   async #createAccount(): Promise<void> {
     const answer = await httpClient.sendJson({
-      baseUrl: `http://${this.#boxes[0]?.address}:${cascades.ADMIN_PORT}`,
+      baseUrl: `http://${this.#boxes[0]?.address}:${topologies.ADMIN_PORT}`,
       method: "PUT",
       path: "/v1/accounts/cascade",
       headers: { authorization: `Bearer ${deployments.ROOT_TOKEN}` },
@@ -151,7 +151,7 @@
 
   #report(rollingMs: number): void {
     const entries = ledgers.readLedgers(this.#deployment.getLedgerFolder());
-    const verdict = judges.verifyLedgers(entries, {
+    const verdict = ledgerVerification.verifyLedgers(entries, {
       lengths: ANSWER_LENGTHS,
       sampleTokens: 0,
       completionTokens: COMPLETION_TOKENS,
@@ -163,7 +163,7 @@
       ).length;
     const latencyMs = Object.fromEntries(OPERATIONS.map((operation) => [
       operation,
-      judges.computeQuantiles(
+      ledgerVerification.computeQuantiles(
         calls.filter((call) => call.operation === operation).map(getLatencyMs),
       ),
     ]));
--- a/tools/bench/bench_slopes.ts
+++ b/tools/bench/bench_slopes.ts
@@ -1,9 +1,9 @@
-import * as cascades from "../deployment/topology.ts";
-import * as askAdmin from "../deployment/send_admin_request.ts";
+import * as topologies from "../deployment/topology.ts";
+import * as adminRequests from "../deployment/send_admin_request.ts";
 import type * as deployments from "../deployment/deployment.ts";
 import * as controlDeployments from "./control_deployment.ts";
 import * as linkRelays from "../deployment/link_relay.ts";
-import * as judges from "../demo/verify_ledgers.ts";
+import * as ledgerVerification from "../demo/verify_ledgers.ts";
 import * as processUsages from "./process_usage.ts";
 import * as sleeps from "../stand_ins/sleep.ts";
 
@@ -39,13 +39,13 @@
 
 /** Measures a deployment of a given size. */
 class SizeRun {
-  readonly #boxes: readonly cascades.DeployedBox[];
+  readonly #boxes: readonly topologies.DeployedBox[];
   readonly #deployment: deployments.Deployment;
   readonly #relays: readonly linkRelays.LinkRelay[];
   #revision = 0;
 
   constructor(size: number) {
-    this.#boxes = cascades.listBoxes(size, REPLICAS);
+    this.#boxes = topologies.listBoxes(size, REPLICAS);
     const relayed = this.#boxes.at(-1)?.box;
     this.#deployment = controlDeployments.createControlDeployment({
       folder: FOLDER,
@@ -55,9 +55,9 @@
     this.#relays = this.#boxes.filter((box) => box.hasState).map((box) =>
       new linkRelays.LinkRelay({
         listenAddress: box.address,
-        listenPort: cascades.RELAY_PORT,
+        listenPort: topologies.RELAY_PORT,
         targetAddress: box.address,
-        targetPort: cascades.PEER_PORT,
+        targetPort: topologies.PEER_PORT,
       })
     );
   }
@@ -117,7 +117,7 @@
     const bytesPerChange =
       (this.#getRelayedBytes() - changeBytes - idleBytesDuringChanges) /
       CHANGES;
-    const inForce = judges.computeQuantiles(tookMs);
+    const inForce = ledgerVerification.computeQuantiles(tookMs);
     return {
       boxes: this.#boxes.length,
       leaderCpu: trimFigure(idle.get(leader) ?? 0),
@@ -185,7 +185,7 @@
 
   #getMeanFraction(
     fractions: ReadonlyMap<string, number>,
-    isIncluded: (box: cascades.DeployedBox) => boolean,
+    isIncluded: (box: topologies.DeployedBox) => boolean,
   ): number {
     const values = this.#boxes.filter(isIncluded).map((box) =>
       fractions.get(box.box) ?? 0
@@ -203,8 +203,8 @@
     path: string,
     json?: unknown,
   ): Promise<unknown> {
-    const box = this.#boxes.at(-2) as cascades.DeployedBox;
-    return await askAdmin.sendAdminRequest(box.address, {
+    const box = this.#boxes.at(-2) as topologies.DeployedBox;
+    return await adminRequests.sendAdminRequest(box.address, {
       method,
       path,
       timeoutMs: CALL_TIMEOUT_MS,
--- a/tools/bench/bench_steps.ts
+++ b/tools/bench/bench_steps.ts
@@ -1,5 +1,5 @@
 import type * as stepLoads from "../../src/fixtures/step_load.ts";
-import * as stepReplays from "../../src/fixtures/step_simulation.ts";
+import * as stepSimulations from "../../src/fixtures/step_simulation.ts";
 import type * as stepSchedule from "../../src/step_schedule/mod.ts";
 
 const SEEDS = [1, 2] as const;
@@ -62,7 +62,7 @@
   policy: stepSchedule.SchedulePolicy,
 ): Readonly<Record<string, number>> {
   const outcomes = SEEDS.map((seed) =>
-    stepReplays.simulateSteps(load, policy, seed)
+    stepSimulations.simulateSteps(load, policy, seed)
   );
   return {
     worth: findMean(outcomes.map(({ worth }) => worth)),
--- a/tools/bench/control_deployment.ts
+++ b/tools/bench/control_deployment.ts
@@ -1,4 +1,4 @@
-import * as cascades from "../deployment/topology.ts";
+import * as topologies from "../deployment/topology.ts";
 import * as deployments from "../deployment/deployment.ts";
 
 /** Model whose new weight versions cause orders from the leader. */
@@ -10,7 +10,7 @@
 /** Options of a deployment for the control benches. */
 export interface ControlDeploymentOptions {
   readonly folder: string;
-  readonly boxes: readonly cascades.DeployedBox[];
+  readonly boxes: readonly topologies.DeployedBox[];
   /** Box whose traffic with the replicas passes through relays. */
   readonly relayedBox?: string;
 }
@@ -26,7 +26,7 @@
 ): deployments.Deployment {
   return new deployments.Deployment({
     ...options,
-    servers: cascades.listServers(1, 1),
+    servers: topologies.listServers(1, 1),
     models: { [MODEL]: 1 },
     engine: {
       slots: 4,
--- a/tools/demo/verify_ledgers_test.ts
+++ b/tools/demo/verify_ledgers_test.ts
@@ -2,7 +2,7 @@
 import * as fs from "node:fs";
 import * as os from "node:os";
 import * as path from "node:path";
-import * as backends from "../../src/backend_server/mod.ts";
+import * as backendServers from "../../src/backend_server/mod.ts";
 import * as csp from "../../src/csp/mod.ts";
 import * as engines from "../../src/engine/mod.ts";
 import * as steps from "../../src/rollout_step/mod.ts";
@@ -50,7 +50,7 @@
   );
   const tokens: number[] = [];
   let spans: readonly steps.VersionSpan[] = [];
-  const target = backends.backendServerSchema.parse({
+  const target = backendServers.backendServerSchema.parse({
     id: "engine-1",
     service: "lm",
     kind: "language",
